--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -20,9 +20,9 @@
 
 from reedspar.direct.choice import DirectChooser
 from reedspar.direct.cold import ColdLimits
-from reedspar.direct.crashes import CrashWatch
+from reedspar.direct.crashes import CrashDetector
 from reedspar.direct.loads import LoadReport, TargetLoads
-from reedspar.direct.replaced import ReplacedLog
+from reedspar.direct.replaced import ReplacedWeightsLog
 from reedspar.direct.tests.fakes import ENGINE, make_engine_target, make_table
 from reedspar.direct.versions import VersionRule
 from reedspar.errors import Failure
@@ -127,8 +127,8 @@
             timers,
             {"a": "ra"},
             "ra",
-            CrashWatch(name, timers, lambda *crash: None),
-            ReplacedLog(versions, timers),
+            CrashDetector(name, timers, lambda *crash: None),
+            ReplacedWeightsLog(versions, timers),
             random.Random(seed),
         )
 
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -12,11 +12,11 @@
 from reedspar.direct import (
     DirectService,
     TargetDialer,
-    choose_addresses,
+    choose_entries,
     create_direct_service,
 )
-from reedspar.direct.directory import home_regions
-from reedspar.direct.news import create_load_listener
+from reedspar.direct.directory import list_allowed_regions
+from reedspar.direct.load_listener import create_load_listener
 from reedspar.direct.request_log import RequestLog
 from reedspar.fleet import DaemonRecord, FleetView
 from reedspar.requests.border import CallerBorder
@@ -88,8 +88,8 @@
         entries = self.base.view.daemons(self.settings.role.value)
         own = self.settings.name
         usable = [e for e in entries if e.name != own or not self.is_leaving]
-        homes = home_regions(self.base.view.routes, host)
-        return choose_addresses(usable, zone, region, homes)
+        homes = list_allowed_regions(self.base.view.routes, host)
+        return choose_entries(usable, zone, region, homes)
 
     def apply_settings(self, settings: SiteSettings) -> None:
         """Take settings that were reloaded; addresses stay until the next start."""
@@ -109,7 +109,7 @@
 
     async def _register(self) -> None:
         await self.base.feed.wait_seeded()
-        self.service.note_seeded()
+        self.service.note_store_listed()
         _logger.info("ready", extra={"targets": self.base.view.target_count()})
         await self.base.registration.run()
 
@@ -188,7 +188,7 @@
         dialer=borders.create_dialer(view),
         border=borders.border,
         others=borders.metrics_app,
-        is_in_doubt=lambda: base.registration.speed.is_in_doubt,
+        is_store_slow=lambda: base.registration.speed.is_in_doubt,
         rng=rng,
         first_filters=(RequestLog(view, timers, borders.metrics),),
     )
--- a/reedspar/direct/__init__.py
+++ b/reedspar/direct/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from .client import DirectAttemptClient, DirectResponse, TargetDialer
-from .directory import choose_addresses
+from .directory import choose_entries
 from .loads import LoadReport
 from .service import DirectService, create_direct_service
 
@@ -16,6 +16,6 @@
     "DirectService",
     "LoadReport",
     "TargetDialer",
-    "choose_addresses",
+    "choose_entries",
     "create_direct_service",
 ]
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -12,7 +12,7 @@
 from reedspar.timers import TimerService
 
 from .cold import ColdLimits
-from .crashes import CrashWatch
+from .crashes import CrashDetector
 from .estimate import (
     Calibration,
     EngineWork,
@@ -29,7 +29,7 @@
     average_load,
 )
 from .refusals import COME_BACK_S, Refusals
-from .replaced import ReplacedLog
+from .replaced import ReplacedWeightsLog
 from .versions import VersionRule
 
 __all__ = ["DirectChooser", "DirectTarget"]
@@ -95,8 +95,8 @@
         timers: TimerService,
         zones: dict[str, str],
         region: str,
-        crashes: CrashWatch,
-        replaced: ReplacedLog,
+        crashes: CrashDetector,
+        replaced: ReplacedWeightsLog,
         rng: random.Random,
     ) -> None:
         self._view = view
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -49,7 +49,7 @@
 class TargetDialer(Protocol):
     """Sends requests to targets by their ids."""
 
-    def knows(self, target_id: str) -> bool:
+    def has_address(self, target_id: str) -> bool:
         """Tell whether the target has an address."""
         ...
 
@@ -57,12 +57,12 @@
         self,
         target_id: str,
         request: TargetRequest,
-        may_write: Callable[[], Failure | None],
+        check_before_write: Callable[[], Failure | None],
     ) -> AbstractAsyncContextManager[DirectResponse | Failure]:
         """Hand over a request on a connection of its own.
 
-        `may_write` is called between connecting and writing; a failure of it is
-        yielded, and nothing is written.
+        `check_before_write` is called between connecting and writing.  If it returns
+        a failure, that failure is yielded and nothing is written.
 
         A failure at `Step.LINK` means that nothing reached the target; at
         `Step.TARGET_CALL` its reason says whether the target may have run it.
@@ -107,7 +107,7 @@
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
         """Hand a request over; a failure means that nothing was handed over."""
-        if not self._dialer.knows(target):
+        if not self._dialer.has_address(target):
             return Failure(Reason.UNAVAILABLE, Step.LINK, target, "has no address")
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
         running = _Running(attempt, anyio.CancelScope(), anyio.Event())
@@ -200,10 +200,10 @@
         )
         target = attempt.target
 
-        def may_write() -> Failure | None:
+        def check_before_write() -> Failure | None:
             return self._limits.check_hand_over(target, start.request_id, SWEEP_S)
 
-        async with self._dialer.send(target, request, may_write) as response:
+        async with self._dialer.send(target, request, check_before_write) as response:
             if isinstance(response, Failure):
                 return response
             headers = tuple(Header(name, value) for name, value in response.headers)
--- a/reedspar/direct/crashes.py
+++ b/reedspar/direct/crashes.py
@@ -7,7 +7,7 @@
 from reedspar.fleet import KnownTarget, TargetChange, TargetState
 from reedspar.timers import TimerService
 
-__all__ = ["CrashWatch"]
+__all__ = ["CrashDetector"]
 
 BROKEN_KEPT_S = 6.0
 """How long a broken attempt may be what its target crashed of.
@@ -19,7 +19,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class CrashWatch:
+class CrashDetector:
     """Joins broken attempts and targets that went without leaving."""
 
     def __init__(
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/directory.py
@@ -5,7 +5,7 @@
 from reedspar.fleet import DaemonRecord
 from reedspar.routes import RouteTable
 
-__all__ = ["choose_addresses", "home_regions"]
+__all__ = ["choose_entries", "list_allowed_regions"]
 
 OWN_ZONE_MIN = 2
 """Entries of the caller's zone that must be there before it is told only of them.
@@ -13,7 +13,7 @@
 With one, a caller would have no other address left once that one failed it."""
 
 
-def choose_addresses(
+def choose_entries(
     entries: Iterable[DaemonRecord],
     zone: str,
     region: str,
@@ -40,7 +40,7 @@
     return allowed
 
 
-def home_regions(table: RouteTable | None, host: str) -> frozenset[str] | None:
+def list_allowed_regions(table: RouteTable | None, host: str) -> frozenset[str] | None:
     """Return the regions that all routes of a host allow; None for all regions."""
     if table is None:
         return None
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -28,10 +28,10 @@
     """Find the route, the workspace and the service of a request."""
 
     def __init__(
-        self, view: FleetView, is_in_doubt: Callable[[], bool], rng: random.Random
+        self, view: FleetView, is_store_slow: Callable[[], bool], rng: random.Random
     ) -> None:
         self._view = view
-        self._is_in_doubt = is_in_doubt
+        self._is_store_slow = is_store_slow
         self._rng = rng
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
@@ -55,7 +55,7 @@
 
     def _deny(self, reason: Reason, detail: str) -> Answer:
         """Refuse for good, or only for now while news of the store may be late."""
-        if not self._is_in_doubt():
+        if not self._is_store_slow():
             return _refuse(reason, detail)
         return _refuse(Reason.STALE, f"{detail}, but the store is slow", DOUBT_RETRY_S)
 
--- a/reedspar/direct/replaced.py
+++ b/reedspar/direct/replaced.py
@@ -8,7 +8,7 @@
 from .loads import OwnAttempt
 from .versions import VersionRule
 
-__all__ = ["ReplacedLog"]
+__all__ = ["ReplacedWeightsLog"]
 
 NEAR_S = 1.0
 """Time before the bound from which such a request gets a line."""
@@ -18,7 +18,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class ReplacedLog:
+class ReplacedWeightsLog:
     """Tells requests that began close to the bound, and how their time passed."""
 
     def __init__(self, versions: VersionRule, timers: TimerService) -> None:
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -26,11 +26,11 @@
 from .choice import DirectChooser
 from .client import DirectAttemptClient, TargetDialer, create_direct_attempt_client
 from .cold import ColdLimits
-from .crashes import CrashWatch
+from .crashes import CrashDetector
 from .filters import BoundByRoute, IdentifyRoute
 from .limits import AttemptLimits
 from .loads import TargetLoads
-from .replaced import ReplacedLog
+from .replaced import ReplacedWeightsLog
 from .versions import VersionRule
 
 __all__ = ["DirectService", "create_direct_service"]
@@ -52,12 +52,12 @@
     chooser: DirectChooser
     loads: TargetLoads
     versions: VersionRule
-    replaced: ReplacedLog
+    replaced: ReplacedWeightsLog
     follower: "_FleetFollower"
 
-    def note_seeded(self) -> None:
+    def note_store_listed(self) -> None:
         """Note that the store has been listed, before this entry registers."""
-        self.versions.note_seeded()
+        self.versions.note_store_listed()
         self.follower.note_started()
 
     def apply_bounds(self, bounds: BoundSettings) -> None:
@@ -123,7 +123,7 @@
         self._budgets.set_burst(SLACK_PART * self._retry_slack / count)
 
 
-def _note_crash(crashes: CrashWatch, view: FleetView, change: FleetChange) -> None:
+def _note_crash(crashes: CrashDetector, view: FleetView, change: FleetChange) -> None:
     if isinstance(change, TargetChange):
         crashes.note_change(change, view.target(change.target_id))
 
@@ -139,7 +139,7 @@
     dialer: TargetDialer,
     border: CallerBorder,
     others: ASGIApp,
-    is_in_doubt: Callable[[], bool],
+    is_store_slow: Callable[[], bool],
     rng: random.Random,
     first_filters: tuple[Filter, ...] = (),
 ) -> DirectService:
@@ -148,7 +148,7 @@
     loads = TargetLoads()
     cold = ColdLimits(settings.name)
     versions = VersionRule(view, timers, bounds.version_ms / 1000)
-    replaced = ReplacedLog(versions, timers)
+    replaced = ReplacedWeightsLog(versions, timers)
     quarantine = Quarantine()
     gossip = create_crash_gossip(
         settings.name,
@@ -158,7 +158,7 @@
         rng,
         lambda: [entry.name for entry in view.daemons(Role.ENTRY.value)],
     )
-    crashes = CrashWatch(settings.name, timers, gossip.note_crash)
+    crashes = CrashDetector(settings.name, timers, gossip.note_crash)
     chooser = DirectChooser(
         view,
         loads,
@@ -182,7 +182,7 @@
     terms = RelayTerms(retry_wait_s=0.0, verdict_margin_s=0.0)
     filters: list[Filter] = [
         *first_filters,
-        IdentifyRoute(view, is_in_doubt, rng),
+        IdentifyRoute(view, is_store_slow, rng),
         BoundByRoute(),
         Guard(quarantine, timers),
         Relay(client, chooser, budgets, quarantine, timers, terms),
--- a/reedspar/direct/tests/fakes.py
+++ b/reedspar/direct/tests/fakes.py
@@ -132,7 +132,7 @@
         self.connect_s = 0.0
         self.script: Script = lambda target_id, request: FakeResponse([b"ok"])
 
-    def knows(self, target_id: str) -> bool:
+    def has_address(self, target_id: str) -> bool:
         return self._view.target(target_id) is not None
 
     @asynccontextmanager
@@ -140,11 +140,11 @@
         self,
         target_id: str,
         request: TargetRequest,
-        may_write: Callable[[], Failure | None],
+        check_before_write: Callable[[], Failure | None],
     ) -> AsyncIterator[DirectResponse | Failure]:
         if self.connect_s:
             await anyio.sleep(self.connect_s)
-        failure = may_write()
+        failure = check_before_write()
         if failure is not None:
             yield failure
             return
@@ -255,7 +255,7 @@
         dialer=dialer,
         border=HostBorder(),
         others=Starlette(),
-        is_in_doubt=lambda: False,
+        is_store_slow=lambda: False,
         rng=random.Random(1),
     )
     return service, dialer, view
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -3,7 +3,7 @@
 import unittest
 
 from reedspar.direct.cold import ColdLimits
-from reedspar.direct.directory import choose_addresses, home_regions
+from reedspar.direct.directory import choose_entries, list_allowed_regions
 from reedspar.direct.estimate import (
     EngineWork,
     estimate_first_event_s,
@@ -112,7 +112,7 @@
         self.view.apply(WeightsChange("m", version))
 
     def test_older_version_serves_until_shortly_before_the_bound(self) -> None:
-        self.rule.note_seeded()
+        self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
         self.assertTrue(self.rule.may_serve("m", 1))
@@ -125,7 +125,7 @@
 
     def test_peers_word_ends_the_older_versions_time_earlier(self) -> None:
         # The news came 2 s late here; the bound counts from the naming.
-        self.rule.note_seeded()
+        self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
         self.view.note_named("m", 2, self.clock.now_s() - 2.0, "entry-2")
@@ -136,7 +136,7 @@
 
     def test_peers_word_does_not_lengthen_the_time_after_a_start(self) -> None:
         self.name(2)
-        self.rule.note_seeded()
+        self.rule.note_store_listed()
         self.view.note_named("m", 2, self.clock.now_s() - 0.5, "entry-2")
         self.clock.advance(0.9)
         self.assertTrue(self.rule.may_serve("m", 1))
@@ -146,7 +146,7 @@
     def test_each_version_is_bound_by_the_one_after_it(self) -> None:
         # A third version is named while the second travels.  The first must go
         # by the second's bound, the second serves on until the third's.
-        self.rule.note_seeded()
+        self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
         self.clock.advance(4.0)
@@ -159,7 +159,7 @@
         # An entry restarts and cannot know when a version was named.  Taken for new,
         # an older one began requests 20 s after it had to be replaced.
         self.name(2)
-        self.rule.note_seeded()
+        self.rule.note_store_listed()
         self.clock.advance(1.1)
         self.assertFalse(self.rule.may_serve("m", 1))
 
@@ -172,7 +172,7 @@
     ]
 
     def names(self, zone: str, region: str, homes: frozenset | None = None) -> list:
-        return [e.name for e in choose_addresses(self.entries, zone, region, homes)]
+        return [e.name for e in choose_entries(self.entries, zone, region, homes)]
 
     def test_own_zone_while_it_has_two(self) -> None:
         self.assertEqual(self.names("a", "ra"), ["a1", "a2"])
@@ -187,8 +187,8 @@
         self.assertEqual(self.names("c", "rc", frozenset({"rb"})), ["b1"])
 
     def test_host_without_routes_has_no_homes(self) -> None:
-        self.assertIsNone(home_regions(RouteTable(1), "a.example"))
-        self.assertIsNone(home_regions(None, "a.example"))
+        self.assertIsNone(list_allowed_regions(RouteTable(1), "a.example"))
+        self.assertIsNone(list_allowed_regions(None, "a.example"))
 
 
 if __name__ == "__main__":
--- a/reedspar/direct/tests/test_identify.py
+++ b/reedspar/direct/tests/test_identify.py
@@ -18,9 +18,9 @@
     def setUp(self) -> None:
         self.view = FleetView(TimerService(VirtualClock()))
         self.view.apply(RoutesChange(make_table()))
-        self.is_in_doubt = False
+        self.is_store_slow = False
         self.filter = IdentifyRoute(
-            self.view, lambda: self.is_in_doubt, random.Random(1)
+            self.view, lambda: self.is_store_slow, random.Random(1)
         )
 
     def ask(self, host: str) -> Answer:
@@ -44,7 +44,7 @@
     def test_unknown_route_is_refused_for_now_while_the_store_is_slow(self) -> None:
         # Operators add a route while the store answers late.  An entry that has
         # not heard of it yet told callers for good that there is no such route.
-        self.is_in_doubt = True
+        self.is_store_slow = True
         failure = self.ask("nobody.example").failure
         assert failure is not None
         self.assertIs(failure.reason, Reason.STALE)
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced.py
@@ -3,7 +3,7 @@
 import unittest
 
 from reedspar.direct.loads import OwnAttempt
-from reedspar.direct.replaced import LINES_BURST, ReplacedLog
+from reedspar.direct.replaced import LINES_BURST, ReplacedWeightsLog
 from reedspar.direct.versions import VersionRule
 from reedspar.fleet import FleetView, WeightsChange
 from reedspar.timers import TimerService, VirtualClock
@@ -17,7 +17,7 @@
         self.clock = VirtualClock(100.0)
         timers = TimerService(self.clock)
         self.view = FleetView(timers)
-        self.log = ReplacedLog(VersionRule(self.view, timers, BOUND_S), timers)
+        self.log = ReplacedWeightsLog(VersionRule(self.view, timers, BOUND_S), timers)
         self.view.apply(WeightsChange("m", 2))
 
     def note(self, version: int | None = 1) -> None:
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_replaced_weights.py
@@ -46,7 +46,7 @@
                 made = make_direct_service(timers, tasks, self.targets)
                 service, dialer, self.view = made
                 service.versions.set_bound(BOUND_S)
-                service.versions.note_seeded()
+                service.versions.note_store_listed()
                 await anyio.sleep(1.0)
                 self.view.apply(WeightsChange("m", 2))
                 await script(service, dialer, anyio.current_time())
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -38,7 +38,7 @@
         """Take the time after which a newer version must be everywhere."""
         self._bound_s = bound_s
 
-    def note_seeded(self) -> None:
+    def note_store_listed(self) -> None:
         """Note that versions named from now on are named now."""
         self._seeded_s = self._timers.now_s()
 
