--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -180,7 +180,7 @@
             self.in_force_s.setdefault(node.name, now_s)
             return
         is_late = now_s - self.accepted_s > OUT_BOUND_S
-        if is_late and node.controller.may_start_work(self.zone) is None:
+        if is_late and node.controller.check_work_allowed(self.zone) is None:
             self.late += 1
 
     def times_s(self, *, is_running: bool) -> list[float]:
--- a/bench/configuration_histories.py
+++ b/bench/configuration_histories.py
@@ -10,7 +10,7 @@
 import time
 
 from bench.measuring import print_result
-from reedspar.configuration.tests.test_histories import FAULTS, World
+from reedspar.configuration.tests.test_histories import FAULTS, FaultSimulation
 
 __all__ = ["main"]
 
@@ -22,7 +22,7 @@
     """Return what failed in one history, or nothing."""
     rng = random.Random(seed)
     try:
-        world = World(seed)
+        world = FaultSimulation(seed)
         for _ in range(rng.randint(3, STEPS_MAX)):
             world.apply(rng.choice(FAULTS))
             world.fleet.run_for(rng.uniform(0.5, WAIT_MAX_S))
--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -41,7 +41,7 @@
     if rule == "serve_on":
         return True
     if rule == "product":
-        return controller.may_start_work(node.zone) is None
+        return controller.check_work_allowed(node.zone) is None
     confirmed_s = controller.confirmed_age_s
     return confirmed_s <= FRESHNESS_S
 
@@ -84,8 +84,8 @@
     """Begin a fault that lasts to the end."""
     inside = {node.name for node in fleet.nodes.values() if node.zone == ZONE}
     if fault == "zone_cut_off":
-        fleet.key_value.cut_off = inside
-        fleet.is_cut = lambda a, b: (a.name in inside) != (b.name in inside)
+        fleet.key_value.unreachable_from = inside
+        fleet.is_partitioned = lambda a, b: (a.name in inside) != (b.name in inside)
         return
     fleet.key_value.is_down = True
     if fault == "service_and_zone_down":
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -13,7 +13,7 @@
 from reedspar.timers import TimerService
 
 from .document import ConfigurationDocument
-from .exchange import ATTEST_HOLD_S, FreshnessExchange
+from .exchange import ATTESTATION_DELAY_S, FreshnessExchange
 from .fetching import DocumentFetch
 from .freshness import age_to_ms
 from .messages import ConfigurationOffer, ConfigurationRequest
@@ -104,7 +104,7 @@
             settings.zone,
             settings.role is Role.ENTRY,
             lambda: self.version,
-            self.note_sender,
+            self.handle_sender,
         )
         self.counters = ConfigurationCounters()
 
@@ -162,7 +162,7 @@
         self._on_view_change()
         self._timers.call_after(self._rng.random() * TICK_S, self._start_ticks)
 
-    def may_start_work(self, zone: str) -> Failure | None:
+    def check_work_allowed(self, zone: str) -> Failure | None:
         """Return why no work may start in `zone` now, or None if it may.
 
         Call it before each start, at the entry and at the agent: it notices a
@@ -198,7 +198,7 @@
             listener(document)
         self._exchange.push()
 
-    def learn(self, document: ConfigurationDocument) -> None:
+    def adopt_if_newer(self, document: ConfigurationDocument) -> None:
         """Bring a document into force unless a newer one is already.
 
         An accepted patch's document comes back after the answer of the
@@ -207,7 +207,7 @@
         if document.version > self.version:
             self.adopt(document)
 
-    def note_sender(self, sender: Sender) -> None:
+    def handle_sender(self, sender: Sender) -> None:
         """Take in the version that a frame, whatever its payload, has shown."""
         if sender.config_version > self.version:
             self._fetch.note_version(sender.name, sender.config_version, self.version)
@@ -242,7 +242,7 @@
             return
         if self._exchange.age_s() <= self._freshness_s:
             self._is_ready = True
-            self._attest_after_s = self._timers.now_s() + ATTEST_HOLD_S
+            self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
 
     def _may_attest(self, now_s: float) -> bool:
         """Tell whether this daemon would know what its zone has learned.
@@ -343,7 +343,7 @@
     def _on_pause(self, gap_s: float) -> None:
         self._exchange.lapse()
         if self._is_ready:
-            self._attest_after_s = self._timers.now_s() + ATTEST_HOLD_S
+            self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
 
 
 def _decode_offer(offer: ConfigurationOffer) -> ConfigurationDocument | None:
@@ -372,7 +372,7 @@
 ) -> ConfigurationController:
     """Make a controller; `spawn` is a task group's `start_soon`.
 
-    Call `start` once, and `note_sender` with every frame's sender.
+    Call `start` once, and `handle_sender` with every frame's sender.
     """
     return ConfigurationController(
         settings,
--- a/reedspar/configuration/exchange.py
+++ b/reedspar/configuration/exchange.py
@@ -11,9 +11,9 @@
 from .messages import ClockProbe, ClockReply, FreshnessBeacon
 from .view import DaemonView
 
-__all__ = ["ATTEST_HOLD_S", "FreshnessExchange"]
+__all__ = ["ATTESTATION_DELAY_S", "FreshnessExchange"]
 
-ATTEST_HOLD_S = 1.5
+ATTESTATION_DELAY_S = 1.5
 """After a start or a pause, time to hear what the zone learned meanwhile."""
 
 FANOUT = 3
@@ -50,7 +50,7 @@
         zone: str,
         is_hub: bool,
         held_version: Callable[[], int],
-        note_sender: Callable[[Sender], None],
+        handle_sender: Callable[[Sender], None],
     ) -> None:
         self._network = network
         self._timers = timers
@@ -59,7 +59,7 @@
         self._own_zone = frozenset({zone})
         self._is_hub = is_hub
         self._held_version = held_version
-        self._note_sender = note_sender
+        self._note_sender = handle_sender
         self._clocks = PeerClocks()
         self._table = FreshnessTable()
         self._pushed_confirmed_s = NEVER_S
@@ -81,7 +81,7 @@
 
     def zone_age_s(self, zone: str) -> float:
         """Return for how long nothing was heard of a zone, but could have been."""
-        earliest_s = self._lapsed_s + ATTEST_HOLD_S
+        earliest_s = self._lapsed_s + ATTESTATION_DELAY_S
         attested_s = self._table.attested_s(zone) or earliest_s
         return self._timers.now_s() - max(attested_s, earliest_s)
 
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -41,7 +41,7 @@
         self._written_s: list[float] = []
         self._watches: list[Callable[[], None]] = []
         self.is_down = False
-        self.cut_off: set[str] = set()
+        self.unreachable_from: set[str] = set()
         self.old_read_s = 0.0
         self.latency_s = 0.003
         self.calls = 0
@@ -83,7 +83,7 @@
             if is_answered:
                 return
             result: WatchResult = self.read()
-            if self.is_down or node.name in self.cut_off:
+            if self.is_down or node.name in self.unreachable_from:
                 result = Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
             elif result is None or cast(KeyValueEntry, result).revision <= (
                 after_revision
@@ -196,7 +196,7 @@
         return None
 
     def receive(self, sender: Sender, message: Any) -> None:
-        self.controller.note_sender(sender)
+        self.controller.handle_sender(sender)
         for handler in self.handlers.get(type(message), ()):
             handler(sender, message)
         self.fleet.observe(self)
@@ -249,7 +249,7 @@
     loss: float = 0.0
     watchers_per_zone: int = WATCHERS_PER_ZONE
     measure: Callable[[Sender, Any], int] = lambda sender, message: 0
-    is_cut: Callable[[Node, Node], bool] = lambda a, b: False
+    is_partitioned: Callable[[Node, Node], bool] = lambda a, b: False
     observe: Callable[[Node], None] = lambda node: None
     """Called after each message that a daemon has taken in, and at its ticks."""
     clock: VirtualClock = field(default_factory=VirtualClock)
@@ -303,7 +303,7 @@
 
     def deliver(self, source: Node, to: Node, sender: Sender, message: Any) -> None:
         """Carry a message, or lose it."""
-        if self.rng.random() < self.loss or self.is_cut(source, to):
+        if self.rng.random() < self.loss or self.is_partitioned(source, to):
             return
         latency_s = self._latency_s(source, to) * (1 + self.rng.random())
         self.call_after(latency_s, lambda: to.run(lambda: to.receive(sender, message)))
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -20,7 +20,7 @@
 HEAL_S = 8.0
 
 
-class World:
+class FaultSimulation:
     """A small fleet, the faults that are on, and the checks that always run."""
 
     def __init__(self, seed: int) -> None:
@@ -31,7 +31,11 @@
         self.held: dict[tuple[str, int], int] = {}
         self.out_since: dict[str, int] = {}
         self.fleet = Fleet(
-            REGIONS, seed, is_cut=self.is_cut, observe=self.observe, loss=0.02
+            REGIONS,
+            seed,
+            is_partitioned=self.is_partitioned,
+            observe=self.observe,
+            loss=0.02,
         )
         names = [
             self.fleet.add(f"{zone}-{i}", Role.ENTRY, zone).name
@@ -48,7 +52,7 @@
         self.fleet.start()
         self.fleet.run_for(4.0)
 
-    def is_cut(self, a: Node, b: Node) -> bool:
+    def is_partitioned(self, a: Node, b: Node) -> bool:
         if a.name in self.isolated or b.name in self.isolated:
             return True
         return frozenset((a.zone, b.zone)) in self.cut_zones
@@ -74,7 +78,7 @@
         for zone, out_version in self.out_since.items():
             learned_s = self.learned_s.get(out_version, now_s)
             if version < out_version and now_s - learned_s > FRESHNESS_S + TELL_S:
-                refusal = controller.may_start_work(zone)
+                refusal = controller.check_work_allowed(zone)
                 assert refusal is not None, (
                     f"{life} holds {version} and starts work in {zone} "
                     f"{now_s - learned_s:.1f} s after version {out_version}"
@@ -97,8 +101,10 @@
         elif fault == "service_cut":
             # The claim assumes that a daemon which is cut off from its zone does
             # not reach the service either, so the isolated stay cut off.
-            self.key_value.cut_off ^= {each.name for each in self.nodes_of(zone)}
-            self.key_value.cut_off |= self.isolated
+            self.key_value.unreachable_from ^= {
+                each.name for each in self.nodes_of(zone)
+            }
+            self.key_value.unreachable_from |= self.isolated
         elif fault == "region_cut":
             self.cut_zones ^= {frozenset(self.rng.sample(ZONES, 2))}
         else:
@@ -107,7 +113,7 @@
     def isolate(self, node: Node) -> None:
         self.isolated ^= {node.name}
         if node.name in self.isolated:
-            self.key_value.cut_off |= {node.name}
+            self.key_value.unreachable_from |= {node.name}
 
     def nodes_of(self, zone: str) -> list[Node]:
         return [node for node in self.nodes if node.zone == zone]
@@ -115,7 +121,7 @@
     def heal(self) -> None:
         self.cut_zones.clear()
         self.isolated.clear()
-        self.key_value.cut_off.clear()
+        self.key_value.unreachable_from.clear()
         self.key_value.is_down = False
         self.fleet.run_for(12.0 + HEAL_S)
 
@@ -143,7 +149,7 @@
         # the key-value service, while operators take zones out and in.  A shop
         # whose request went to a zone that was taken out would find the machine
         # switched off under it; a version that reverts would bring a zone back.
-        world = World(seed)
+        world = FaultSimulation(seed)
         for fault, wait_s in steps:
             world.apply(fault)
             world.fleet.run_for(wait_s)
@@ -155,13 +161,13 @@
 
 class FreshnessTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.world = World(seed=5)
+        self.world = FaultSimulation(seed=5)
 
     def refused(self) -> list[str]:
         return [
             node.name
             for node in self.world.nodes
-            if node.controller.may_start_work("kingston-c") is not None
+            if node.controller.check_work_allowed("kingston-c") is not None
         ]
 
     def test_outage_of_the_service_alone_stops_nothing(self) -> None:
@@ -198,7 +204,7 @@
         world = self.world
         cut = {node.name for node in world.nodes_of("montego-a")}
         world.cut_zones = {frozenset(("montego-a", zone)) for zone in ZONES[:2]}
-        world.key_value.cut_off = set(cut)
+        world.key_value.unreachable_from = set(cut)
         world.fleet.run_for(FRESHNESS_S)
         self.assertEqual(set(self.refused()), cut)
         world.heal()
@@ -215,7 +221,7 @@
         # from a peer.  The operator must see it accepted, and nothing reverts.
         controller = self.world.nodes[0].controller
         controller.adopt(ConfigurationDocument(version=9))
-        controller.learn(ConfigurationDocument(version=8))
+        controller.adopt_if_newer(ConfigurationDocument(version=8))
         self.assertEqual(controller.version, 9)
         with self.assertRaises(InvariantError):
             controller.adopt(ConfigurationDocument(version=8))
@@ -229,7 +235,7 @@
         world.fleet.freeze(node, 60.0)
         world.fleet.run_for(1.0)
         world.isolated.add(node.name)
-        world.key_value.cut_off.add(node.name)
+        world.key_value.unreachable_from.add(node.name)
         world.fleet.run_for(58.95)
         self.assertTrue(node.is_frozen)
         world.fleet.run_for(0.3)
--- a/reedspar/daemon/agent.py
+++ b/reedspar/daemon/agent.py
@@ -143,7 +143,7 @@
         node.timers,
         target,
         offers,
-        lambda: node.configuration.may_start_work(settings.zone),
+        lambda: node.configuration.check_work_allowed(settings.zone),
         node.tasks.start_soon,
     )
     gate.controller = controller
--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -75,7 +75,7 @@
         await self.tasks.start(self.transport.run)
         self.network.on_link_event(self._note_link)
         self.network.on_sender(self.membership.note_sender)
-        self.network.on_sender(self.configuration.note_sender)
+        self.network.on_sender(self.configuration.handle_sender)
         self.timers.on_pause(self._note_pause)
         self.timers.call_every(WANT_INTERVAL_S, self._want_links)
         self.configuration.on_change(self.history.add)
@@ -103,7 +103,7 @@
         """Turn what the node learns into events and metrics."""
         zone = self.settings.zone
         documents = ConfigurationObserver(
-            self.recorder, lambda: self.configuration.may_start_work(zone)
+            self.recorder, lambda: self.configuration.check_work_allowed(zone)
         )
         self.configuration.on_change(documents.note_document)
         self.timers.call_every(FRESHNESS_INTERVAL_S, documents.check_freshness)
--- a/reedspar/daemon/run.py
+++ b/reedspar/daemon/run.py
@@ -35,7 +35,7 @@
         create_configuration_store(node.key_value),
         node.history,
         node.configuration.current,
-        node.configuration.learn,
+        node.configuration.adopt_if_newer,
     )
     sources = AdminSources(
         StatusReader(node), MemberReader(node), source, node.recorder, node.metrics
--- a/reedspar/daemon/views.py
+++ b/reedspar/daemon/views.py
@@ -47,7 +47,7 @@
 
     def is_fresh(self) -> bool:
         """Tell whether a recent confirmation allows new work to start."""
-        failure = self._controller.may_start_work(self._zone)
+        failure = self._controller.check_work_allowed(self._zone)
         # An entry in a zone that was taken out still serves the callers that
         # kept its address; the work goes to targets in other zones.
         return failure is None or failure.reason is Reason.ZONE_OUT
--- a/reedspar/observation/configuration.py
+++ b/reedspar/observation/configuration.py
@@ -13,10 +13,10 @@
     """Record adopted versions, and where work may no longer or again start."""
 
     def __init__(
-        self, recorder: EventRecorder, may_start_work: Callable[[], Failure | None]
+        self, recorder: EventRecorder, check_work_allowed: Callable[[], Failure | None]
     ) -> None:
         self._recorder = recorder
-        self._may_start_work = may_start_work
+        self._check_work_allowed = check_work_allowed
         self._document: ConfigurationDocument | None = None
         self._is_fresh = False
         self._was_ready = False
@@ -31,7 +31,7 @@
 
     def check_freshness(self) -> None:
         """Record a change; to be called a few times a second."""
-        failure = self._may_start_work()
+        failure = self._check_work_allowed()
         is_fresh = failure is None or failure.reason is Reason.ZONE_OUT
         if is_fresh == self._is_fresh:
             return
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -70,7 +70,7 @@
         timers: TimerService,
         target: Target,
         offers: OfferSource,
-        may_start_work: Callable[[], Failure | None],
+        check_work_allowed: Callable[[], Failure | None],
         spawn: Callable[..., object],
     ) -> None:
         self._settings = settings
@@ -79,7 +79,7 @@
         self._timers = timers
         self._target = target
         self._offers = offers
-        self._may_start_work = may_start_work
+        self._check_work_allowed = check_work_allowed
         self._spawn = spawn
         limit = target_settings.concurrency_limit
         gate_settings = GateSettings(
@@ -204,7 +204,7 @@
             return Failure(Reason.NO_TARGET, step, detail=f"not of pool {start.pool}")
         if self._is_draining or self._switching:
             return Failure(Reason.DRAINING, step)
-        failure = self._may_start_work()
+        failure = self._check_work_allowed()
         if failure is not None:
             return failure
         if not self._is_reachable or not self._offers.is_offering():
@@ -332,7 +332,7 @@
     timers: TimerService,
     target: Target,
     offers: OfferSource,
-    may_start_work: Callable[[], Failure | None],
+    check_work_allowed: Callable[[], Failure | None],
     spawn: Callable[..., object],
 ) -> TargetController:
     """Make the controller of the target that the settings describe."""
@@ -346,6 +346,6 @@
         timers,
         target,
         offers,
-        may_start_work,
+        check_work_allowed,
         spawn,
     )
--- a/reedspar/timeline/__init__.py
+++ b/reedspar/timeline/__init__.py
@@ -6,12 +6,16 @@
 
 if TYPE_CHECKING:
     from .events import Event, EventKind, event_from_json, event_to_json
+    from .explanation import (
+        RequestExplanation,
+        count_unlogged_requests,
+        explain_request,
+    )
     from .filters import EventFilter, format_caller_id
     from .log_lines import LogLine, parse_log_line, read_log_lines
     from .merging import merge_events
-    from .picture import render_picture
+    from .picture import render_html
     from .recorder import EventPage, EventRecorder, create_event_recorder
-    from .story import Story, count_left_out, tell_story
     from .text import render_text
 
 __all__ = [
@@ -21,18 +25,18 @@
     "EventPage",
     "EventRecorder",
     "LogLine",
-    "Story",
-    "count_left_out",
+    "RequestExplanation",
+    "count_unlogged_requests",
     "create_event_recorder",
     "event_from_json",
     "event_to_json",
+    "explain_request",
     "format_caller_id",
     "merge_events",
     "parse_log_line",
     "read_log_lines",
-    "render_picture",
+    "render_html",
     "render_text",
-    "tell_story",
 ]
 
 if not TYPE_CHECKING:
@@ -55,16 +59,16 @@
                 "read_log_lines",
             ),
             "merging": ("merge_events",),
-            "picture": ("render_picture",),
+            "picture": ("render_html",),
             "recorder": (
                 "EventPage",
                 "EventRecorder",
                 "create_event_recorder",
             ),
-            "story": (
-                "Story",
-                "count_left_out",
-                "tell_story",
+            "explanation": (
+                "RequestExplanation",
+                "count_unlogged_requests",
+                "explain_request",
             ),
             "text": ("render_text",),
         },
--- a/reedspar/timeline/story.py
+++ b/reedspar/timeline/explanation.py
@@ -11,7 +11,7 @@
 from .filters import EventFilter
 from .log_lines import LogLine
 
-__all__ = ["Story", "count_left_out", "tell_story"]
+__all__ = ["RequestExplanation", "count_unlogged_requests", "explain_request"]
 
 BEFORE_S = 15.0
 """How far back to look for what a process believed: longer than a version may take."""
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class RequestExplanation:
     """One request."""
 
     own: tuple[LogLine, ...]
@@ -81,16 +81,20 @@
     conclusion: str
 
 
-def tell_story(lines: Sequence[LogLine], request_id: str) -> Story | None:
+def explain_request(
+    lines: Sequence[LogLine], request_id: str
+) -> RequestExplanation | None:
     """Return what the lines tell of a request, by its caller's id or the system's."""
     ids = {request_id} | _find_own_ids(lines, request_id)
     own = sorted((i for i in lines if _request_of(i) in ids), key=lambda i: i.time_s)
     if not own:
         return None
-    return Story(tuple(own), tuple(_find_known(lines, own)), _conclude(own[-1]))
+    return RequestExplanation(
+        tuple(own), tuple(_find_known(lines, own)), _conclude(own[-1])
+    )
 
 
-def count_left_out(lines: Iterable[LogLine]) -> int:
+def count_unlogged_requests(lines: Iterable[LogLine]) -> int:
     """Return how many requests ended without a line of their own, by the summaries."""
     counts = (line.fields.get("left_out") for line in lines)
     return sum(count for count in counts if isinstance(count, int))
--- a/reedspar/timeline/picture.py
+++ b/reedspar/timeline/picture.py
@@ -13,7 +13,7 @@
 from .events import Event, format_time
 from .text import describe_event
 
-__all__ = ["render_picture"]
+__all__ = ["render_html"]
 
 GAP_MIN_PX = 16.0
 GAP_MAX_PX = 80.0
@@ -23,7 +23,7 @@
 AXIS_PX = 30
 TICK_GAP_PX = 96.0
 CHARACTER_PX = 7.6
-EVENTS_MAX = 999
+MAX_DRAWN_EVENTS = 999
 """More would not fit their numbers into the marks."""
 COLOURS = {
     "request": "#1f5fbf",
@@ -64,13 +64,13 @@
     event: Event
 
 
-def render_picture(events: Sequence[Event], title: str = "Time line") -> str:
+def render_html(events: Sequence[Event], title: str = "Time line") -> str:
     """Return an HTML document of merged events that loads nothing from elsewhere.
 
-    Only the latest `EVENTS_MAX` events are drawn; the page says if some are
+    Only the latest `MAX_DRAWN_EVENTS` events are drawn; the page says if some are
     left out.
     """
-    left_out = max(0, len(events) - EVENTS_MAX)
+    left_out = max(0, len(events) - MAX_DRAWN_EVENTS)
     shown = events[left_out:]
     lanes = sorted({event.process for event in shown})
     marks = _place(shown, lanes)
--- a/reedspar/timeline/tests/test_story.py
+++ b/reedspar/timeline/tests/test_explanation.py
@@ -6,10 +6,10 @@
 
 from reedspar.timeline import (
     LogLine,
-    Story,
-    count_left_out,
+    RequestExplanation,
+    count_unlogged_requests,
+    explain_request,
     parse_log_line,
-    tell_story,
 )
 
 ENTRY = "front-a-1"
@@ -76,7 +76,7 @@
             REFUSAL,
             LOST,
         ]
-        story = tell_story(lines, "r1")
+        story = explain_request(lines, "r1")
         assert story is not None
         self.assertEqual(story.own, (REFUSAL,))
         self.assertEqual(places_of(story, lines), [1, 2, 3, 4])
@@ -91,14 +91,14 @@
             make_line(31.5, ENTRY, "store lost"),
             LOST,
         ]
-        story = tell_story(lines, "r2")
+        story = explain_request(lines, "r2")
         assert story is not None
         self.assertEqual(places_of(story, lines), [0, 2])
         self.assertIn("handed to t1", story.conclusion)
 
     def test_clocks_of_other_processes_may_be_ahead(self) -> None:
         staged = make_line(31.0, AGENT, "weights staged", version=2)
-        story = tell_story([REFUSAL, staged], "r1")
+        story = explain_request([REFUSAL, staged], "r1")
         assert story is not None
         self.assertEqual(story.known, (staged,))
 
@@ -109,8 +109,8 @@
             make_line(10.0, ENTRY, "requests ended", left_out=3),
             make_line(15.0, ENTRY, "requests ended", left_out=4),
         ]
-        self.assertIsNone(tell_story(lines, "r9"))
-        self.assertEqual(count_left_out(lines), 7)
+        self.assertIsNone(explain_request(lines, "r9"))
+        self.assertEqual(count_unlogged_requests(lines), 7)
 
     def test_what_is_no_line_is_passed_over(self) -> None:
         for text in ("", "Traceback", "{}", "[1]", "{broken", '{"time": 3}'):
@@ -118,7 +118,7 @@
                 self.assertIsNone(parse_log_line(text))
 
 
-def places_of(story: Story, lines: list[LogLine]) -> list[int]:
+def places_of(story: RequestExplanation, lines: list[LogLine]) -> list[int]:
     return sorted(lines.index(line) for line in story.known)
 
 
--- a/reedspar/timeline/tests/test_timeline.py
+++ b/reedspar/timeline/tests/test_timeline.py
@@ -16,7 +16,7 @@
     event_from_json,
     event_to_json,
     merge_events,
-    render_picture,
+    render_html,
     render_text,
 )
 
@@ -147,7 +147,7 @@
         self.assertTrue(lines[1].isprintable())
 
     def test_picture_is_well_formed_and_self_contained(self) -> None:
-        page = render_picture(self.events, "A <title>")
+        page = render_html(self.events, "A <title>")
         body = page[page.index("<body>") : page.index("</html>")]
         tree = ET.fromstring(body)
         circles = list(tree.iter("circle"))
@@ -163,7 +163,7 @@
             self.assertNotIn(outside, page)
 
     def test_picture_of_nothing(self) -> None:
-        self.assertIn("0 events", render_picture([]))
+        self.assertIn("0 events", render_html([]))
 
 
 if __name__ == "__main__":
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -9,7 +9,12 @@
 import cappa
 
 from reedspar.errors import Failure, Reason, Step
-from reedspar.timeline import LogLine, count_left_out, read_log_lines, tell_story
+from reedspar.timeline import (
+    LogLine,
+    count_unlogged_requests,
+    explain_request,
+    read_log_lines,
+)
 from reedspar.timeline.events import format_time
 from reedspar.timeline.text import make_printable
 
@@ -41,7 +46,7 @@
         lines = read_log_lines(self.logs)
         if isinstance(lines, Failure):
             return session.fail(lines)
-        story = tell_story(lines, self.request)
+        story = explain_request(lines, self.request)
         if story is None:
             return session.fail(self._explain_silence(lines))
         if session.is_json:
@@ -65,6 +70,7 @@
         detail = (
             f"no line of {len(lines)} names request {self.request}: it reached none of "
             "these processes, or it was answered (one answer in 50 has a line), or it "
-            f"is among the {count_left_out(lines)} that summaries count as left out"
+            f"is among the {count_unlogged_requests(lines)} that summaries count as "
+            "left out"
         )
         return Failure(Reason.NOT_FOUND, Step.SETTINGS, detail=detail)
--- a/reedspar/tool/timeline_command.py
+++ b/reedspar/tool/timeline_command.py
@@ -16,11 +16,11 @@
     event_to_json,
     merge_events,
     read_log_lines,
-    render_picture,
+    render_html,
     render_text,
 )
 from reedspar.timeline.events import format_time
-from reedspar.timeline.picture import EVENTS_MAX
+from reedspar.timeline.picture import MAX_DRAWN_EVENTS
 
 from .exit_codes import ExitCode
 from .fleet import ask_members
@@ -185,7 +185,7 @@
             failure = self._write_picture(self.picture, events)
             if failure:
                 return session.fail(failure)
-            drawn = min(len(events), EVENTS_MAX)
+            drawn = min(len(events), MAX_DRAWN_EVENTS)
             session.warn(f"{drawn} of {len(events)} events drawn in {self.picture}")
         if collected.complete_since_s:
             since = format_time(collected.complete_since_s)
@@ -198,7 +198,7 @@
         subjects = [self.request, self.target, self.version]
         title = " ".join(["Time line", *filter(None, subjects)])
         try:
-            file.write_text(render_picture(events, title), encoding="utf-8")
+            file.write_text(render_html(events, title), encoding="utf-8")
         except OSError as error:
             detail = f"{file}: {error.strerror}"
             return Failure(Reason.INVALID, Step.SETTINGS, detail=detail)
