--- a/reedspar/configuration/__init__.py
+++ b/reedspar/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The one numbered configuration document, its patches, and how it spreads."""
+"""The versioned configuration document, its patches, and its distribution."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/configuration/configuration.capnp
+++ b/reedspar/configuration/configuration.capnp
@@ -1,5 +1,5 @@
 @0x9c5e21f7a8d03b64;
-# How the configuration spreads between daemons, and how fresh it is known to be.
+# Distribution of the configuration between daemons, and evidence of its freshness.
 
 struct Attestation {
   zone @0 :Text;
@@ -8,11 +8,11 @@
 
 struct FreshnessBeacon {
   clockMs @0 :UInt64;
-  # The sender's monotonic clock when it wrote this.
+  # The sender's monotonic clock when it wrote the beacon.
   confirmedAgeMs @1 :UInt32;
-  # Age of the newest confirmation by the key-value service; 4294967295: none.
+  # Age of the latest confirmation by the key-value service; 4294967295: none.
   attestations @2 :List(Attestation);
-  # Age of the newest word of each availability zone.
+  # Age of the latest attestation of each availability zone.
 }
 
 struct ClockProbe {
@@ -31,5 +31,5 @@
 struct ConfigurationOffer {
   version @0 :UInt64;
   document @1 :Data;
-  # The document's JSON form, compressed by zlib.
+  # The document as JSON, compressed with zlib.
 }
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -1,4 +1,8 @@
-"""Hold the configuration in force: learn it, pass it on, and know how fresh it is."""
+"""Controller of the configuration in force: updates, distribution and freshness.
+
+New versions come from peers and, in a few daemons of each zone, from a watch on the
+key-value service.  The held version never decreases.
+"""
 
 import random
 import zlib
@@ -35,23 +39,23 @@
     "create_configuration_controller",
 ]
 
-TICK_S = 0.25
-WATCH_S = 0.5
-"""Short, since an answer proves only what was newest when the call began."""
-WATCH_RETRY_S = 0.5
-READ_LAG_S = 0.5
-"""An older read of the key-value service is at most this old (an assumption)."""
-TELL_INTERVAL_S = 1.0
-TOLD_LIMIT = 1024
-LONE_READ_FIRST_S = 4.0
-LONE_READ_LIMIT_S = 60.0
+TICK_INTERVAL_S = 0.25
+WATCH_TIMEOUT_S = 0.5
+"""Short because an answer only proves which version was newest when the call began."""
+WATCH_RETRY_DELAY_S = 0.5
+MAX_READ_STALENESS_S = 0.5
+"""Assumed bound on the staleness of a read from the key-value service."""
+OUTDATED_PEER_BEACON_INTERVAL_S = 1.0
+BEACON_TIMES_LIMIT = 1024
+FALLBACK_READ_INITIAL_DELAY_S = 4.0
+FALLBACK_READ_MAX_DELAY_S = 60.0
 
 ChangeListener = Callable[[ConfigurationDocument], None]
 
 
 @dataclass(slots=True)
 class ConfigurationCounters:
-    """Counts for telemetry."""
+    """Event counts for telemetry."""
 
     adopted: int = 0
     requests: int = 0
@@ -59,11 +63,11 @@
     bad_offers: int = 0
     watch_calls: int = 0
     watch_failures: int = 0
-    old_reads: int = 0
+    stale_reads: int = 0
 
 
 class ConfigurationController:
-    """Adopts newer documents only, and tells whether work may start."""
+    """Adopts only newer documents, and decides whether work may start."""
 
     def __init__(
         self,
@@ -90,9 +94,11 @@
         self._revision_version = 0
         self._attest_after_s = float("inf")
         self._watch_after_s = 0.0
-        self._lone_read_wait_s = LONE_READ_FIRST_S
-        self._lone_read_s = timers.now_s() + LONE_READ_FIRST_S * (0.5 + rng.random())
-        self._told_s: dict[str, float] = {}
+        self._fallback_read_delay_s = FALLBACK_READ_INITIAL_DELAY_S
+        self._fallback_read_at_s = timers.now_s() + FALLBACK_READ_INITIAL_DELAY_S * (
+            0.5 + rng.random()
+        )
+        self._beacon_sent_s: dict[str, float] = {}
         self._listeners: list[ChangeListener] = []
         self._role = WatcherRole(settings.name, settings.zone, watchers_per_zone)
         self._fetch = DocumentFetch()
@@ -110,22 +116,22 @@
 
     @property
     def version(self) -> int:
-        """Return the number in force; 0 before any is known."""
+        """Return the version in force; 0 before any is known."""
         return 0 if self._document is None else self._document.version
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the version was ever known to be the newest."""
+        """Return whether a held version has ever been known to be the newest."""
         return self._is_ready
 
     @property
     def age_s(self) -> float:
-        """Return how long ago the version was surely the newest."""
+        """Return the time in s since the held version was known to be the newest."""
         return self._exchange.age_s()
 
     @property
     def confirmed_age_s(self) -> float:
-        """Return how long ago the key-value service confirmed the version."""
+        """Return the time in s since the key-value service confirmed the version."""
         confirmed_s = self._exchange.table.confirmed_s
         return (
             float("inf")
@@ -135,14 +141,14 @@
 
     @property
     def fresh_age_ms(self) -> int:
-        """Return that age for `Sender`; it informs people and proves nothing."""
+        """Return `age_s` for `Sender`: for diagnostics, not evidence of freshness."""
         age_s = self._exchange.age_s()
         return age_to_ms(None if age_s == float("inf") else age_s)
 
     @property
     def is_watching(self) -> bool:
-        """Tell whether this daemon watches the key-value service now."""
-        age_s = self._exchange.zone_age_s(self._zone)
+        """Return whether this daemon currently watches the key-value service."""
+        age_s = self._exchange.attestation_age_s(self._zone)
         return self._role.is_active(self._timers.now_s(), age_s)
 
     def current(self) -> ConfigurationDocument | None:
@@ -160,20 +166,20 @@
         self._view.on_change(self._on_view_change)
         self._timers.on_pause(self._on_pause)
         self._on_view_change()
-        self._timers.call_after(self._rng.random() * TICK_S, self._start_ticks)
+        self._timers.call_after(self._rng.random() * TICK_INTERVAL_S, self._start_ticks)
 
     def check_work_allowed(self, zone: str) -> Failure | None:
-        """Return why no work may start in `zone` now, or None if it may.
+        """Return a failure if no work may start in `zone` now, else None.
 
-        Call it before each start, at the entry and at the agent: it notices a
-        pause that no timer has noticed yet.
+        Call this before each start, at the entry and at the agent: it also
+        detects a pause of the process that no timer has detected yet.
         """
         self._timers.check_pause()
         if self._document is None or not self._is_ready:
             return Failure(Reason.NOT_READY, Step.CONFIGURE, retry_after_s=1.0)
         age_s = self._exchange.age_s()
         if age_s > self._freshness_s:
-            detail = f"version {self.version} was last known to be the newest "
+            detail = f"version {self.version} last known to be the newest: "
             detail += "never" if age_s == float("inf") else f"{age_s:.1f} s ago"
             return Failure(
                 Reason.STALE, Step.CONFIGURE, detail=detail, retry_after_s=1.0
@@ -183,7 +189,7 @@
         return None
 
     def adopt(self, document: ConfigurationDocument) -> None:
-        """Bring a newer document into force; the same number does nothing."""
+        """Put a newer document into force; ignore one of the same version."""
         if document.version < self.version:
             raise InvariantError(
                 f"configuration would revert from {self.version} to {document.version}"
@@ -192,52 +198,55 @@
             return
         self._document = document
         self._offer = None
-        self._fetch.note_adopted(document.version)
+        self._fetch.record_adoption(document.version)
         self.counters.adopted += 1
         for listener in self._listeners:
             listener(document)
-        self._exchange.push()
+        self._exchange.push_beacons()
 
     def adopt_if_newer(self, document: ConfigurationDocument) -> None:
-        """Bring a document into force unless a newer one is already.
+        """Put a document into force unless the held one is as new or newer.
 
-        An accepted patch's document comes back after the answer of the
-        key-value service; by then a later one may have arrived from a peer.
+        The document of an accepted patch is known only after the key-value
+        service has answered; a peer may have sent a later one by then.
         """
         if document.version > self.version:
             self.adopt(document)
 
     def handle_sender(self, sender: Sender) -> None:
-        """Take in the version that a frame, whatever its payload, has shown."""
+        """Process the sender's version, which the header of every frame carries.
+
+        Request the document from a newer peer; send a beacon to an older one.
+        """
         if sender.config_version > self.version:
-            self._fetch.note_version(sender.name, sender.config_version, self.version)
+            self._fetch.record_version(sender.name, sender.config_version, self.version)
             self._request_document()
         elif sender.config_version < self.version:
             now_s = self._timers.now_s()
-            told_s = self._told_s.get(sender.name, float("-inf"))
-            if now_s - told_s >= TELL_INTERVAL_S:
-                self._told_s[sender.name] = now_s
-                self._exchange.tell(sender.name)
+            sent_s = self._beacon_sent_s.get(sender.name, float("-inf"))
+            if now_s - sent_s >= OUTDATED_PEER_BEACON_INTERVAL_S:
+                self._beacon_sent_s[sender.name] = now_s
+                self._exchange.send_beacon(sender.name)
 
     def _start_ticks(self) -> None:
-        self._timers.call_every(TICK_S, self._run_tick)
+        self._timers.call_every(TICK_INTERVAL_S, self._run_tick)
 
     def _run_tick(self) -> None:
         now_s = self._timers.now_s()
-        if len(self._told_s) > TOLD_LIMIT:
-            self._told_s.clear()
-        self._note_ready()
+        if len(self._beacon_sent_s) > BEACON_TIMES_LIMIT:
+            self._beacon_sent_s.clear()
+        self._update_readiness()
         is_watching = self.is_watching
         if is_watching and self._view.is_seeded:
             if self._may_attest(now_s):
-                self._exchange.table.note_attested(self._zone, now_s)
+                self._exchange.table.record_attestation(self._zone, now_s)
             self._start_watch()
-        elif not self._is_ready and now_s >= self._lone_read_s:
-            self._read_alone(now_s)
+        elif not self._is_ready and now_s >= self._fallback_read_at_s:
+            self._start_fallback_read(now_s)
         self._request_document()
         self._exchange.run_tick(is_watching)
 
-    def _note_ready(self) -> None:
+    def _update_readiness(self) -> None:
         if self._is_ready or self._document is None:
             return
         if self._exchange.age_s() <= self._freshness_s:
@@ -245,15 +254,15 @@
             self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
 
     def _may_attest(self, now_s: float) -> bool:
-        """Tell whether this daemon would know what its zone has learned.
+        """Return whether this daemon would know of any version known to its zone.
 
         A watcher that was stopped, or that no other daemon of its zone can
-        reach, would vouch for a version that its zone has left behind, and a
-        zone that was taken out would go on getting work.
+        reach, could attest a version that its zone has already replaced.  A
+        zone that was taken out would then continue to receive work.
         """
         others = set(self._view.zone_members(self._zone)) - {self._name}
-        is_in_touch = not others or not others.isdisjoint(self._network.peers())
-        return self._is_ready and is_in_touch and now_s >= self._attest_after_s
+        has_zone_contact = not others or not others.isdisjoint(self._network.peers())
+        return self._is_ready and has_zone_contact and now_s >= self._attest_after_s
 
     def _start_watch(self) -> None:
         started_s = self._timers.now_s()
@@ -263,52 +272,56 @@
         self.counters.watch_calls += 1
         self._watch.start(
             self._revision,
-            WATCH_S,
+            WATCH_TIMEOUT_S,
             lambda result: self._on_watch_result(started_s, pause_count, result),
         )
 
-    def _read_alone(self, now_s: float) -> None:
-        """Read the service though not a watcher: nobody has told the version yet.
+    def _start_fallback_read(self, now_s: float) -> None:
+        """Read the key-value service as a non-watcher that knows no fresh version.
 
-        Waits ever longer and at random, so that a fleet which starts all at once
-        without an instance list does not overload the service.
+        Exponential backoff with jitter keeps a fleet that starts all at once
+        without an instance list from overloading the service.
         """
-        self._lone_read_wait_s = min(self._lone_read_wait_s * 2, LONE_READ_LIMIT_S)
-        self._lone_read_s = now_s + self._lone_read_wait_s * (0.5 + self._rng.random())
+        self._fallback_read_delay_s = min(
+            self._fallback_read_delay_s * 2, FALLBACK_READ_MAX_DELAY_S
+        )
+        self._fallback_read_at_s = now_s + self._fallback_read_delay_s * (
+            0.5 + self._rng.random()
+        )
         self._start_watch()
 
     def _on_watch_result(
         self, started_s: float, pause_count: int, result: WatchResult
     ) -> None:
         if isinstance(result, Failure):
-            self._note_watch_failure()
+            self._record_watch_failure()
             return
         if result is not None:
             stored = decode_entry(result)
             if isinstance(stored, Failure):
-                self._note_watch_failure()
+                self._record_watch_failure()
                 return
             if result.revision < self._revision or stored.document.version < (
                 self.version
             ):
-                self.counters.old_reads += 1
-                self._watch_after_s = self._timers.now_s() + WATCH_RETRY_S
+                self.counters.stale_reads += 1
+                self._watch_after_s = self._timers.now_s() + WATCH_RETRY_DELAY_S
                 return
             self._revision = result.revision
             self._revision_version = stored.document.version
             self.adopt(stored.document)
-        # Without an answer newer than the revision that was asked about, the
-        # version is the newest, but only if the revision is this version's.
+        # No entry newer than the held revision exists, so the held version is
+        # the newest, provided that the revision belongs to that version.
         is_current = 0 < self._revision_version == self.version
         if is_current and pause_count == self._timers.pause_count:
-            self._exchange.table.note_confirmed(started_s - READ_LAG_S)
-            self._note_ready()
+            self._exchange.table.record_confirmation(started_s - MAX_READ_STALENESS_S)
+            self._update_readiness()
         if self.is_watching:
             self._start_watch()
 
-    def _note_watch_failure(self) -> None:
+    def _record_watch_failure(self) -> None:
         self.counters.watch_failures += 1
-        self._watch_after_s = self._timers.now_s() + WATCH_RETRY_S
+        self._watch_after_s = self._timers.now_s() + WATCH_RETRY_DELAY_S
 
     def _request_document(self) -> None:
         peer = self._fetch.next_peer(self._timers.now_s())
@@ -331,29 +344,29 @@
         document = _decode_offer(message)
         if document is None:
             self.counters.bad_offers += 1
-            self._fetch.note_bad_offer(sender.name)
+            self._fetch.record_bad_offer(sender.name)
             self._request_document()
             return
         self.adopt(document)
 
     def _on_view_change(self) -> None:
-        self._role.note_members(self._view.zone_members(self._zone))
+        self._role.update_members(self._view.zone_members(self._zone))
         self._exchange.table.retain_zones(self._view.zones())
 
     def _on_pause(self, gap_s: float) -> None:
-        self._exchange.lapse()
+        self._exchange.invalidate()
         if self._is_ready:
             self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
 
 
 def _decode_offer(offer: ConfigurationOffer) -> ConfigurationDocument | None:
-    """Return the document, or None if it is damaged or has another number."""
-    inflater = zlib.decompressobj()
+    """Return the document, or None if it is corrupt or of another version."""
+    decompressor = zlib.decompressobj()
     try:
-        data = inflater.decompress(offer.document, DOCUMENT_LIMIT_BYTES + 1)
+        data = decompressor.decompress(offer.document, DOCUMENT_LIMIT_BYTES + 1)
     except zlib.error:
         return None
-    if len(data) > DOCUMENT_LIMIT_BYTES or not inflater.eof:
+    if len(data) > DOCUMENT_LIMIT_BYTES or not decompressor.eof:
         return None
     document = decode_document(data)
     if isinstance(document, Failure) or document.version != offer.version:
@@ -370,7 +383,7 @@
     spawn: Spawn,
     rng: random.Random | None = None,
 ) -> ConfigurationController:
-    """Make a controller; `spawn` is a task group's `start_soon`.
+    """Create a controller; `spawn` is a task group's `start_soon`.
 
     Call `start` once, and `handle_sender` with every frame's sender.
     """
--- a/reedspar/configuration/document.py
+++ b/reedspar/configuration/document.py
@@ -1,4 +1,4 @@
-"""The configuration document that operators change by patches."""
+"""Models of the configuration document, which operators change by patches."""
 
 from enum import Enum
 from typing import Annotated, Self
@@ -19,28 +19,28 @@
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 
-class Part(BaseModel):
-    """A part of the document; unknown keys are refused."""
+class DocumentPart(BaseModel):
+    """Base of the document's models; rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class PoolKind(Enum):
-    """What a pool's targets are."""
+    """What a pool's targets run: models, or a plain service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class ZoneState(Enum):
-    """Whether an availability zone gets work."""
+    """Whether an availability zone receives work."""
 
     IN = "in"
     OUT = "out"
 
 
-class ModelVersion(Part):
-    """A published version of a model (or adapter)."""
+class ModelVersion(DocumentPart):
+    """A published version of a model or adapter."""
 
     label: str = Field(description="The operator's name for the version.")
     sequence: int = Field(ge=1, description="Grows with each version; never reverts.")
@@ -49,7 +49,7 @@
     size_bytes: int = Field(ge=0)
 
 
-class PoolConfiguration(Part):
+class PoolConfiguration(DocumentPart):
     """A pool of targets."""
 
     kind: PoolKind
@@ -61,16 +61,16 @@
     )
 
 
-class WorkspaceConfiguration(Part):
-    """A customer."""
+class WorkspaceConfiguration(DocumentPart):
+    """Limits and priority of a workspace (a customer)."""
 
     share: float = Field(1.0, gt=0, description="Weight when capacity is short.")
     priority: int = Field(1, ge=0, le=9, description="9 goes first.")
     max_in_flight: int = Field(256, ge=1)
 
 
-class PatchRecord(Part):
-    """An accepted patch, kept in the document's recent history."""
+class PatchRecord(DocumentPart):
+    """An accepted patch, as listed in the document's recent history."""
 
     patch_id: str
     version: int
@@ -79,8 +79,8 @@
     accepted_at: str = Field("", description="UTC, ISO 8601.")
 
 
-class ConfigurationDocument(Part):
-    """The whole configuration under its number."""
+class ConfigurationDocument(DocumentPart):
+    """The whole configuration, identified by its version."""
 
     version: int = Field(0, ge=0)
     pools: dict[Name, PoolConfiguration] = Field(default_factory=dict)
@@ -99,5 +99,5 @@
         return self
 
     def is_zone_in(self, zone: str) -> bool:
-        """Tell whether an availability zone gets work."""
+        """Return whether an availability zone receives work."""
         return self.zones.get(zone, ZoneState.IN) is ZoneState.IN
--- a/reedspar/configuration/freshness.py
+++ b/reedspar/configuration/freshness.py
@@ -1,14 +1,15 @@
-"""How long ago this daemon's version was surely the newest.
+"""Evidence of when this daemon's version was last known to be the newest.
 
-Two kinds of evidence count, and docs/design/configuration.md proves them:
+There are two kinds of evidence (docs/design/configuration.md has the proofs):
 
 - *confirmed*: the key-value service answered that it held nothing newer;
-- *attested*: every availability zone said that it knew of nothing newer.
+- *attested*: every availability zone stated that it knew of nothing newer.
 
-Both say "as of a time", both stay true for every later version, and both are
-passed on between daemons.  An age in a frame cannot be trusted: the frame may
-have waited in a socket while its reader was stopped.  So evidence from a peer
-is dated by the peer's clock, which a round trip has tied to the own one.
+Both refer to a point in time, remain valid for every later version, and are
+forwarded between daemons.  An age in a frame cannot be used as such, because the
+frame may have waited in a socket while its reader was stopped.  Evidence from a
+peer is therefore dated by the peer's clock, which round trips relate to the local
+clock.
 """
 
 from collections.abc import Iterable
@@ -19,14 +20,14 @@
 __all__ = ["FreshnessTable", "PeerClocks", "age_to_ms"]
 
 CLOCK_DRIFT = 0.001
-"""No two clocks differ more in rate; crystals stay under 0.0002."""
+"""Bound on the relative rate error of two clocks; quartz stays below 0.0002."""
 CLOCK_TTL_S = 60.0
 CLOCK_REFRESH_S = 30.0
 PROBE_TIMEOUT_S = 0.5
 
 
 def age_to_ms(age_s: float | None) -> int:
-    """Return an age for the wire, rounded up."""
+    """Return an age for the wire in ms, rounded up."""
     if age_s is None:
         return NO_AGE_MS
     return min(int(max(age_s, 0.0) * 1000) + 1, NO_AGE_MS - 1)
@@ -34,10 +35,10 @@
 
 @dataclass(slots=True)
 class _PeerClock:
-    """The peer's clock read `peer_s` at or after `own_s` on the own clock."""
+    """A reading `peer_s` of the peer's clock, made at local time `local_s` or later."""
 
     incarnation: int
-    own_s: float
+    local_s: float
     peer_s: float
 
 
@@ -48,7 +49,7 @@
 
 
 class PeerClocks:
-    """Ties the clocks of peers to the own one by round trips."""
+    """Maps clock readings of peers to the local clock by timing round trips."""
 
     def __init__(self) -> None:
         self._clocks: dict[str, _PeerClock] = {}
@@ -56,7 +57,7 @@
         self._nonce = 0
 
     def begin_probe(self, peer: str, now_s: float) -> int | None:
-        """Return the nonce of a probe to send now, or None if one is under way."""
+        """Return the nonce of a probe to send now, or None while one is pending."""
         probe = self._probes.get(peer)
         if probe is not None and now_s - probe.sent_s < PROBE_TIMEOUT_S:
             return None
@@ -64,51 +65,55 @@
         self._probes[peer] = _Probe(self._nonce, now_s)
         return self._nonce
 
-    def note_reply(
+    def record_reply(
         self, peer: str, incarnation: int, nonce: int, clock_ms: int
     ) -> bool:
-        """Tie the peer's clock; tell whether the reply matched the open probe."""
+        """Record the peer's clock; return whether the reply matches the probe."""
         probe = self._probes.get(peer)
         if probe is None or probe.nonce != nonce:
             return False
         del self._probes[peer]
-        # The wire rounds down; the later reading dates all evidence earlier.
+        # The sender rounds down.  A later reading here dates all evidence earlier,
+        # which is the safe direction.
         peer_s = (clock_ms + 1) / 1000
         self._clocks[peer] = _PeerClock(incarnation, probe.sent_s, peer_s)
         return True
 
     def needs_probe(self, peer: str, incarnation: int, now_s: float) -> bool:
-        """Tell whether the peer's clock is unknown or was tied long ago."""
+        """Return whether the peer's clock is unknown or was last read long ago."""
         clock = self._clocks.get(peer)
         if clock is None or clock.incarnation != incarnation:
             return True
-        return now_s - clock.own_s > CLOCK_REFRESH_S
+        return now_s - clock.local_s > CLOCK_REFRESH_S
 
-    def earliest_s(
+    def earliest_local_s(
         self, peer: str, incarnation: int, clock_ms: int, now_s: float
     ) -> float | None:
-        """Return the earliest own time at which the peer's clock read `clock_ms`."""
+        """Return the earliest local time of the peer's clock reading `clock_ms`.
+
+        None if the peer's clock is unknown or was last read too long ago.
+        """
         clock = self._clocks.get(peer)
         if clock is None or clock.incarnation != incarnation:
             return None
-        if now_s - clock.own_s > CLOCK_TTL_S:
+        if now_s - clock.local_s > CLOCK_TTL_S:
             return None
         elapsed_s = clock_ms / 1000 - clock.peer_s
-        return min(now_s, clock.own_s + elapsed_s - abs(elapsed_s) * CLOCK_DRIFT)
+        return min(now_s, clock.local_s + elapsed_s - abs(elapsed_s) * CLOCK_DRIFT)
 
-    def forget(self, peer: str) -> None:
-        """Drop what is known of a peer."""
+    def discard_peer(self, peer: str) -> None:
+        """Discard the state of a peer."""
         self._clocks.pop(peer, None)
         self._probes.pop(peer, None)
 
-    def lapse(self) -> None:
-        """Drop every tie and every open probe, after a pause."""
+    def invalidate(self) -> None:
+        """Discard all clocks and pending probes, after a pause."""
         self._clocks.clear()
         self._probes.clear()
 
 
 class FreshnessTable:
-    """The evidence that nothing newer than the own version is in force."""
+    """Evidence that no version newer than the held one is in force."""
 
     def __init__(self) -> None:
         self._confirmed_s: float | None = None
@@ -116,35 +121,35 @@
 
     @property
     def confirmed_s(self) -> float | None:
-        """Return the time of the newest confirmation by the key-value service."""
+        """Return the time of the latest confirmation by the key-value service."""
         return self._confirmed_s
 
     def attested_s(self, zone: str) -> float | None:
-        """Return the time of a zone's newest word."""
+        """Return the time of a zone's latest attestation."""
         return self._attested_s.get(zone)
 
-    def note_confirmed(self, at_s: float) -> None:
-        """Take in a confirmation as of `at_s`."""
+    def record_confirmation(self, at_s: float) -> None:
+        """Record a confirmation as of `at_s`."""
         if self._confirmed_s is None or at_s > self._confirmed_s:
             self._confirmed_s = at_s
 
-    def note_attested(self, zone: str, at_s: float) -> None:
-        """Take in a zone's word as of `at_s`."""
+    def record_attestation(self, zone: str, at_s: float) -> None:
+        """Record a zone's attestation as of `at_s`."""
         if at_s > self._attested_s.get(zone, float("-inf")):
             self._attested_s[zone] = at_s
 
-    def note_beacon(self, beacon: FreshnessBeacon, written_s: float) -> None:
-        """Take in a peer's evidence, written at `written_s` or later."""
+    def record_beacon(self, beacon: FreshnessBeacon, written_s: float) -> None:
+        """Record a peer's evidence, written at `written_s` or later."""
         if beacon.confirmed_age_ms != NO_AGE_MS:
-            self.note_confirmed(written_s - beacon.confirmed_age_ms / 1000)
+            self.record_confirmation(written_s - beacon.confirmed_age_ms / 1000)
         for item in beacon.attestations:
             if item.age_ms != NO_AGE_MS:
-                self.note_attested(item.zone, written_s - item.age_ms / 1000)
+                self.record_attestation(item.zone, written_s - item.age_ms / 1000)
 
-    def as_of_s(self, zones: Iterable[str]) -> float | None:
-        """Return when the own version was surely the newest; None: never known.
+    def verified_at_s(self, zones: Iterable[str]) -> float | None:
+        """Return when the held version was last known to be the newest, or None.
 
-        `zones` are all zones that may hold a daemon; none: not known yet.
+        `zones` are all zones that may hold a daemon; empty while unknown.
         """
         times = [self._attested_s.get(zone) for zone in zones]
         known = [time_s for time_s in times if time_s is not None]
@@ -156,7 +161,7 @@
     def make_beacon(
         self, now_s: float, clock_ms: int, zones: Iterable[str]
     ) -> FreshnessBeacon:
-        """Return what to tell a peer; of the zones, those given."""
+        """Return a beacon with the confirmation and the attestations of `zones`."""
         confirmed = self._confirmed_s
         return FreshnessBeacon(
             clock_ms,
@@ -169,11 +174,11 @@
         )
 
     def retain_zones(self, zones: frozenset[str]) -> None:
-        """Drop zones that no daemon is in any more."""
+        """Discard the attestations of zones other than `zones`."""
         for zone in self._attested_s.keys() - zones:
             del self._attested_s[zone]
 
-    def lapse(self) -> None:
-        """Drop all evidence, after a pause."""
+    def invalidate(self) -> None:
+        """Discard all evidence, after a pause."""
         self._confirmed_s = None
         self._attested_s.clear()
--- a/reedspar/configuration/messages.py
+++ b/reedspar/configuration/messages.py
@@ -1,4 +1,4 @@
-"""The messages by which a configuration spreads and is known to be fresh.
+"""Messages that distribute the configuration and evidence of its freshness.
 
 The version that a daemon has in force is in every frame's `Sender`, so none
 of these messages announces it.
@@ -20,12 +20,12 @@
 ]
 
 NO_AGE_MS = 2**32 - 1
-"""Stands for "never" in an age on the wire."""
+"""Wire value of an age that means "never"."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attestation:
-    """Word of a zone: `age_ms` ago it knew of nothing newer."""
+    """States that `age_ms` ago the zone knew of no newer version."""
 
     zone: str
     age_ms: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessBeacon:
-    """What its sender knows of the freshness of the version in its frame."""
+    """The sender's evidence that the version in its frame is the newest."""
 
     clock_ms: int
     confirmed_age_ms: int
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockProbe:
-    """Asks for the receiver's clock, and for its beacon."""
+    """Requests the receiver's clock reading and its beacon."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReply:
-    """Tells the sender's monotonic clock at some time after the probe was sent."""
+    """Carries the sender's monotonic clock, read after the probe was sent."""
 
     nonce: int
     clock_ms: int
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRequest:
-    """Asks for a document newer than `held_version`."""
+    """Requests a document newer than `held_version`."""
 
     held_version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationOffer:
-    """Carries the document that its sender has in force."""
+    """Carries the document that the sender has in force."""
 
     version: int
     document: bytes
--- a/reedspar/configuration/patching.py
+++ b/reedspar/configuration/patching.py
@@ -1,7 +1,7 @@
-"""Apply an operator's patch to the document, or say exactly why not.
+"""Validation and application of an operator's patch to the document.
 
 A patch is a JSON Merge Patch (RFC 7396) on the document's JSON form without
-`version` and `history`, which the system keeps itself.
+`version` and `history`, which the system maintains.
 """
 
 from typing import Annotated, Any
@@ -25,7 +25,7 @@
 
 HISTORY_LIMIT = 200
 DOCUMENT_LIMIT_BYTES = 1024 * 1024
-"""The key-value service holds no larger value."""
+"""The key-value service's limit on the size of a value."""
 DEPTH_LIMIT = 16
 SYSTEM_KEYS = frozenset({"version", "history"})
 
@@ -33,7 +33,7 @@
 
 
 class PatchRequest(BaseModel):
-    """A patch as an operator sends it."""
+    """A patch as sent by an operator."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -45,7 +45,7 @@
 
 
 def describe_errors(error: ValidationError) -> str:
-    """Return each error with its path, one a line."""
+    """Return the errors, one per line, each with its path."""
     lines = []
     for item in error.errors(include_url=False):
         path = ".".join(str(part) for part in item["loc"])
@@ -54,11 +54,11 @@
 
 
 def parse_patch(data: bytes) -> PatchRequest | Failure:
-    """Return the patch in a JSON text, or `INVALID` with the path of each error."""
+    """Parse a patch from JSON; `INVALID` lists the path of each error."""
     try:
         return PatchRequest.model_validate_json(data)
     except ValidationError as error:
-        return _invalid(describe_errors(error))
+        return _make_invalid(describe_errors(error))
 
 
 def merge_patch(target: Any, patch: Any) -> Any:
@@ -75,22 +75,26 @@
 
 
 def encode_document(document: ConfigurationDocument) -> bytes:
-    """Return the document's JSON form, as the key-value service holds it."""
+    """Return the document as JSON, as stored in the key-value service."""
     return document.model_dump_json(exclude_defaults=True).encode()
 
 
 def apply_patch(
     document: ConfigurationDocument, request: PatchRequest, accepted_at: str = ""
 ) -> ConfigurationDocument | Failure:
-    """Return the next version, `CONFLICT` if stale, or `INVALID` with the paths."""
+    """Return the next version of the document.
+
+    Fails with `CONFLICT` if the patch has another base version than `document`, or
+    with `INVALID` and the path of each error.
+    """
     if request.base_version != document.version:
-        return _stale(document, request)
-    if taken := SYSTEM_KEYS & request.changes.keys():
-        return _invalid(
-            "\n".join(f"{key}: kept by the system" for key in sorted(taken))
+        return _make_conflict(document, request)
+    if reserved := SYSTEM_KEYS & request.changes.keys():
+        return _make_invalid(
+            "\n".join(f"{key}: managed by the system" for key in sorted(reserved))
         )
-    if _depth(request.changes) > DEPTH_LIMIT:
-        return _invalid(f"changes: nested more than {DEPTH_LIMIT} deep")
+    if _measure_depth(request.changes) > DEPTH_LIMIT:
+        return _make_invalid(f"changes: nested more than {DEPTH_LIMIT} deep")
     plain = document.model_dump(mode="json", exclude=set(SYSTEM_KEYS))
     version = document.version + 1
     record = PatchRecord(
@@ -106,12 +110,12 @@
     try:
         patched = ConfigurationDocument.model_validate(merged)
     except ValidationError as error:
-        return _invalid(describe_errors(error))
+        return _make_invalid(describe_errors(error))
     if errors := _check_sequences(document, patched):
-        return _invalid("\n".join(errors))
+        return _make_invalid("\n".join(errors))
     size_bytes = len(encode_document(patched))
     if size_bytes > DOCUMENT_LIMIT_BYTES:
-        return _invalid(f"{size_bytes} bytes; the limit is {DOCUMENT_LIMIT_BYTES}")
+        return _make_invalid(f"{size_bytes} bytes; the limit is {DOCUMENT_LIMIT_BYTES}")
     return patched
 
 
@@ -123,20 +127,20 @@
         old = before.models.get(name)
         if old is None or old == model:
             continue
-        # Agents order the weights of a model by sequence alone.  Another digest
-        # under the same number, or a smaller one, would leave some targets on
-        # the old weights for good, which shows as two digests under one label.
+        # Agents order the weights of a model by sequence alone.  A smaller number,
+        # or another digest under the same one, would leave some targets on the old
+        # weights permanently, seen as two digests under one label.
         if model.sequence < old.sequence or (
             model.sequence == old.sequence and model.root_digest != old.root_digest
         ):
             errors.append(
-                f"models.{name}.sequence: {model.sequence} does not grow "
+                f"models.{name}.sequence: {model.sequence} is not an increase "
                 f"from {old.sequence}"
             )
     return errors
 
 
-def _depth(value: Any) -> int:
+def _measure_depth(value: Any) -> int:
     depth = 0
     level = [value]
     while level and depth <= DEPTH_LIMIT:
@@ -150,7 +154,7 @@
     return depth
 
 
-def _stale(document: ConfigurationDocument, request: PatchRequest) -> Failure:
+def _make_conflict(document: ConfigurationDocument, request: PatchRequest) -> Failure:
     detail = (
         f"the patch is against version {request.base_version}; "
         f"the current version is {document.version}"
@@ -158,5 +162,5 @@
     return Failure(Reason.CONFLICT, Step.CONFIGURE, detail=detail)
 
 
-def _invalid(detail: str) -> Failure:
+def _make_invalid(detail: str) -> Failure:
     return Failure(Reason.INVALID, Step.CONFIGURE, detail=detail)
--- a/reedspar/configuration/store.py
+++ b/reedspar/configuration/store.py
@@ -1,4 +1,4 @@
-"""The document in the key-value service: read it, and accept patches exactly once."""
+"""Storage of the document in the key-value service; patches apply exactly once."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
@@ -24,14 +24,14 @@
 
 CURRENT_KEY = "configuration/current"
 ATTEMPT_LIMIT = 8
-BACKOFF_S = 0.1
+BACKOFF_STEP_S = 0.1
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A document and the revision of the key-value service that it was read at."""
+    """A document and the key-value revision at which it was read."""
 
     document: ConfigurationDocument
     revision: int
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedPatch:
-    """A patch that took effect under the number `version`."""
+    """A patch that took effect as version `version`."""
 
     version: int
     document: ConfigurationDocument
-    """The newest document seen, which may be a later version."""
+    """The newest document read, which may be a later version."""
     was_repeated: bool = False
-    """Whether an earlier send of the same patch had taken effect already."""
+    """Whether an earlier submission of the same patch had already taken effect."""
 
 
 def decode_document(data: bytes) -> ConfigurationDocument | Failure:
-    """Return the document in its JSON form, or `CORRUPT`."""
+    """Parse the document from JSON, or return `CORRUPT`."""
     try:
         return ConfigurationDocument.model_validate_json(data)
     except ValidationError as error:
@@ -58,7 +58,7 @@
 
 
 def decode_entry(entry: KeyValueEntry | None) -> StoredConfiguration | Failure:
-    """Return the stored document; an absent entry is version 0."""
+    """Parse a stored entry; a missing one is version 0."""
     if entry is None:
         return StoredConfiguration(ConfigurationDocument(), 0)
     document = decode_document(entry.value)
@@ -68,7 +68,7 @@
 
 
 class ConfigurationStore:
-    """Reads the document and replaces it by compare-and-swap."""
+    """Reads the document and replaces it through compare-and-swap."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._utc_now = utc_now or (lambda: datetime.now(UTC).isoformat())
 
     async def read(self) -> StoredConfiguration | Failure:
-        """Return the stored document (version 0 if none); it may be an older one."""
+        """Return the stored document (version 0 if none); the read may be stale."""
         entry = await self._key_value.get(CURRENT_KEY)
         if isinstance(entry, Failure):
             return entry
@@ -91,45 +91,45 @@
     async def accept(
         self, request: PatchRequest, known_version: int = 0
     ) -> AcceptedPatch | Failure:
-        """Make the patch the next version, exactly once.
+        """Apply the patch as the next version, exactly once.
 
-        Fails with `CONFLICT` (stale, names the current number), `INVALID`,
-        `UNAVAILABLE` (it did not and will not take effect) or
-        `OUTCOME_UNKNOWN` (send the same patch again to learn).
+        Fails with `CONFLICT` (outdated base; names the current version),
+        `INVALID`, `UNAVAILABLE` (the patch did not and will not take effect) or
+        `OUTCOME_UNKNOWN` (submit the same patch again to find out).
         `known_version` is the newest version that the caller knows of.
         """
-        doubt: Failure | None = None
+        unknown_outcome: Failure | None = None
         for attempt in range(ATTEMPT_LIMIT):
             if attempt:
-                await self._sleep(BACKOFF_S * attempt)
+                await self._sleep(BACKOFF_STEP_S * attempt)
             result = await self._try_once(request, known_version)
             if not isinstance(result, Failure) or result.step is Step.CONFIGURE:
                 return result
             if result.reason is Reason.OUTCOME_UNKNOWN:
-                doubt = result
-            # Nothing was written by this attempt.  An earlier one whose answer
-            # was lost may have been: "not accepted" would then be a lie.
-            elif result.reason is not Reason.CONFLICT and doubt is None:
+                unknown_outcome = result
+            # This attempt wrote nothing, but an earlier one whose answer was lost
+            # may have.  Reporting a rejection could then be false.
+            elif result.reason is not Reason.CONFLICT and unknown_outcome is None:
                 return result
-        return doubt or await self._explain(request, known_version)
+        return unknown_outcome or await self._describe_rejection(request, known_version)
 
     async def _try_once(
         self, request: PatchRequest, known_version: int
     ) -> AcceptedPatch | Failure:
-        """Read and write once; a failure of step `KEY_VALUE` may be tried again."""
+        """Read and write once; a failure of step `KEY_VALUE` may be retried."""
         stored = await self.read()
         if isinstance(stored, Failure):
             return replace(stored, step=Step.KEY_VALUE)
-        if outcome := self._find(stored.document, request):
+        if outcome := self._find_accepted(stored.document, request):
             return outcome
         if stored.document.version < max(known_version, request.base_version):
-            # An older read, or a number that never was.
+            # A stale read, or a base version that never existed.
             return Failure(Reason.CONFLICT, Step.KEY_VALUE)
         patched = apply_patch(stored.document, request, self._utc_now())
         if isinstance(patched, Failure):
             return patched
-        # Writing again after a lost answer is safe: the revision is the fence,
-        # so of all writes against it one at most takes effect.
+        # Retrying after a lost answer is safe: of all writes against the same
+        # revision, compare-and-swap lets at most one take effect.
         revision = await self._key_value.compare_and_swap(
             CURRENT_KEY, encode_document(patched), stored.revision
         )
@@ -137,7 +137,7 @@
             return replace(revision, step=Step.KEY_VALUE)
         return AcceptedPatch(patched.version, patched)
 
-    def _find(
+    def _find_accepted(
         self, document: ConfigurationDocument, request: PatchRequest
     ) -> AcceptedPatch | None:
         for record in document.history:
@@ -145,13 +145,13 @@
                 return AcceptedPatch(record.version, document, was_repeated=True)
         return None
 
-    async def _explain(
+    async def _describe_rejection(
         self, request: PatchRequest, known_version: int
     ) -> AcceptedPatch | Failure:
         stored = await self.read()
         if isinstance(stored, Failure):
             return stored
-        if outcome := self._find(stored.document, request):
+        if outcome := self._find_accepted(stored.document, request):
             return outcome
         version = max(stored.document.version, known_version)
         if request.base_version > version:
@@ -160,10 +160,10 @@
                 f"the current version is {version}"
             )
             return Failure(Reason.CONFLICT, Step.CONFIGURE, detail=detail)
-        detail = "the key-value service kept answering with an older version"
+        detail = "the key-value service repeatedly returned an outdated version"
         return Failure(Reason.UNAVAILABLE, Step.CONFIGURE, detail=detail)
 
 
 def create_configuration_store(key_value: KeyValueStore) -> ConfigurationStore:
-    """Make a store on the platform's key-value service."""
+    """Create a store on the platform's key-value service."""
     return ConfigurationStore(key_value)
--- a/reedspar/configuration/tests/fakes.py
+++ b/reedspar/configuration/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory that can be down, lose answers and read old values."""
+"""An in-memory key-value service with outages, lost answers and stale reads."""
 
 import random
 from dataclasses import dataclass, field
@@ -11,23 +11,23 @@
 
 @dataclass
 class FakeKeyValue:
-    """Linearizable writes; reads may be older, down to one revision for each key."""
+    """Writes are linearizable; a stale read returns any earlier revision of the key."""
 
     rng: random.Random = field(default_factory=lambda: random.Random(0))
     is_down: bool = False
     lost_answer_share: float = 0.0
-    old_read_share: float = 0.0
+    stale_read_share: float = 0.0
     calls: int = 0
     _entries: dict[str, list[KeyValueEntry]] = field(default_factory=dict)
     _leases: dict[str, int] = field(default_factory=dict)
 
     def newest(self, key: str) -> KeyValueEntry | None:
-        """Return what is stored, without a call."""
+        """Return the latest entry without counting a call."""
         entries = self._entries.get(key)
         return entries[-1] if entries else None
 
     def revisions(self, key: str) -> tuple[KeyValueEntry, ...]:
-        """Return every entry that the key ever had."""
+        """Return all entries that the key has had, oldest first."""
         return tuple(self._entries.get(key, ()))
 
     async def get(self, key: str) -> KeyValueEntry | Failure | None:
@@ -35,7 +35,7 @@
         if self.is_down:
             return _unavailable()
         entries = self._entries.get(key, [])
-        if self.rng.random() < self.old_read_share:
+        if self.rng.random() < self.stale_read_share:
             i = self.rng.randrange(len(entries) + 1)
             return entries[i - 1] if i else None
         return entries[-1] if entries else None
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Many configuration controllers under virtual time, joined by a lossy network.
+"""Many configuration controllers in virtual time, connected by a lossy network.
 
-It is no simulator of a cluster: only messages, the key-value service's watch,
-and stopped processes, as far as the decisions of this package meet them.
+Only what affects this package is simulated: messages, the watch on the key-value
+service, and stopped processes.
 """
 
 import heapq
@@ -28,12 +28,12 @@
 
 __all__ = ["Fleet", "FleetKeyValue", "Node"]
 
-STEP_S = 0.05
-BUFFER_LIMIT = 2000
+TIMER_STEP_S = 0.05
+BUFFERED_INPUTS_LIMIT = 2000
 
 
 class FleetKeyValue:
-    """The service: one document, waiting watches, nodes that can't reach it."""
+    """The key-value service: one document, pending watches, and unreachable nodes."""
 
     def __init__(self, fleet: "Fleet") -> None:
         self._fleet = fleet
@@ -42,17 +42,17 @@
         self._watches: list[Callable[[], None]] = []
         self.is_down = False
         self.unreachable_from: set[str] = set()
-        self.old_read_s = 0.0
+        self.max_read_staleness_s = 0.0
         self.latency_s = 0.003
         self.calls = 0
 
     @property
     def version(self) -> int:
-        """Return the number of the newest document."""
+        """Return the version of the newest document."""
         return len(self._entries)
 
     def write(self, document: ConfigurationDocument) -> None:
-        """Accept a document; its version is the number of writes."""
+        """Store a document, whose version must equal the number of writes."""
         value = encode_document(document)
         self._entries.append(KeyValueEntry(CURRENT_KEY, value, self.version + 1))
         self._written_s.append(self._fleet.clock.now_s())
@@ -61,8 +61,8 @@
             answer()
 
     def read(self) -> KeyValueEntry | None:
-        """Return the newest entry, or one that was newest up to `old_read_s` ago."""
-        lag_s = self._fleet.rng.random() * self.old_read_s
+        """Return the entry that was newest up to `max_read_staleness_s` ago."""
+        lag_s = self._fleet.rng.random() * self.max_read_staleness_s
         as_of_s = self._fleet.clock.now_s() - lag_s
         count = sum(1 for time_s in self._written_s if time_s <= as_of_s)
         return self._entries[count - 1] if count else None
@@ -74,11 +74,11 @@
         timeout_s: float,
         on_result: Callable[[WatchResult], None],
     ) -> None:
-        """Answer once there is a newer entry, or when the time is over."""
+        """Answer once there is a newer entry, or after `timeout_s`."""
         self.calls += 1
         is_answered = False
 
-        def answer(is_over: bool = False) -> None:
+        def answer(is_timed_out: bool = False) -> None:
             nonlocal is_answered
             if is_answered:
                 return
@@ -88,7 +88,7 @@
             elif result is None or cast(KeyValueEntry, result).revision <= (
                 after_revision
             ):
-                if not is_over:
+                if not is_timed_out:
                     self._watches.append(answer)
                     return
                 result = None
@@ -102,7 +102,7 @@
 
 
 class _Watch:
-    """Stands for `KeyValueWatch` under virtual time."""
+    """Replaces `KeyValueWatch` in virtual time."""
 
     def __init__(self, node: "Node", key_value: FleetKeyValue) -> None:
         self._node = node
@@ -125,7 +125,7 @@
 
 
 class _View:
-    """The daemons as the instance list names them."""
+    """The daemons as listed by the instance list."""
 
     def __init__(self, fleet: "Fleet", node: "Node") -> None:
         self._fleet = fleet
@@ -142,7 +142,7 @@
 
 
 class Node:
-    """One daemon: its controller, its timers, and whether it is stopped."""
+    """One daemon: its controller, its timers, and whether its process is stopped."""
 
     def __init__(self, fleet: "Fleet", name: str, role: Role, zone: str) -> None:
         self.fleet = fleet
@@ -158,7 +158,7 @@
         self.sent_bytes = 0
 
     def restart(self) -> None:
-        """Start the process anew; all that it knew is gone."""
+        """Restart the process, which loses all its state."""
         self.incarnation += 1
         self._buffer.clear()
         self.is_frozen = False
@@ -202,14 +202,14 @@
         self.fleet.observe(self)
 
     def run(self, action: Callable[[], None]) -> None:
-        """Run an input now, or once the process goes on."""
+        """Process an input now, or buffer it while the process is stopped."""
         if not self.is_frozen:
             action()
-        elif len(self._buffer) < BUFFER_LIMIT:
+        elif len(self._buffer) < BUFFERED_INPUTS_LIMIT:
             self._buffer.append(action)
 
     def thaw(self) -> None:
-        """Continue a stopped process: what its sockets hold may come first."""
+        """Resume a stopped process; its buffered input may come before its timers."""
         self.is_frozen = False
         buffered, self._buffer = self._buffer, []
         if self.fleet.rng.random() < 0.5:
@@ -219,7 +219,7 @@
 
 
 def make_settings(node: Node) -> DaemonSettings:
-    """Return a daemon's settings."""
+    """Return the settings of a daemon."""
     target = {"kind": "plain_service", "pool": "shop", "url": "http://127.0.0.1"}
     return DaemonSettings.model_validate(
         {
@@ -241,7 +241,7 @@
 
 @dataclass
 class Fleet:
-    """The daemons, the time, and what happens to messages."""
+    """The daemons, the virtual clock, and the delivery of messages."""
 
     regions: dict[str, str]
     """The region of each zone."""
@@ -251,7 +251,7 @@
     measure: Callable[[Sender, Any], int] = lambda sender, message: 0
     is_partitioned: Callable[[Node, Node], bool] = lambda a, b: False
     observe: Callable[[Node], None] = lambda node: None
-    """Called after each message that a daemon has taken in, and at its ticks."""
+    """Called after each message that a daemon processes, and at its timer steps."""
     clock: VirtualClock = field(default_factory=VirtualClock)
     nodes: dict[str, Node] = field(default_factory=dict)
     zone_members: dict[str, tuple[str, ...]] = field(default_factory=dict)
@@ -279,7 +279,7 @@
         """Start every daemon."""
         for node in self.nodes.values():
             node.restart()
-            self._schedule_timers(node, self.rng.random() * STEP_S)
+            self._schedule_timers(node, self.rng.random() * TIMER_STEP_S)
 
     def call_after(self, delay_s: float, action: Callable[[], None]) -> None:
         """Run `action` after `delay_s`."""
@@ -287,7 +287,7 @@
         heapq.heappush(self._events, event)
 
     def run_for(self, duration_s: float) -> None:
-        """Let so much time go by."""
+        """Advance the virtual time and run the events that fall due."""
         end_s = self.clock.now_s() + duration_s
         while self._events and self._events[0][0] <= end_s:
             time_s, _, action = heapq.heappop(self._events)
@@ -296,13 +296,13 @@
         self.clock.advance(max(end_s - self.clock.now_s(), 0.0))
 
     def freeze(self, node: Node, duration_s: float) -> None:
-        """Stop a process for a while."""
+        """Stop a process for `duration_s`."""
         if not node.is_frozen:
             node.is_frozen = True
             self.call_after(duration_s, node.thaw)
 
     def deliver(self, source: Node, to: Node, sender: Sender, message: Any) -> None:
-        """Carry a message, or lose it."""
+        """Deliver a message after a delay, or lose it."""
         if self.rng.random() < self.loss or self.is_partitioned(source, to):
             return
         latency_s = self._latency_s(source, to) * (1 + self.rng.random())
@@ -318,6 +318,6 @@
             if not node.is_frozen:
                 node.timers.run_due()
                 self.observe(node)
-            self.call_after(STEP_S, step)
+            self.call_after(TIMER_STEP_S, step)
 
         self.call_after(delay_s, step)
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of faults: no work starts late in a zone that was taken out."""
+"""Random sequences of faults: no late start of work in a zone that was taken out."""
 
 import random
 import unittest
@@ -15,21 +15,21 @@
 ZONES = tuple(REGIONS)
 NODES_PER_ZONE = 3
 FRESHNESS_S = 4.0
-TELL_S = 1.0
-"""Assumed: what one daemon of a zone learns, its others that run know by then."""
-HEAL_S = 8.0
+ZONE_PROPAGATION_S = 1.0
+"""Assumed time for a version to reach all running daemons of a zone."""
+RECOVERY_S = 8.0
 
 
 class FaultSimulation:
-    """A small fleet, the faults that are on, and the checks that always run."""
+    """A small fleet, its active faults, and invariants checked after every event."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.cut_zones: set[frozenset[str]] = set()
         self.isolated: set[str] = set()
-        self.learned_s: dict[int, float] = {}
+        self.first_known_s: dict[int, float] = {}
         self.held: dict[tuple[str, int], int] = {}
-        self.out_since: dict[str, int] = {}
+        self.out_since_version: dict[str, int] = {}
         self.fleet = Fleet(
             REGIONS,
             seed,
@@ -47,7 +47,7 @@
                 self.fleet.link(name, other)
         self.nodes = [self.fleet.nodes[name] for name in names]
         self.key_value = self.fleet.key_value
-        self.key_value.old_read_s = 0.5
+        self.key_value.max_read_staleness_s = 0.5
         self.write()
         self.fleet.start()
         self.fleet.run_for(4.0)
@@ -60,28 +60,33 @@
     def write(self) -> None:
         version = self.key_value.version + 1
         zone = self.rng.choice(ZONES)
-        if zone in self.out_since:
-            del self.out_since[zone]
+        if zone in self.out_since_version:
+            del self.out_since_version[zone]
         else:
-            self.out_since[zone] = version
-        zones = dict.fromkeys(self.out_since, ZoneState.OUT)
+            self.out_since_version[zone] = version
+        zones = dict.fromkeys(self.out_since_version, ZoneState.OUT)
         self.key_value.write(ConfigurationDocument(version=version, zones=zones))
 
     def observe(self, node: Node) -> None:
         controller = node.controller
         now_s = self.fleet.clock.now_s()
-        life = (node.name, node.incarnation)
+        process = (node.name, node.incarnation)
         version = controller.version
-        assert version >= self.held.get(life, 0), f"{life} went back to {version}"
-        self.held[life] = version
-        self.learned_s.setdefault(version, now_s)
-        for zone, out_version in self.out_since.items():
-            learned_s = self.learned_s.get(out_version, now_s)
-            if version < out_version and now_s - learned_s > FRESHNESS_S + TELL_S:
+        assert version >= self.held.get(process, 0), (
+            f"{process} reverted to version {version}"
+        )
+        self.held[process] = version
+        self.first_known_s.setdefault(version, now_s)
+        for zone, out_version in self.out_since_version.items():
+            first_known_s = self.first_known_s.get(out_version, now_s)
+            if (
+                version < out_version
+                and now_s - first_known_s > FRESHNESS_S + ZONE_PROPAGATION_S
+            ):
                 refusal = controller.check_work_allowed(zone)
                 assert refusal is not None, (
-                    f"{life} holds {version} and starts work in {zone} "
-                    f"{now_s - learned_s:.1f} s after version {out_version}"
+                    f"{process} holds version {version} and starts work in {zone} "
+                    f"{now_s - first_known_s:.1f} s after version {out_version}"
                 )
 
     def apply(self, fault: str) -> None:
@@ -99,8 +104,8 @@
         elif fault == "service_down":
             self.key_value.is_down = not self.key_value.is_down
         elif fault == "service_cut":
-            # The claim assumes that a daemon which is cut off from its zone does
-            # not reach the service either, so the isolated stay cut off.
+            # The guarantee assumes that a daemon isolated from its zone cannot reach
+            # the service either, so isolated daemons stay cut off from it.
             self.key_value.unreachable_from ^= {
                 each.name for each in self.nodes_of(zone)
             }
@@ -123,7 +128,7 @@
         self.isolated.clear()
         self.key_value.unreachable_from.clear()
         self.key_value.is_down = False
-        self.fleet.run_for(12.0 + HEAL_S)
+        self.fleet.run_for(12.0 + RECOVERY_S)
 
 
 FAULTS = (
@@ -144,101 +149,105 @@
 class HistoriesTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=40, deadline=None)
     @given(seed=st.integers(0, 2**32), steps=STEPS)
-    def test_any_history(self, seed: int, steps: list[tuple[str, float]]) -> None:
-        # Daemons are stopped, restarted and cut off from each other and from
-        # the key-value service, while operators take zones out and in.  A shop
-        # whose request went to a zone that was taken out would find the machine
-        # switched off under it; a version that reverts would bring a zone back.
-        world = FaultSimulation(seed)
+    def test_random_fault_sequence(
+        self, seed: int, steps: list[tuple[str, float]]
+    ) -> None:
+        # Daemons are stopped, restarted and cut off from each other and from the
+        # key-value service, while operators take zones out and in.  A request that
+        # starts in a zone that was taken out may lose its machine, and a version
+        # that reverts would put such a zone back in.
+        simulation = FaultSimulation(seed)
         for fault, wait_s in steps:
-            world.apply(fault)
-            world.fleet.run_for(wait_s)
-        world.heal()
-        for node in world.nodes:
-            self.assertEqual(node.controller.version, world.key_value.version)
+            simulation.apply(fault)
+            simulation.fleet.run_for(wait_s)
+        simulation.heal()
+        for node in simulation.nodes:
+            self.assertEqual(node.controller.version, simulation.key_value.version)
             self.assertTrue(node.controller.is_ready, node.name)
 
 
 class FreshnessTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.world = FaultSimulation(seed=5)
+        self.simulation = FaultSimulation(seed=5)
 
     def refused(self) -> list[str]:
         return [
             node.name
-            for node in self.world.nodes
+            for node in self.simulation.nodes
             if node.controller.check_work_allowed("kingston-c") is not None
         ]
 
     def test_outage_of_the_service_alone_stops_nothing(self) -> None:
-        # The key-value service goes down for ten minutes.  Were freshness to
-        # hang on it, every shop would be refused although nothing has changed.
-        self.world.key_value.is_down = True
+        # The key-value service is down for ten minutes.  If freshness depended on
+        # it alone, all requests would be refused although nothing has changed.
+        self.simulation.key_value.is_down = True
         for _ in range(600):
-            self.world.fleet.run_for(1.0)
+            self.simulation.fleet.run_for(1.0)
             self.assertEqual(self.refused(), [])
 
     def test_restarted_process_learns_from_peers_during_an_outage(self) -> None:
-        self.world.key_value.is_down = True
-        self.world.fleet.run_for(5.0)
-        for node in self.world.nodes:
+        self.simulation.key_value.is_down = True
+        self.simulation.fleet.run_for(5.0)
+        for node in self.simulation.nodes:
             node.restart()
-            self.world.fleet.run_for(4.0)
+            self.simulation.fleet.run_for(4.0)
         self.assertEqual(self.refused(), [])
 
-    def test_start_of_every_process_in_an_outage_serves_nothing(self) -> None:
-        # All processes start while the service is down: nobody knows the
-        # version.  Serving on a guess could bring a zone back that is out.
-        self.world.key_value.is_down = True
-        for node in self.world.nodes:
+    def test_fleet_started_during_an_outage_serves_nothing(self) -> None:
+        # All processes start while the service is down, so none knows the version.
+        # Serving anyway could send work to a zone that was taken out.
+        self.simulation.key_value.is_down = True
+        for node in self.simulation.nodes:
             node.restart()
-        self.world.fleet.run_for(20.0)
-        self.assertEqual(len(self.refused()), len(self.world.nodes))
-        self.world.key_value.is_down = False
-        self.world.fleet.run_for(8.0)
+        self.simulation.fleet.run_for(20.0)
+        self.assertEqual(len(self.refused()), len(self.simulation.nodes))
+        self.simulation.key_value.is_down = False
+        self.simulation.fleet.run_for(8.0)
         self.assertEqual(self.refused(), [])
 
-    def test_cut_off_zone_stops_within_the_bound_and_others_serve_on(self) -> None:
-        # A zone loses the service and both other zones.  An operator may have
-        # taken it out meanwhile, and it can't know.
-        world = self.world
-        cut = {node.name for node in world.nodes_of("montego-a")}
-        world.cut_zones = {frozenset(("montego-a", zone)) for zone in ZONES[:2]}
-        world.key_value.unreachable_from = set(cut)
-        world.fleet.run_for(FRESHNESS_S)
+    def test_cut_off_zone_stops_within_freshness_limit_and_others_serve(self) -> None:
+        # A zone cannot reach the service or the other two zones.  An operator may
+        # have taken it out meanwhile, which it cannot learn.
+        simulation = self.simulation
+        cut = {node.name for node in simulation.nodes_of("montego-a")}
+        simulation.cut_zones = {frozenset(("montego-a", zone)) for zone in ZONES[:2]}
+        simulation.key_value.unreachable_from = set(cut)
+        simulation.fleet.run_for(FRESHNESS_S)
         self.assertEqual(set(self.refused()), cut)
-        world.heal()
+        simulation.heal()
         self.assertEqual(self.refused(), [])
 
-    def test_zone_cut_off_from_peers_serves_on_with_the_service(self) -> None:
-        self.world.cut_zones = {frozenset(("montego-a", zone)) for zone in ZONES[:2]}
+    def test_zone_cut_off_from_peers_serves_while_it_reaches_the_service(self) -> None:
+        self.simulation.cut_zones = {
+            frozenset(("montego-a", zone)) for zone in ZONES[:2]
+        }
         for _ in range(30):
-            self.world.fleet.run_for(1.0)
+            self.simulation.fleet.run_for(1.0)
             self.assertEqual(self.refused(), [])
 
-    def test_late_answer_of_a_patch_does_not_revert(self) -> None:
-        # The answer to an accepted patch comes after a later version has come
-        # from a peer.  The operator must see it accepted, and nothing reverts.
-        controller = self.world.nodes[0].controller
+    def test_late_answer_of_a_patch_does_not_revert_the_version(self) -> None:
+        # The answer to an accepted patch arrives after a peer has sent a later
+        # version.  The operator must still see the patch accepted, without a revert.
+        controller = self.simulation.nodes[0].controller
         controller.adopt(ConfigurationDocument(version=9))
         controller.adopt_if_newer(ConfigurationDocument(version=8))
         self.assertEqual(controller.version, 9)
         with self.assertRaises(InvariantError):
             controller.adopt(ConfigurationDocument(version=8))
 
-    def test_frames_that_waited_in_a_socket_do_not_refresh(self) -> None:
-        # A process is stopped for a minute.  Its socket holds frames that
-        # claim a young age.  Believed, they would let it start work in a zone
-        # that was taken out while it stood still.
-        world = self.world
-        node = world.nodes[0]
-        world.fleet.freeze(node, 60.0)
-        world.fleet.run_for(1.0)
-        world.isolated.add(node.name)
-        world.key_value.unreachable_from.add(node.name)
-        world.fleet.run_for(58.95)
+    def test_frames_delayed_in_a_socket_are_no_fresh_evidence(self) -> None:
+        # A process is stopped for a minute while frames with recent evidence wait in
+        # its socket.  If their ages were taken as current, the process could start
+        # work in a zone that was taken out during the stop.
+        simulation = self.simulation
+        node = simulation.nodes[0]
+        simulation.fleet.freeze(node, 60.0)
+        simulation.fleet.run_for(1.0)
+        simulation.isolated.add(node.name)
+        simulation.key_value.unreachable_from.add(node.name)
+        simulation.fleet.run_for(58.95)
         self.assertTrue(node.is_frozen)
-        world.fleet.run_for(0.3)
+        simulation.fleet.run_for(0.3)
         self.assertFalse(node.is_frozen)
         self.assertIn(node.name, self.refused())
 
--- a/reedspar/configuration/tests/test_patching.py
+++ b/reedspar/configuration/tests/test_patching.py
@@ -1,4 +1,4 @@
-"""Tests of patches: stale, invalid and well-formed ones."""
+"""Tests of stale, invalid and well-formed patches."""
 
 import unittest
 from typing import Any
@@ -62,9 +62,9 @@
         self.assertTrue(second.is_zone_in("kingston-a"))
         self.assertEqual([record.version for record in second.history], [1, 2])
 
-    def test_stale_patch_names_the_current_number(self) -> None:
-        # Two operators edit the same version.  The second would undo what the
-        # first has just changed, without having seen it.
+    def test_stale_patch_is_refused_with_the_current_version(self) -> None:
+        # Two operators edit the same version.  Without the check, the second patch
+        # could overwrite the first operator's change, which its author has not seen.
         document = self.apply(ConfigurationDocument(), {})
         result = apply_patch(document, patch(0, {}))
         self.assert_refused(result, Reason.CONFLICT, "current version is 1")
@@ -84,13 +84,13 @@
             "workspaces.shop.colour: ",
         )
 
-    def test_numbers_and_history_are_not_the_operators(self) -> None:
+    def test_version_and_history_can_not_be_patched(self) -> None:
         result = self.apply(ConfigurationDocument(), {"version": 9, "history": []})
         self.assert_refused(result, Reason.INVALID, "version: ", "history: ")
 
-    def test_sequence_of_a_model_only_grows(self) -> None:
-        # An operator goes back to older weights by writing the old sequence.
-        # Targets that have seen the newer one would refuse it for good.
+    def test_sequence_of_a_model_must_increase(self) -> None:
+        # An operator tries to return to older weights by writing the old sequence.
+        # Targets that have seen the newer sequence would never load them.
         document = self.apply(ConfigurationDocument(), {"models": {"m": model(4)}})
         for bad in (model(3, "b"), model(4, "b")):
             result = self.apply(document, {"models": {"m": bad}})
@@ -112,7 +112,7 @@
         self.assertEqual(len(document.history), HISTORY_LIMIT)
         self.assertEqual(document.history[-1].version, HISTORY_LIMIT + 5)
 
-    def test_malformed_patch_names_its_fields(self) -> None:
+    def test_malformed_patch_is_refused_with_its_fields(self) -> None:
         result = parse_patch(b'{"patch_id": "a b", "base_version": -1}')
         self.assert_refused(
             result, Reason.INVALID, "patch_id: ", "base_version: ", "changes: "
--- a/reedspar/configuration/tests/test_store.py
+++ b/reedspar/configuration/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests that each patch is accepted exactly once, whatever the service loses."""
+"""Tests that each patch applies exactly once despite lost answers and stale reads."""
 
 import random
 import unittest
@@ -35,9 +35,9 @@
     def accept(self, key_value: FakeKeyValue, *args: Any) -> AcceptedPatch | Failure:
         return anyio.run(make_store(key_value).accept, *args)
 
-    def test_lost_answer_is_found_again_by_patch_id(self) -> None:
-        # The write takes effect and the answer is lost.  An operator who is
-        # told "failed" sends the change again, and applies it twice.
+    def test_patch_with_lost_answer_is_found_by_patch_id(self) -> None:
+        # The write takes effect but the answer is lost.  If the operator were told
+        # that the patch failed, a second submission would apply it twice.
         key_value = FakeKeyValue(lost_answer_share=1.0)
         result = self.accept(key_value, make_patch("p1", 0))
         assert isinstance(result, AcceptedPatch)
@@ -47,12 +47,12 @@
         self.assertEqual(again.version, 1)
         self.assertEqual(len(key_value.revisions(CURRENT_KEY)), 1)
 
-    def test_outage_refuses_plainly(self) -> None:
+    def test_outage_is_reported_as_unavailable(self) -> None:
         result = self.accept(FakeKeyValue(is_down=True), make_patch("p1", 0))
         assert isinstance(result, Failure)
         self.assertIs(result.reason, Reason.UNAVAILABLE)
 
-    def test_patch_against_a_number_that_never_was_is_stale(self) -> None:
+    def test_patch_against_a_future_version_is_a_conflict(self) -> None:
         result = self.accept(FakeKeyValue(), make_patch("p1", 7))
         assert isinstance(result, Failure)
         self.assertIs(result.reason, Reason.CONFLICT)
@@ -61,17 +61,17 @@
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(
         seed=st.integers(0, 2**32),
-        lost_share=st.sampled_from([0.0, 0.3, 0.8]),
-        old_share=st.sampled_from([0.0, 0.3, 0.8]),
+        lost_answer_share=st.sampled_from([0.0, 0.3, 0.8]),
+        stale_share=st.sampled_from([0.0, 0.3, 0.8]),
     )
-    def test_racing_operators_take_effect_once_each(
-        self, seed: int, lost_share: float, old_share: float
+    def test_concurrent_patches_apply_once_each(
+        self, seed: int, lost_answer_share: float, stale_share: float
     ) -> None:
-        # Operators race with patches while answers get lost and reads are old.
-        # A patch told as accepted must be in the document under its number, one
-        # told as refused must not, and none may be in it twice.
+        # Operators submit patches concurrently while answers are lost and reads are
+        # stale.  A patch reported as accepted must be in the document's history with
+        # its version, one reported as refused must not, and none may be there twice.
         rng = random.Random(seed)
-        key_value = FakeKeyValue(rng, False, lost_share, old_share)
+        key_value = FakeKeyValue(rng, False, lost_answer_share, stale_share)
         results: dict[str, AcceptedPatch | Failure] = {}
 
         async def operate(name: str) -> None:
--- a/reedspar/configuration/view.py
+++ b/reedspar/configuration/view.py
@@ -1,4 +1,4 @@
-"""What the configuration needs to know of the other daemons."""
+"""Protocol for the view of the fleet that the configuration depends on."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,11 +7,11 @@
 
 
 class DaemonView(Protocol):
-    """The daemons that may be alive, this one included."""
+    """The daemons that may be alive, including this one."""
 
     @property
     def is_seeded(self) -> bool:
-        """Tell whether the instance list was ever learned."""
+        """Return whether the instance list has ever been received."""
         ...
 
     def zones(self) -> frozenset[str]:
--- a/reedspar/configuration/watching.py
+++ b/reedspar/configuration/watching.py
@@ -1,9 +1,10 @@
-"""Who watches the key-value service, and the watch itself.
+"""Election of the daemons that watch the key-value service, and the watch itself.
 
-The service counts every call and every waiting watch, and its rates do not
-grow with the fleet.  So a fixed number of daemons per availability zone watch
-it, chosen by rendezvous hashing, and speak for their zone.  When a zone's
-word gets old, its watchers may be stopped: the next few in rank step in.
+The service's rate limits, on calls as well as pending watches, do not grow with the
+fleet.  So a fixed number of daemons per availability zone, chosen by rendezvous
+hashing, watch the service and attest on behalf of their zone.  If the zone's latest
+attestation is old, these watchers may be stopped, and standbys (the daemons of the
+next ranks) take over.
 """
 
 from collections.abc import Callable
@@ -24,18 +25,18 @@
 ]
 
 WATCHERS_PER_ZONE = 2
-RANK_LIMIT = 8
-"""Daemons of this rank or more never step in: the bound on calls a second."""
-STEP_IN_AGE_S = 2.5
-STEP_IN_SPACING_S = 0.5
-STEP_IN_DURATION_S = 10.0
+STANDBY_RANK_LIMIT = 8
+"""Daemons ranked here or beyond never take over, which bounds the rate of calls."""
+TAKEOVER_AGE_S = 2.5
+TAKEOVER_STAGGER_S = 0.5
+TAKEOVER_DURATION_S = 10.0
 
 WatchResult = KeyValueEntry | Failure | None
 Spawn = Callable[..., Any]
 
 
 class WatcherRole:
-    """Decides whether this daemon watches now and speaks for its zone."""
+    """Decides whether this daemon currently watches and attests for its zone."""
 
     def __init__(
         self, name: str, zone: str, watchers_per_zone: int = WATCHERS_PER_ZONE
@@ -43,34 +44,36 @@
         self._name = name
         self._zone = zone
         self._watchers_per_zone = watchers_per_zone
-        self._rank = RANK_LIMIT
-        self._steps_in_until_s = float("-inf")
+        self._rank = STANDBY_RANK_LIMIT
+        self._takeover_until_s = float("-inf")
 
     @property
     def rank(self) -> int:
-        """Return the place among the zone's daemons, at most `RANK_LIMIT`."""
+        """Return the rank among the zone's daemons, capped at `STANDBY_RANK_LIMIT`."""
         return self._rank
 
-    def note_members(self, names: tuple[str, ...]) -> None:
-        """Take in the daemons of the own zone."""
+    def update_members(self, names: tuple[str, ...]) -> None:
+        """Recompute the rank from the names of the daemons in this zone."""
         ranked = rank_by_rendezvous(f"configuration/watch/{self._zone}", names)
-        first = ranked[:RANK_LIMIT]
-        self._rank = first.index(self._name) if self._name in first else RANK_LIMIT
+        first = ranked[:STANDBY_RANK_LIMIT]
+        self._rank = (
+            first.index(self._name) if self._name in first else STANDBY_RANK_LIMIT
+        )
 
-    def is_active(self, now_s: float, zone_age_s: float) -> bool:
-        """Tell whether to watch now, the zone's last word being so old."""
+    def is_active(self, now_s: float, attestation_age_s: float) -> bool:
+        """Return whether to watch now, given the age of the zone's last attestation."""
         if self._rank < self._watchers_per_zone:
             return True
-        if self._rank >= RANK_LIMIT:
+        if self._rank >= STANDBY_RANK_LIMIT:
             return False
-        spare = self._rank - self._watchers_per_zone
-        if zone_age_s > STEP_IN_AGE_S + spare * STEP_IN_SPACING_S:
-            self._steps_in_until_s = now_s + STEP_IN_DURATION_S
-        return now_s < self._steps_in_until_s
+        standby_index = self._rank - self._watchers_per_zone
+        if attestation_age_s > TAKEOVER_AGE_S + standby_index * TAKEOVER_STAGGER_S:
+            self._takeover_until_s = now_s + TAKEOVER_DURATION_S
+        return now_s < self._takeover_until_s
 
 
 class KeyValueWatch:
-    """Runs one watch call at a time and hands its result back."""
+    """Runs one watch call at a time and passes its result to a callback."""
 
     def __init__(self, key_value: KeyValueStore, spawn: Spawn) -> None:
         self._key_value = key_value
@@ -79,7 +82,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Tell whether a call is under way."""
+        """Return whether a call is in progress."""
         return self._is_waiting
 
     def start(
@@ -88,7 +91,7 @@
         timeout_s: float,
         on_result: Callable[[WatchResult], None],
     ) -> None:
-        """Start a call; `on_result` is called once with what it returned."""
+        """Start a call; `on_result` is called once with its result."""
         self._is_waiting = True
         self._spawn(self._call, after_revision, timeout_s, on_result)
 
@@ -106,5 +109,5 @@
 
 
 def create_key_value_watch(key_value: KeyValueStore, spawn: Spawn) -> KeyValueWatch:
-    """Make a watch on the platform's key-value service."""
+    """Create a watch on the platform's key-value service."""
     return KeyValueWatch(key_value, spawn)
