--- a/reedspar/timeline/__init__.py
+++ b/reedspar/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""Events of all processes: recorded cheaply, merged into one order, shown."""
+"""Events of all processes: recording, merging into one order, and rendering."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/timeline/events.py
+++ b/reedspar/timeline/events.py
@@ -1,4 +1,4 @@
-"""What an event is, and its JSON form."""
+"""Events of a process and their JSON encoding."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class EventKind(Enum):
-    """What happened; the part before the dot is the event's group."""
+    """Kind of an event; the part before the dot is its group."""
 
     DAEMON_STARTED = "daemon.started"
     DAEMON_READY = "daemon.ready"
@@ -73,17 +73,17 @@
 
     @property
     def group(self) -> str:
-        """Return what the event is about, such as ``request``."""
+        """Return the group of the event, such as ``request``."""
         return self.value.partition(".")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened in one process.
+    """A single event of one process.
 
-    `sequence` grows by one with each event of a process's incarnation, also
-    where the clock steps back.  `version` is a root digest or a configuration
-    number, as the kind says.
+    `sequence` increases by one with each event of a process's incarnation, even
+    if the clock is stepped back.  `version` is a root digest or a configuration
+    version, depending on the kind.
     """
 
     time_s: float
@@ -94,7 +94,7 @@
     kind: EventKind
     request_id: str = ""
     attempt: int | None = None
-    """Numbered from zero; None where the event is about no single attempt."""
+    """Numbered from zero; None if the event does not concern a single attempt."""
     target: str = ""
     model: str = ""
     version: str = ""
@@ -108,7 +108,7 @@
 
 
 def event_to_json(event: Event) -> dict[str, Any]:
-    """Return a JSON object without the empty fields."""
+    """Return the event as a JSON object, without empty fields."""
     optional = {
         "request_id": event.request_id,
         "attempt": event.attempt,
@@ -127,16 +127,16 @@
     }
 
 
-def _read_attempt(document: Mapping[str, Any]) -> int | None:
+def _parse_attempt(document: Mapping[str, Any]) -> int | None:
     number = document.get("attempt")
     return None if number is None else int(number)
 
 
 def event_from_json(document: Mapping[str, Any]) -> Event | None:
-    """Return the event, or None for something that this release can't read.
+    """Return the event, or None if this release cannot parse it.
 
-    A daemon of a newer release may send kinds that this one does not know;
-    its other events still show.
+    A daemon of a newer release may send kinds that this one does not know; its
+    other events are still shown.
     """
     try:
         return Event(
@@ -146,7 +146,7 @@
             sequence=int(document["sequence"]),
             kind=EventKind(document["kind"]),
             request_id=str(document.get("request_id", "")),
-            attempt=_read_attempt(document),
+            attempt=_parse_attempt(document),
             target=str(document.get("target", "")),
             model=str(document.get("model", "")),
             version=str(document.get("version", "")),
--- a/reedspar/timeline/explanation.py
+++ b/reedspar/timeline/explanation.py
@@ -1,7 +1,8 @@
-"""What the logs of all processes tell of one request, and what was known then.
+"""Reconstruction of one request from the logs of all processes.
 
-Clocks of processes differ.  The lines of one process are in its own order; those of
-others are taken from a little before and after, and shown with their own times.
+An explanation has the lines that name the request, and the state that the processes
+last logged before it ended.  Clocks differ between processes, so lines of other
+processes are accepted up to `MAX_CLOCK_SKEW_S` after the end, and keep their own times.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,11 +14,14 @@
 
 __all__ = ["RequestExplanation", "count_unlogged_requests", "explain_request"]
 
-BEFORE_S = 15.0
-"""How far back to look for what a process believed: longer than a version may take."""
-CLOCKS_DIFFER_S = 2.0
-"""How far the clocks of two processes are taken to differ."""
-OWN_STATE = frozenset(
+STATE_LOOKBACK_S = 15.0
+"""Search range for logged state before the request started.
+
+It exceeds the time that a new version may take to arrive.
+"""
+MAX_CLOCK_SKEW_S = 2.0
+"""Assumed bound on the difference between the clocks of two processes."""
+PROCESS_STATE_MESSAGES = frozenset(
     {
         "heard from a peer",
         "history of the store is gone; listing again",
@@ -32,9 +36,9 @@
         "zone",
     }
 )
-"""Messages by which a process tells what it believes from then on."""
-TARGET_STATE = frozenset({"target changed", "target crashed", "target gone"})
-WEIGHT_STATE = frozenset(
+"""Messages with which a process logs a change of its state."""
+TARGET_STATE_MESSAGES = frozenset({"target changed", "target crashed", "target gone"})
+WEIGHT_STATE_MESSAGES = frozenset(
     {
         "engine lost",
         "engine regained",
@@ -46,68 +50,73 @@
         "weights wanted",
     }
 )
-"""Messages of agents; they matter to requests that ask for a model."""
-HINTS = {
-    "crashed": "Its targets crashed under it: look for `target crashed`.",
-    "draining": "The entry was stopping: look for `stopping` at it.",
-    "no_target": "Which targets were there, and what they held, is told by the last "
-    "`target changed` of each; `weights named` and what agents tell after it show "
-    "whether a version was on its way.",
+"""Messages of agents, relevant to requests for a model."""
+HINTS_BY_REASON = {
+    "crashed": "Its targets crashed during the request: see `target crashed`.",
+    "draining": "The entry was shutting down: see `stopping` in its log.",
+    "no_target": "The last `target changed` of each target shows which targets were "
+    "known and which versions they held; `weights named` and later messages of agents "
+    "show whether a version was being distributed.",
     "not_found": "Compare `routes in force` with the operator's configuration.",
-    "not_ready": "The entry did not know the routes yet: look for `ready` after it.",
-    "outcome_unknown": "The last target broke off.  Only its own records tell whether "
-    "it ran the request.",
-    "overloaded": "Every target that may serve had too much before it; the failure "
-    "tells when the first answer would have come.",
-    "quarantined": "Requests of this kind crashed targets: look for `target crashed`.",
-    "stale": "News of the store was late at this entry: look for `store lost`.",
-    "superseded": "While it connected, its target left, or its zone was taken out, or "
-    "the version there was too old: see `target changed`, `zone` and `weights named`.",
-    "timeout": "No whole answer came in the time that it had.  Look for the target's "
-    "last state, and whether it started anew.",
-    "unauthenticated": "Compare `routes in force` with the time the key was given.",
+    "not_ready": "The entry had not received the routes yet: see its next `ready`.",
+    "outcome_unknown": "The exchange with the last target was interrupted.  Only the "
+    "target's own records show whether it ran the request.",
+    "overloaded": "All targets that may serve the request had too much queued; the "
+    "failure states when the first answer was expected.",
+    "quarantined": "Requests of this kind crashed targets: see `target crashed`.",
+    "stale": "This entry's information from the store was outdated: see `store lost`.",
+    "superseded": "While the entry connected to the target, the target left, its zone "
+    "was taken out, or its version was too old: see `target changed`, `zone` and "
+    "`weights named`.",
+    "timeout": "No complete answer arrived within the time limit.  See the target's "
+    "last state, and whether it restarted.",
+    "unauthenticated": "Compare the time of `routes in force` with when the key was "
+    "issued.",
 }
-"""Where to read on, by the reason of the last failure."""
+"""Advice on which log lines to read, by the reason of the last failure."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestExplanation:
-    """One request."""
+    """A request's log lines, the state around it, and a summary."""
 
     own: tuple[LogLine, ...]
-    """The lines that name it, in time order."""
+    """The lines that name the request, in time order."""
     known: tuple[LogLine, ...]
-    """The last word of each process on each matter before it ended, in time order."""
+    """The last relevant line per process, message and target before the end."""
     conclusion: str
 
 
 def explain_request(
     lines: Sequence[LogLine], request_id: str
 ) -> RequestExplanation | None:
-    """Return what the lines tell of a request, by its caller's id or the system's."""
-    ids = {request_id} | _find_own_ids(lines, request_id)
-    own = sorted((i for i in lines if _request_of(i) in ids), key=lambda i: i.time_s)
+    """Return the explanation of a request, by its caller's id or the system's.
+
+    None if no line names the request.
+    """
+    ids = {request_id} | _find_system_ids(lines, request_id)
+    own = sorted((i for i in lines if _request_id(i) in ids), key=lambda i: i.time_s)
     if not own:
         return None
     return RequestExplanation(
-        tuple(own), tuple(_find_known(lines, own)), _conclude(own[-1])
+        tuple(own), tuple(_find_known(lines, own)), _describe_outcome(own[-1])
     )
 
 
 def count_unlogged_requests(lines: Iterable[LogLine]) -> int:
-    """Return how many requests ended without a line of their own, by the summaries."""
+    """Return how many requests ended without their own line, by the summary lines."""
     counts = (line.fields.get("left_out") for line in lines)
     return sum(count for count in counts if isinstance(count, int))
 
 
-def _request_of(line: LogLine) -> str:
+def _request_id(line: LogLine) -> str:
     if (event := line.event) is not None:
         return event.request_id
     return str(line.fields.get("request_id", ""))
 
 
-def _find_own_ids(lines: Iterable[LogLine], request_id: str) -> set[str]:
-    """Return the system's ids of the requests that bear a caller's id."""
+def _find_system_ids(lines: Iterable[LogLine], request_id: str) -> set[str]:
+    """Return the system's ids of the requests with a caller's id."""
     events = [event for line in lines if (event := line.event) is not None]
     chosen = EventFilter(request_id=request_id).select(events)
     return {event.request_id for event in chosen}
@@ -119,30 +128,30 @@
     pools = {str(line.fields.get("pool", "")) for line in own} - {""}
     has_model = any(line.fields.get("model") for line in own)
     end_s = own[-1].time_s
-    begin_s = own[0].time_s - _elapsed_s(own[0]) - BEFORE_S
+    begin_s = own[0].time_s - _elapsed_s(own[0]) - STATE_LOOKBACK_S
     last: dict[tuple[str, str, str], LogLine] = {}
     for line in lines:
         is_own_process = line.process in processes
-        late_s = 0.0 if is_own_process else CLOCKS_DIFFER_S
-        if not begin_s <= line.time_s <= end_s + late_s:
+        clock_skew_s = 0.0 if is_own_process else MAX_CLOCK_SKEW_S
+        if not begin_s <= line.time_s <= end_s + clock_skew_s:
             continue
         subject = ""
-        if line.message in TARGET_STATE and is_own_process:
-            target = _target_of(line)
+        if line.message in TARGET_STATE_MESSAGES and is_own_process:
+            target = _parse_target(line)
             subject = target[0]
-            is_wanted = subject in targets or (not targets and target[1] in pools)
-        elif line.message in WEIGHT_STATE:
-            is_wanted = has_model
+            is_relevant = subject in targets or (not targets and target[1] in pools)
+        elif line.message in WEIGHT_STATE_MESSAGES:
+            is_relevant = has_model
         else:
-            is_wanted = line.message in OWN_STATE and is_own_process
+            is_relevant = line.message in PROCESS_STATE_MESSAGES and is_own_process
         key = (line.process, line.message, subject)
-        if is_wanted and (key not in last or last[key].time_s <= line.time_s):
+        if is_relevant and (key not in last or last[key].time_s <= line.time_s):
             last[key] = line
     return sorted(last.values(), key=lambda line: line.time_s)
 
 
-def _target_of(line: LogLine) -> tuple[str, str]:
-    """Return the id and the pool of the target that a line is about."""
+def _parse_target(line: LogLine) -> tuple[str, str]:
+    """Return the id and the pool of the target that a line concerns."""
     target: Any = line.fields.get("target", "")
     if isinstance(target, dict):
         return str(target.get("id", "")), str(target.get("pool", ""))
@@ -154,8 +163,8 @@
     return elapsed_ms / 1000 if isinstance(elapsed_ms, int | float) else 0.0
 
 
-def _conclude(ending: LogLine) -> str:
-    """Return in plain words how the request ended, and where to read on."""
+def _describe_outcome(ending: LogLine) -> str:
+    """Return how the request ended, and advice on which log lines to read."""
     targets = ending.fields.get("targets")
     words = [f"{ending.process}: {ending.message}."]
     if targets == []:
@@ -165,7 +174,7 @@
     failure = ending.fields.get("failure")
     if failure:
         words.append(f"{failure}.")
-    hint = HINTS.get(ending.message.rpartition(" ")[2])
+    hint = HINTS_BY_REASON.get(ending.message.rpartition(" ")[2])
     if hint:
         words.append(hint)
     return " ".join(words)
--- a/reedspar/timeline/filters.py
+++ b/reedspar/timeline/filters.py
@@ -7,28 +7,28 @@
 
 __all__ = ["EventFilter", "format_caller_id"]
 
-DIGEST_PREFIX_MIN = 6
-CALLER_ID_LIMIT = 100
+MIN_DIGEST_PREFIX_LENGTH = 6
+MAX_CALLER_ID_LENGTH = 100
 
 
 def format_caller_id(caller_id: str) -> str:
-    """Return the words by which an event's detail names a caller's own id."""
-    return f"caller-id={caller_id[:CALLER_ID_LIMIT]}"
+    """Return the text that identifies a caller's own id in an event's detail."""
+    return f"caller-id={caller_id[:MAX_CALLER_ID_LENGTH]}"
 
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """What an event must have; an empty field asks nothing."""
+    """Criteria that an event must meet; an empty field matches any event."""
 
     request_id: str = ""
-    """The system's id of a request, or the caller's own in `request.received`."""
+    """The system's id of a request, or the caller's own id in `request.received`."""
     target: str = ""
-    """A target's name, which is its agent's, too."""
+    """A target's name, which is also its agent's."""
     version: str = ""
-    """A configuration number, a digest, or a digest's first six or more characters."""
+    """A configuration version, a digest, or a digest's first six or more characters."""
 
     def matches(self, event: Event) -> bool:
-        """Tell whether the event has all that is asked."""
+        """Return whether the event meets all criteria."""
         return (
             self._matches_request(event)
             and self.target in ("", event.target, event.process)
@@ -36,7 +36,7 @@
         )
 
     def select(self, events: Iterable[Event]) -> list[Event]:
-        """Return the matching events in their order."""
+        """Return the matching events in their original order."""
         return [event for event in events if self.matches(event)]
 
     def _matches_request(self, event: Event) -> bool:
@@ -47,6 +47,6 @@
     def _matches_version(self, version: str) -> bool:
         if self.version in ("", version):
             return True
-        return len(self.version) >= DIGEST_PREFIX_MIN and version.startswith(
+        return len(self.version) >= MIN_DIGEST_PREFIX_LENGTH and version.startswith(
             self.version
         )
--- a/reedspar/timeline/log_lines.py
+++ b/reedspar/timeline/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading the JSON lines that processes log, whoever collected them."""
+"""Parser for the JSON log lines of processes, as written by any log collector."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -13,15 +13,15 @@
 
 __all__ = ["LogLine", "parse_log_line", "read_log_lines"]
 
-COMMON_NAMES = frozenset({"time", "level", "logger", "message", "process", "zone"})
+COMMON_FIELDS = frozenset({"time", "level", "logger", "message", "process", "zone"})
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of one process."""
+    """One log line of one process."""
 
     time_s: float
-    """By the process's own wall clock, seconds since the Unix epoch."""
+    """Wall time of the process that logged it, seconds since the Unix epoch."""
     process: str
     level: str
     message: str
@@ -29,15 +29,16 @@
 
     @property
     def event(self) -> Event | None:
-        """Return the event that the line records, if it does."""
+        """Return the event that the line records, or None."""
         document = self.fields.get("event")
         return event_from_json(document) if isinstance(document, dict) else None
 
 
 def parse_log_line(text: str) -> LogLine | None:
-    """Return the line, or None for anything else.
+    """Return the parsed line, or None if it is not one of ours.
 
-    A collector may put words of its own before the object, such as a time and a name.
+    A log collector may put its own prefix, such as a time and a name, before the
+    JSON object.
     """
     start = text.find("{")
     if start < 0:
@@ -50,14 +51,14 @@
             str(document.get("process", "")),
             str(document.get("level", "")),
             str(document["message"]),
-            {k: v for k, v in document.items() if k not in COMMON_NAMES},
+            {k: v for k, v in document.items() if k not in COMMON_FIELDS},
         )
     except (AttributeError, KeyError, TypeError, ValueError):
         return None
 
 
 def read_log_lines(files: Iterable[Path]) -> tuple[LogLine, ...] | Failure:
-    """Return the lines of all files; what is no line of ours is passed over."""
+    """Return the log lines of all files; skip lines of other formats."""
     lines: list[LogLine] = []
     for file in files:
         try:
--- a/reedspar/timeline/merging.py
+++ b/reedspar/timeline/merging.py
@@ -1,9 +1,9 @@
-"""One order for the events of many processes.
+"""Merging of the events of many processes into one order.
 
 Wall clocks differ between machines and may be stepped.  Within a process the
-sequence numbers give the true order, so they go before the clock: where a
-clock was stepped back, the events before the step count as no later than the
-first one after it, since a step corrects a clock that was ahead.
+sequence numbers give the true order, so they take precedence over the clock.  If a
+clock was stepped back, the events before the step are treated as no later than the
+first one after it, because such a step corrects a clock that was ahead.
 """
 
 from collections import defaultdict
@@ -15,9 +15,9 @@
 
 
 def merge_events(events: Iterable[Event]) -> list[Event]:
-    """Return the events by wall time, each process's own order kept.
+    """Return the events by wall time, preserving the order within each process.
 
-    An event that was read twice appears once.
+    Duplicates are removed.
     """
     by_process: defaultdict[str, dict[tuple[int, int], Event]] = defaultdict(dict)
     for event in events:
@@ -38,7 +38,7 @@
 
 
 def _effective_times(ordered: list[Event]) -> list[float]:
-    """Return times that never fall, each at most the event's own."""
+    """Return non-decreasing times, each at most the event's own time."""
     times = [event.time_s for event in ordered]
     for i in range(len(times) - 2, -1, -1):
         times[i] = min(times[i], times[i + 1])
--- a/reedspar/timeline/picture.py
+++ b/reedspar/timeline/picture.py
@@ -1,9 +1,9 @@
-"""A time line as one self-contained HTML file: a lane per process, drawn in SVG.
+"""Rendering of a timeline as a self-contained HTML file with one SVG lane per process.
 
-Bursts of events lie microseconds apart and pauses last minutes, so a linear
-axis would hide one or the other.  Events stand in their merged order with at
-least `GAP_MIN_PX` between them; the gap grows with the time between them up to
-`GAP_MAX_PX`, and the axis names the time wherever there is room.
+Events in a burst are microseconds apart, while pauses last minutes; a linear axis
+would hide one or the other.  Events are drawn in merged order, at least
+`MIN_EVENT_GAP_PX` apart.  The gap grows with the time between two events, up to
+`MAX_EVENT_GAP_PX`, and the axis is labelled with times where there is room.
 """
 
 from collections.abc import Sequence
@@ -15,16 +15,16 @@
 
 __all__ = ["render_html"]
 
-GAP_MIN_PX = 16.0
-GAP_MAX_PX = 80.0
-PX_PER_S = 40.0
-LANE_PX = 34
+MIN_EVENT_GAP_PX = 16.0
+MAX_EVENT_GAP_PX = 80.0
+GAP_GROWTH_PX_PER_S = 40.0
+LANE_HEIGHT_PX = 34
 MARGIN_PX = 24
-AXIS_PX = 30
-TICK_GAP_PX = 96.0
-CHARACTER_PX = 7.6
+AXIS_HEIGHT_PX = 30
+MIN_TICK_GAP_PX = 96.0
+CHARACTER_WIDTH_PX = 7.6
 MAX_DRAWN_EVENTS = 999
-"""More would not fit their numbers into the marks."""
+"""Numbers of four digits would not fit into the marks."""
 COLOURS = {
     "request": "#1f5fbf",
     "attempt": "#5aa0e6",
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Mark:
-    """An event with its place in the drawing."""
+    """An event with its number and its position in the drawing."""
 
     number: int
     x: float
@@ -65,15 +65,15 @@
 
 
 def render_html(events: Sequence[Event], title: str = "Time line") -> str:
-    """Return an HTML document of merged events that loads nothing from elsewhere.
+    """Return an HTML document of merged events without external resources.
 
-    Only the latest `MAX_DRAWN_EVENTS` events are drawn; the page says if some are
-    left out.
+    Only the latest `MAX_DRAWN_EVENTS` events are drawn; the page states how many
+    earlier ones are omitted.
     """
     left_out = max(0, len(events) - MAX_DRAWN_EVENTS)
     shown = events[left_out:]
     lanes = sorted({event.process for event in shown})
-    marks = _place(shown, lanes)
+    marks = _place_marks(shown, lanes)
     note = f"{len(shown)} events of {len(lanes)} processes, UTC."
     if left_out:
         note += f" {left_out} earlier events are not drawn."
@@ -94,40 +94,43 @@
     )
 
 
-def _place(events: Sequence[Event], lanes: list[str]) -> list[_Mark]:
-    row = {name: i for i, name in enumerate(lanes)}
+def _place_marks(events: Sequence[Event], lanes: list[str]) -> list[_Mark]:
+    lane_indices = {name: i for i, name in enumerate(lanes)}
     marks: list[_Mark] = []
     x = float(MARGIN_PX)
     for i, event in enumerate(events):
         if i:
             elapsed_s = max(0.0, event.time_s - events[i - 1].time_s)
-            x += min(GAP_MAX_PX, GAP_MIN_PX + elapsed_s * PX_PER_S)
-        y = AXIS_PX + LANE_PX * (row[event.process] + 0.5)
+            x += min(
+                MAX_EVENT_GAP_PX, MIN_EVENT_GAP_PX + elapsed_s * GAP_GROWTH_PX_PER_S
+            )
+        y = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * (lane_indices[event.process] + 0.5)
         marks.append(_Mark(i + 1, x, y, event))
     return marks
 
 
 def _draw_names(lanes: list[str]) -> str:
-    width = max((len(name) for name in lanes), default=0) * CHARACTER_PX + 16
-    height = AXIS_PX + LANE_PX * len(lanes)
+    width = max((len(name) for name in lanes), default=0) * CHARACTER_WIDTH_PX + 16
+    height = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * len(lanes)
     rows = [
-        f'<text x="8" y="{AXIS_PX + LANE_PX * (i + 0.5) + 4:.0f}">{escape(name)}</text>'
+        f'<text x="8" y="{AXIS_HEIGHT_PX + LANE_HEIGHT_PX * (i + 0.5) + 4:.0f}">'
+        f"{escape(name)}</text>"
         for i, name in enumerate(lanes)
     ]
     return f'<svg width="{width:.0f}" height="{height}">{"".join(rows)}</svg>'
 
 
 def _draw_lanes(marks: list[_Mark], lane_count: int) -> str:
-    width = (marks[-1].x if marks else 0) + TICK_GAP_PX
-    height = AXIS_PX + LANE_PX * lane_count
+    width = (marks[-1].x if marks else 0) + MIN_TICK_GAP_PX
+    height = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * lane_count
     parts = [f'<svg width="{width:.0f}" height="{height}">']
     for i in range(lane_count):
-        y = AXIS_PX + LANE_PX * (i + 0.5)
+        y = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * (i + 0.5)
         parts.append(
             f'<line x1="0" y1="{y:.1f}" x2="{width:.0f}" y2="{y:.1f}" stroke="#ddd"/>'
         )
     parts.extend(_draw_ticks(marks, height))
-    parts.extend(_draw_hand_overs(marks))
+    parts.extend(_draw_process_changes(marks))
     parts.extend(_draw_mark(mark) for mark in marks)
     parts.append("</svg>")
     return "".join(parts)
@@ -135,9 +138,9 @@
 
 def _draw_ticks(marks: list[_Mark], height: int) -> list[str]:
     parts = []
-    last_x = -TICK_GAP_PX
+    last_x = -MIN_TICK_GAP_PX
     for mark in marks:
-        if mark.x - last_x < TICK_GAP_PX:
+        if mark.x - last_x < MIN_TICK_GAP_PX:
             continue
         last_x = mark.x
         label = format_time(mark.event.time_s)[11:23]
@@ -148,8 +151,8 @@
     return parts
 
 
-def _draw_hand_overs(marks: list[_Mark]) -> list[str]:
-    """Draw a line wherever an attempt's next event is in another process."""
+def _draw_process_changes(marks: list[_Mark]) -> list[str]:
+    """Draw a line where consecutive events of an attempt are in different processes."""
     parts = []
     latest: dict[tuple[str, int], _Mark] = {}
     for mark in marks:
--- a/reedspar/timeline/recorder.py
+++ b/reedspar/timeline/recorder.py
@@ -1,4 +1,4 @@
-"""A bounded ring of a process's latest events."""
+"""In-memory ring buffer of a process's latest events."""
 
 import logging
 import time
@@ -9,32 +9,32 @@
 
 __all__ = ["EventPage", "EventRecorder", "create_event_recorder"]
 
-CAPACITY = 8192
-PAGE_LIMIT = 2000
-FREQUENT_GROUPS = frozenset({"request", "attempt"})
+DEFAULT_CAPACITY_EVENTS = 8192
+DEFAULT_PAGE_EVENTS = 2000
+DEBUG_LEVEL_GROUPS = frozenset({"request", "attempt"})
 
 logger = logging.getLogger("reedspar.timeline")
 
 
 @dataclass(frozen=True, slots=True)
 class EventPage:
-    """Events after a sequence number, and what has to be known to read on."""
+    """Events after a sequence number, with the position of the next page."""
 
     events: tuple[Event, ...]
     next_after: int
-    """Pass this as `sequence` to read on."""
+    """The `sequence` argument that returns the next page."""
     lost_count: int
-    """Events after the given sequence number that the ring no longer holds."""
+    """Events after the given sequence number that the buffer no longer holds."""
     oldest_s: float | None = None
-    """Wall time of the oldest event held, if earlier ones are gone."""
+    """Wall time of the oldest event held, if earlier ones were overwritten."""
 
 
 class EventRecorder:
-    """Keep the latest events of this process in memory.
+    """Keeps the latest events of this process in memory.
 
-    Each event is logged, too: at INFO, or at DEBUG for those that come with
-    each request or chunk, so that a time line can be made from logs of
-    processes that are gone.
+    Each event is also logged, so that a timeline can be made from the logs of
+    processes that have ended.  The level is INFO, or DEBUG for the frequent events
+    of requests and attempts.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         process: str,
         incarnation: int,
         *,
-        capacity: int = CAPACITY,
+        capacity: int = DEFAULT_CAPACITY_EVENTS,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._process = process
@@ -78,7 +78,7 @@
         version: str | int = "",
         detail: str = "",
     ) -> None:
-        """Keep an event; once the ring is full, the oldest goes."""
+        """Record an event, which overwrites the oldest one once the buffer is full."""
         self._last_sequence += 1
         event = Event(
             self._wall_clock(),
@@ -97,12 +97,12 @@
             self._ring.append(event)
         else:
             self._ring[(event.sequence - 1) % self._capacity] = event
-        level = logging.DEBUG if kind.group in FREQUENT_GROUPS else logging.INFO
+        level = logging.DEBUG if kind.group in DEBUG_LEVEL_GROUPS else logging.INFO
         if logger.isEnabledFor(level):
             logger.log(level, kind.value, extra={"event": event_to_json(event)})
 
-    def after(self, sequence: int, limit: int = PAGE_LIMIT) -> EventPage:
-        """Return up to `limit` events that came after `sequence`, oldest first."""
+    def after(self, sequence: int, limit: int = DEFAULT_PAGE_EVENTS) -> EventPage:
+        """Return up to `limit` events after `sequence`, oldest first."""
         oldest = self._last_sequence - len(self._ring) + 1
         start = max(sequence + 1, oldest)
         stop = min(self._last_sequence + 1, start + limit)
@@ -118,7 +118,7 @@
 
 
 def create_event_recorder(
-    process: str, incarnation: int, *, capacity: int = CAPACITY
+    process: str, incarnation: int, *, capacity: int = DEFAULT_CAPACITY_EVENTS
 ) -> EventRecorder:
-    """Make a recorder on the machine's wall clock."""
+    """Create a recorder that uses the machine's wall clock."""
     return EventRecorder(process, incarnation, capacity=capacity)
--- a/reedspar/timeline/tests/__init__.py
+++ b/reedspar/timeline/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the time line."""
+"""Tests of the timeline."""
--- a/reedspar/timeline/tests/test_explanation.py
+++ b/reedspar/timeline/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story from logs."""
+"""Tests of explaining a request from logs."""
 
 import json
 import unittest
@@ -37,7 +37,7 @@
     return make_line(second, ENTRY, "target changed", target=target)
 
 
-REFUSAL = make_line(
+REFUSED = make_line(
     30.0,
     ENTRY,
     "request not-run no_target",
@@ -48,7 +48,7 @@
     elapsed_ms=0,
     failure="route failed (no_target): none of 2 known targets may be given work",
 )
-LOST = make_line(
+UNKNOWN_OUTCOME = make_line(
     31.0,
     ENTRY,
     "request unknown outcome_unknown",
@@ -61,10 +61,10 @@
 )
 
 
-class StoryTest(unittest.TestCase):
-    def test_refusal_tells_what_targets_held_and_which_version_was_due(self) -> None:
-        # A caller complains of a refusal.  No target had the weights that were due,
-        # since the origin was away; that must show from the id alone.
+class RequestExplanationTest(unittest.TestCase):
+    def test_refusal_shows_held_and_expected_versions(self) -> None:
+        # A caller reports a refused request.  No target had the expected weights,
+        # because the origin was unavailable; the request id alone must reveal this.
         lines = [
             make_target(20.0, "t1", m=1),
             make_target(22.0, "t1"),
@@ -73,36 +73,36 @@
             make_line(24.0, AGENT, "manifest was not read", version=2),
             make_line(5.0, AGENT, "weights staged", version=1),
             make_line(29.0, "front-b-1", "store lost"),
-            REFUSAL,
-            LOST,
+            REFUSED,
+            UNKNOWN_OUTCOME,
         ]
-        story = explain_request(lines, "r1")
-        assert story is not None
-        self.assertEqual(story.own, (REFUSAL,))
-        self.assertEqual(places_of(story, lines), [1, 2, 3, 4])
-        self.assertIn("it has not run", story.conclusion)
-        self.assertIn("weights named", story.conclusion)
-
-    def test_unknown_outcome_tells_of_its_targets_alone(self) -> None:
+        explanation = explain_request(lines, "r1")
+        assert explanation is not None
+        self.assertEqual(explanation.own, (REFUSED,))
+        self.assertEqual(list_known_indices(explanation, lines), [1, 2, 3, 4])
+        self.assertIn("it has not run", explanation.conclusion)
+        self.assertIn("weights named", explanation.conclusion)
+
+    def test_unknown_outcome_shows_only_the_targets_of_the_request(self) -> None:
         lines = [
             make_target(25.0, "t1", m=1),
             make_target(26.0, "t2", m=1),
             make_line(30.5, ENTRY, "target crashed", target="t1"),
             make_line(31.5, ENTRY, "store lost"),
-            LOST,
+            UNKNOWN_OUTCOME,
         ]
-        story = explain_request(lines, "r2")
-        assert story is not None
-        self.assertEqual(places_of(story, lines), [0, 2])
-        self.assertIn("handed to t1", story.conclusion)
+        explanation = explain_request(lines, "r2")
+        assert explanation is not None
+        self.assertEqual(list_known_indices(explanation, lines), [0, 2])
+        self.assertIn("handed to t1", explanation.conclusion)
 
-    def test_clocks_of_other_processes_may_be_ahead(self) -> None:
+    def test_lines_of_processes_whose_clock_is_ahead_are_included(self) -> None:
         staged = make_line(31.0, AGENT, "weights staged", version=2)
-        story = explain_request([REFUSAL, staged], "r1")
-        assert story is not None
-        self.assertEqual(story.known, (staged,))
+        explanation = explain_request([REFUSED, staged], "r1")
+        assert explanation is not None
+        self.assertEqual(explanation.known, (staged,))
 
-    def test_unknown_id_has_no_story_and_summaries_count_what_was_left_out(
+    def test_unknown_id_has_no_explanation_and_unlogged_requests_are_counted(
         self,
     ) -> None:
         lines = [
@@ -112,14 +112,16 @@
         self.assertIsNone(explain_request(lines, "r9"))
         self.assertEqual(count_unlogged_requests(lines), 7)
 
-    def test_what_is_no_line_is_passed_over(self) -> None:
+    def test_text_of_other_formats_is_skipped(self) -> None:
         for text in ("", "Traceback", "{}", "[1]", "{broken", '{"time": 3}'):
             with self.subTest(text=text):
                 self.assertIsNone(parse_log_line(text))
 
 
-def places_of(story: RequestExplanation, lines: list[LogLine]) -> list[int]:
-    return sorted(lines.index(line) for line in story.known)
+def list_known_indices(
+    explanation: RequestExplanation, lines: list[LogLine]
+) -> list[int]:
+    return sorted(lines.index(line) for line in explanation.known)
 
 
 if __name__ == "__main__":
--- a/reedspar/timeline/tests/test_timeline.py
+++ b/reedspar/timeline/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of recording, merging, selecting and showing events."""
+"""Tests of recording, merging, selecting and rendering events."""
 
 import itertools
 import json
@@ -31,7 +31,7 @@
 
 
 class EventRecorderTest(unittest.TestCase):
-    def test_ring_keeps_the_latest_and_counts_the_lost(self) -> None:
+    def test_buffer_keeps_the_latest_events_and_counts_lost_ones(self) -> None:
         recorder = EventRecorder("e1", 7, capacity=4, wall_clock=lambda: 1.0)
         for i in range(10):
             recorder.record(EventKind.CONFIG_ADOPTED, version=i)
@@ -40,7 +40,7 @@
         self.assertEqual((page.lost_count, page.next_after), (6, 10))
         self.assertEqual(recorder.after(10).events, ())
 
-    def test_pages_join_without_gap(self) -> None:
+    def test_consecutive_pages_have_no_gap(self) -> None:
         recorder = EventRecorder("e1", 7, capacity=4, wall_clock=lambda: 1.0)
         for _ in range(3):
             recorder.record(EventKind.LINK_UP)
@@ -49,16 +49,16 @@
         numbers = [e.sequence for e in first.events + second.events]
         self.assertEqual(numbers, [1, 2, 3])
 
-    def test_reader_ahead_of_a_restarted_process_is_sent_back(self) -> None:
-        # A daemon restarts and counts from one again while a reader still
-        # holds the number of its predecessor; without being sent back the
-        # reader would miss the new daemon's first events.
+    def test_position_beyond_the_last_event_is_reset(self) -> None:
+        # A daemon restarts and numbers its events from one again, while a reader
+        # still uses a position in the previous incarnation.  Without a lower
+        # `next_after` the reader would miss the first events after the restart.
         recorder = EventRecorder("e1", 8, wall_clock=lambda: 1.0)
         recorder.record(EventKind.DAEMON_STARTED)
         page = recorder.after(500)
         self.assertEqual((page.events, page.next_after), ((), 1))
 
-    def test_events_reach_the_log_by_how_often_they_come(self) -> None:
+    def test_frequent_events_are_not_logged_at_info(self) -> None:
         recorder = EventRecorder("e1", 7, wall_clock=lambda: 1.0)
         with self.assertLogs("reedspar.timeline", "INFO") as logs:
             recorder.record(EventKind.REQUEST_RECEIVED, request_id="r1")
@@ -70,10 +70,10 @@
 class MergeEventsTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=200)
     @given(st.data())
-    def test_process_order_holds_under_any_clocks(self, data) -> None:
-        # A daemon's clock is stepped while it runs, so that its later events
-        # bear earlier times; the operator must still read them in the order
-        # in which they happened.
+    def test_order_within_a_process_holds_for_any_clock_steps(self, data) -> None:
+        # A daemon's clock is stepped back while it runs, so later events have
+        # earlier times.  The operator must still see them in the order in which
+        # they occurred.
         events = []
         for process in ("a", "b", "c"):
             for incarnation in (1, 2):
@@ -120,33 +120,33 @@
             make_event("a-2", 2, 600.0, kind=EventKind.INVARIANT_BROKEN, detail="x&y"),
         ]
 
-    def test_json_goes_there_and_back(self) -> None:
+    def test_json_round_trip(self) -> None:
         for event in self.events:
             document = json.loads(json.dumps(event_to_json(event)))
             self.assertEqual(event_from_json(document), event)
         self.assertIsNone(event_from_json({"kind": "of.tomorrow"}))
 
-    def test_text_columns_line_up(self) -> None:
+    def test_text_columns_are_aligned(self) -> None:
         heading, *lines = render_text(self.events)
         self.assertEqual(heading, "-- 1970-01-01 UTC")
         self.assertEqual({line.index("a") for line in lines[1:]}, {14})
         self.assertIn("request=r<1> attempt=0 target=a-2", lines[0])
         self.assertIn("version=abababababab", lines[1])
 
-    def test_one_request_is_named_once(self) -> None:
+    def test_id_of_a_single_request_is_shown_once(self) -> None:
         heading, _, line, _ = render_text(self.events[:2])
         self.assertEqual(heading, "-- request r<1>")
         self.assertNotIn("r<1>", line)
 
-    def test_callers_can_not_write_to_the_terminal(self) -> None:
-        # A caller's id carries an escape sequence that clears the screen of
-        # the operator who looks at the time line.
+    def test_control_characters_from_callers_are_replaced(self) -> None:
+        # A caller's id contains an escape sequence that would clear the screen of
+        # the operator who views the timeline.
         event = make_event("e", 1, 1.0, detail="caller-id=\x1b[2J\n12:00:00 faked")
         lines = list(render_text([event]))
         self.assertEqual(len(lines), 2)
         self.assertTrue(lines[1].isprintable())
 
-    def test_picture_is_well_formed_and_self_contained(self) -> None:
+    def test_html_is_well_formed_and_self_contained(self) -> None:
         page = render_html(self.events, "A <title>")
         body = page[page.index("<body>") : page.index("</html>")]
         tree = ET.fromstring(body)
@@ -162,7 +162,7 @@
         for outside in ("http:", "https:", "src=", "<script"):
             self.assertNotIn(outside, page)
 
-    def test_picture_of_nothing(self) -> None:
+    def test_html_without_events(self) -> None:
         self.assertIn("0 events", render_html([]))
 
 
--- a/reedspar/timeline/text.py
+++ b/reedspar/timeline/text.py
@@ -1,4 +1,4 @@
-"""A time line for a terminal: one event a line, columns aligned."""
+"""Rendering of a timeline for a terminal: one event per line, in aligned columns."""
 
 from collections.abc import Iterator, Sequence
 
@@ -6,15 +6,15 @@
 
 __all__ = ["describe_event", "render_text"]
 
-DIGEST_SHOWN = 12
+SHORT_DIGEST_LENGTH = 12
 DIGEST_LENGTH = 64
-TIME_SLICE = slice(11, 23)
+TIME_OF_DAY_SLICE = slice(11, 23)
 
 
 def describe_event(event: Event, known_request: str = "") -> str:
-    """Return the event's fields beyond time, process and kind.
+    """Return the event's fields other than time, process and kind.
 
-    The id of a request that the reader knows from a heading is left out.
+    The request id is omitted if it equals `known_request`, which a heading shows.
     """
     parts = []
     if event.request_id and event.request_id != known_request:
@@ -33,23 +33,23 @@
 
 
 def make_printable(text: str) -> str:
-    """Return the text without control characters.
+    """Return the text with unprintable characters replaced.
 
-    Ids and details may come from callers.  An escape sequence in one would
-    reach the operator's terminal and could hide or rewrite what it shows.
+    Ids and details may come from callers.  An escape sequence in one could hide or
+    overwrite text on the operator's terminal.
     """
     return "".join(c if c.isprintable() else "\N{REPLACEMENT CHARACTER}" for c in text)
 
 
 def shorten_digest(version: str) -> str:
-    """Return the start of a digest; anything else whole."""
-    return version[:DIGEST_SHOWN] if len(version) == DIGEST_LENGTH else version
+    """Return a prefix of a digest, or any other version unchanged."""
+    return version[:SHORT_DIGEST_LENGTH] if len(version) == DIGEST_LENGTH else version
 
 
 def render_text(events: Sequence[Event]) -> Iterator[str]:
-    """Yield a line for each event, with a heading where the day changes.
+    """Yield a line for each event, with a heading at each change of day.
 
-    If all events are about one request, its id stands once at the top.
+    If all events belong to one request, its id appears once at the top.
     """
     requests = {event.request_id for event in events}
     known_request = requests.pop() if len(requests) == 1 else ""
@@ -64,7 +64,7 @@
             day = moment[:10]
             yield f"-- {day} UTC"
         line = (
-            f"{moment[TIME_SLICE]}  {event.process:<{process_width}}  "
+            f"{moment[TIME_OF_DAY_SLICE]}  {event.process:<{process_width}}  "
             f"{event.kind.value:<{kind_width}}  {describe_event(event, known_request)}"
         )
         yield line.rstrip()
