--- a/reedspar/configuration/document.py
+++ b/reedspar/configuration/document.py
@@ -57,7 +57,8 @@
     idempotent_paths: tuple[str, ...] = Field(
         (),
         description="Path prefixes whose POST requests are idempotent; "
-        "GET, HEAD, PUT, DELETE and OPTIONS are by RFC 9110, section 9.2.2.",
+        "GET, HEAD, PUT, DELETE and OPTIONS are idempotent by RFC 9110, "
+        "section 9.2.2.",
     )
 
 
@@ -65,7 +66,7 @@
     """Limits and priority of a workspace (a customer)."""
 
     share: float = Field(1.0, gt=0, description="Weight when capacity is short.")
-    priority: int = Field(1, ge=0, le=9, description="9 goes first.")
+    priority: int = Field(1, ge=0, le=9, description="9 is the highest.")
     max_in_flight: int = Field(256, ge=1)
 
 
--- a/reedspar/configuration/fetching.py
+++ b/reedspar/configuration/fetching.py
@@ -4,8 +4,8 @@
 
 __all__ = ["DocumentFetch"]
 
-REQUEST_TIMEOUT_S = 0.4
-SOURCE_LIMIT = 16
+DOCUMENT_REQUEST_TIMEOUT_S = 0.4
+MAX_SOURCES = 16
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
         if version <= held_version:
             return
         self._sources[peer] = version
-        if len(self._sources) > SOURCE_LIMIT:
+        if len(self._sources) > MAX_SOURCES:
             del self._sources[next(iter(self._sources))]
 
     def record_adoption(self, version: int) -> None:
@@ -44,7 +44,7 @@
         """Return the peer to ask, or None while one is pending or none is newer."""
         request = self._request
         if request is not None:
-            if now_s - request.sent_s < REQUEST_TIMEOUT_S:
+            if now_s - request.sent_s < DOCUMENT_REQUEST_TIMEOUT_S:
                 return None
             # A stopped peer never answers, so its request times out.  Retrying the
             # same peer would keep this daemon on the old version.
--- a/reedspar/configuration/freshness.py
+++ b/reedspar/configuration/freshness.py
@@ -23,7 +23,7 @@
 """Bound on the relative rate error of two clocks; quartz stays below 0.0002."""
 CLOCK_TTL_S = 60.0
 CLOCK_REFRESH_S = 30.0
-PROBE_TIMEOUT_S = 0.5
+CLOCK_PROBE_TIMEOUT_S = 0.5
 
 
 def age_to_ms(age_s: float | None) -> int:
@@ -59,7 +59,7 @@
     def begin_probe(self, peer: str, now_s: float) -> int | None:
         """Return the nonce of a probe to send now, or None while one is pending."""
         probe = self._probes.get(peer)
-        if probe is not None and now_s - probe.sent_s < PROBE_TIMEOUT_S:
+        if probe is not None and now_s - probe.sent_s < CLOCK_PROBE_TIMEOUT_S:
             return None
         self._nonce += 1
         self._probes[peer] = _Probe(self._nonce, now_s)
--- a/reedspar/configuration/store.py
+++ b/reedspar/configuration/store.py
@@ -23,8 +23,8 @@
 ]
 
 CURRENT_KEY = "configuration/current"
-ATTEMPT_LIMIT = 8
-BACKOFF_STEP_S = 0.1
+MAX_ATTEMPTS = 8
+RETRY_BACKOFF_STEP_S = 0.1
 
 Sleep = Callable[[float], Awaitable[None]]
 
@@ -99,9 +99,9 @@
         `known_version` is the newest version that the caller knows of.
         """
         unknown_outcome: Failure | None = None
-        for attempt in range(ATTEMPT_LIMIT):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                await self._sleep(BACKOFF_STEP_S * attempt)
+                await self._sleep(RETRY_BACKOFF_STEP_S * attempt)
             result = await self._try_once(request, known_version)
             if not isinstance(result, Failure) or result.step is Step.CONFIGURE:
                 return result
@@ -111,7 +111,7 @@
             # may have.  Reporting a rejection could then be false.
             elif result.reason is not Reason.CONFLICT and unknown_outcome is None:
                 return result
-        return unknown_outcome or await self._describe_rejection(request, known_version)
+        return unknown_outcome or await self._resolve_outcome(request, known_version)
 
     async def _try_once(
         self, request: PatchRequest, known_version: int
@@ -145,7 +145,7 @@
                 return AcceptedPatch(record.version, document, was_repeated=True)
         return None
 
-    async def _describe_rejection(
+    async def _resolve_outcome(
         self, request: PatchRequest, known_version: int
     ) -> AcceptedPatch | Failure:
         stored = await self.read()
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.cut_zones: set[frozenset[str]] = set()
+        self.partitioned_zone_pairs: set[frozenset[str]] = set()
         self.isolated: set[str] = set()
         self.first_known_s: dict[int, float] = {}
         self.held: dict[tuple[str, int], int] = {}
@@ -55,7 +55,7 @@
     def is_partitioned(self, a: Node, b: Node) -> bool:
         if a.name in self.isolated or b.name in self.isolated:
             return True
-        return frozenset((a.zone, b.zone)) in self.cut_zones
+        return frozenset((a.zone, b.zone)) in self.partitioned_zone_pairs
 
     def write(self) -> None:
         version = self.key_value.version + 1
@@ -107,11 +107,11 @@
             # The guarantee assumes that a daemon isolated from its zone cannot reach
             # the service either, so isolated daemons stay cut off from it.
             self.key_value.unreachable_from ^= {
-                each.name for each in self.nodes_of(zone)
+                each.name for each in self.nodes_in_zone(zone)
             }
             self.key_value.unreachable_from |= self.isolated
         elif fault == "region_cut":
-            self.cut_zones ^= {frozenset(self.rng.sample(ZONES, 2))}
+            self.partitioned_zone_pairs ^= {frozenset(self.rng.sample(ZONES, 2))}
         else:
             self.isolate(node)
 
@@ -120,11 +120,11 @@
         if node.name in self.isolated:
             self.key_value.unreachable_from |= {node.name}
 
-    def nodes_of(self, zone: str) -> list[Node]:
+    def nodes_in_zone(self, zone: str) -> list[Node]:
         return [node for node in self.nodes if node.zone == zone]
 
     def heal(self) -> None:
-        self.cut_zones.clear()
+        self.partitioned_zone_pairs.clear()
         self.isolated.clear()
         self.key_value.unreachable_from.clear()
         self.key_value.is_down = False
@@ -209,8 +209,10 @@
         # A zone cannot reach the service or the other two zones.  An operator may
         # have taken it out meanwhile, which it cannot learn.
         simulation = self.simulation
-        cut = {node.name for node in simulation.nodes_of("montego-a")}
-        simulation.cut_zones = {frozenset(("montego-a", zone)) for zone in ZONES[:2]}
+        cut = {node.name for node in simulation.nodes_in_zone("montego-a")}
+        simulation.partitioned_zone_pairs = {
+            frozenset(("montego-a", zone)) for zone in ZONES[:2]
+        }
         simulation.key_value.unreachable_from = set(cut)
         simulation.fleet.run_for(FRESHNESS_S)
         self.assertEqual(set(self.refused()), cut)
@@ -218,7 +220,7 @@
         self.assertEqual(self.refused(), [])
 
     def test_zone_cut_off_from_peers_serves_while_it_reaches_the_service(self) -> None:
-        self.simulation.cut_zones = {
+        self.simulation.partitioned_zone_pairs = {
             frozenset(("montego-a", zone)) for zone in ZONES[:2]
         }
         for _ in range(30):
