--- a/bench/hashed.py
+++ b/bench/hashed.py
@@ -11,7 +11,7 @@
 
 from reedspar.errors import Failure
 from reedspar.utils import digest_bytes, rank_by_rendezvous
-from reedspar.weights.assembly import Assembly, cut_pieces
+from reedspar.weights.assembly import Assembly, split_into_pieces
 from reedspar.weights.distribution import (
     Action,
     ObjectReady,
@@ -77,22 +77,22 @@
         """Replace the live agents that need or hold a model."""
         self._peers[model] = tuple(peers)
 
-    def want_object(self, model: str, digest: str, now_s: float) -> None:
+    def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Get one object."""
         self._want(model, digest, None, digest)
         self._fill(now_s)
 
-    def know_version(self, manifest: Manifest, now_s: float) -> None:
+    def register_version(self, manifest: Manifest, now_s: float) -> None:
         """Do nothing: any object in memory is served."""
 
-    def want_chunks(self, manifest: Manifest, now_s: float) -> None:
+    def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
         """Get every chunk of a version."""
         for chunk in manifest.chunks:
             root_digest = manifest.root_digest
             self._want(manifest.model, chunk.digest, chunk.size_bytes, root_digest)
         self._fill(now_s)
 
-    def forget(self, root_digest: str, now_s: float) -> None:
+    def remove_version(self, root_digest: str, now_s: float) -> None:
         """Stop getting chunks that only this version needs."""
         for want in list(self._wants.values()):
             want.roots.discard(root_digest)
@@ -125,13 +125,15 @@
     def release(self, digest: str, now_s: float) -> None:
         """Do nothing: this distribution keeps every object."""
 
-    def note_unsent(self, peer: str, message: WeightMessage, now_s: float) -> None:
+    def handle_send_failure(
+        self, peer: str, message: WeightMessage, now_s: float
+    ) -> None:
         """Do nothing: the deadline covers it."""
 
-    def note_link_lost(self, peer: str, now_s: float) -> None:
+    def handle_link_lost(self, peer: str, now_s: float) -> None:
         """Do nothing: the view tells of it later."""
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Ask again for whatever is open: answers may have been missed."""
         for want in self._wants.values():
             if want.is_open:
@@ -216,7 +218,7 @@
     def _send_object(
         self, peer: str, request_id: int, digest: str, data: bytes
     ) -> None:
-        for piece in cut_pieces(digest, request_id, data):
+        for piece in split_into_pieces(digest, request_id, data):
             self._actions.append(SendMessage(peer, piece))
 
     def _take_piece(self, peer: str, piece: ChunkPiece, now_s: float) -> None:
--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -173,7 +173,7 @@
     fleet.set_views(MODEL)
     for agent in fleet.live:
         if agent.peer.is_cache:
-            agent.decide.know_version(manifest, 0.0)
+            agent.decide.register_version(manifest, 0.0)
         else:
             agent.want(manifest)
     targets = [agent for agent in fleet.live if not agent.peer.is_cache]
--- a/bench/origin_only.py
+++ b/bench/origin_only.py
@@ -24,20 +24,20 @@
     def set_peers(self, model: str, peers: Iterable[WeightPeer], now_s: float) -> None:
         """Ignore the peers."""
 
-    def want_object(self, model: str, digest: str, now_s: float) -> None:
+    def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Read an object."""
         self._to_read.append(digest)
         self._fill()
 
-    def know_version(self, manifest: Manifest, now_s: float) -> None:
+    def register_version(self, manifest: Manifest, now_s: float) -> None:
         """Ignore versions that are not wanted."""
 
-    def want_chunks(self, manifest: Manifest, now_s: float) -> None:
+    def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
         """Read every chunk."""
         self._to_read = list(reversed(manifest.chunk_digests))
         self._fill()
 
-    def forget(self, root_digest: str, now_s: float) -> None:
+    def remove_version(self, root_digest: str, now_s: float) -> None:
         """Stop reading."""
         self._to_read = []
 
@@ -60,13 +60,15 @@
     def release(self, digest: str, now_s: float) -> None:
         """Do nothing."""
 
-    def note_unsent(self, peer: str, message: WeightMessage, now_s: float) -> None:
+    def handle_send_failure(
+        self, peer: str, message: WeightMessage, now_s: float
+    ) -> None:
         """Do nothing: the deadline covers it."""
 
-    def note_link_lost(self, peer: str, now_s: float) -> None:
+    def handle_link_lost(self, peer: str, now_s: float) -> None:
         """Do nothing: the view tells of it later."""
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Do nothing."""
 
     def tick(self, now_s: float) -> None:
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -52,7 +52,7 @@
         self.missing = set(manifest.chunk_digests)
         self.fleet.note_pending(self)
         self.finished_s = None
-        self.decide.want_chunks(manifest, self.fleet.events.now_s)
+        self.decide.fetch_chunks(manifest, self.fleet.events.now_s)
         self.pump()
 
     def receive(self, sender: str, message: WeightMessage) -> None:
@@ -66,10 +66,10 @@
         self.decide.receive(sender, message, events.now_s)
         self.pump()
 
-    def note_link_lost(self, peer: str) -> None:
+    def handle_link_lost(self, peer: str) -> None:
         """Learn that a peer's machine refuses connections, or has ended them."""
         if not self.is_dead:
-            self.decide.note_link_lost(peer, self.fleet.events.now_s)
+            self.decide.handle_link_lost(peer, self.fleet.events.now_s)
             self.pump()
 
     def complete_read(self, digest: str, result: bytes | Failure) -> None:
@@ -187,7 +187,7 @@
             agent.is_dead = True
         for other in self.live:
             for agent in agents:
-                other.note_link_lost(agent.peer.name)
+                other.handle_link_lost(agent.peer.name)
         self.events.at(self.events.now_s + lag_s, lambda: self.set_views(model))
 
     def send(self, sender: FleetAgent, name: str, message: WeightMessage) -> None:
@@ -205,7 +205,7 @@
         if receiver.is_dead:
             self.events.at(
                 self.events.now_s + 2 * delay_s,
-                lambda: sender.note_link_lost(receiver.peer.name),
+                lambda: sender.handle_link_lost(receiver.peer.name),
             )
             return
         if not isinstance(message, ChunkPiece):
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -116,7 +116,7 @@
         manifest, objects = make_weights(case.chunks, CHUNK_BYTES, 2, case.chunks // 2)
         fleet.objects.update(objects)
         for agent in fleet.live:
-            agent.decide.forget(fleet_root(agent, manifest), fleet.events.now_s)
+            agent.decide.remove_version(fleet_root(agent, manifest), fleet.events.now_s)
             agent.want(manifest)
     is_done = fleet.events.run(fleet.is_finished, TIME_LIMIT_S)
     return describe(case, fleet, bounds, copy, is_done, changed_s)
--- a/reedspar/daemon/offers.py
+++ b/reedspar/daemon/offers.py
@@ -52,6 +52,6 @@
     def note_engine_state(self, state: EngineState | None) -> None:
         """Take in the target's report, or None if it can't be reached."""
         if state is None:
-            self._weights.note_engine_lost()
+            self._weights.record_engine_lost()
         else:
-            self._weights.note_engine_state(state)
+            self._weights.record_engine_state(state)
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -113,8 +113,8 @@
         settings = find_origin_region(self.base.view, self.settings)
         controller = self.create_weights(settings)
         self._weights = controller
-        self.catalog.follow(
-            controller.hold_object, controller.left_s, controller.prefetch
+        self.catalog.set_callbacks(
+            controller.add_object, controller.left_s, controller.prefetch
         )
         controller.start()
         self.base.view.on_change(lambda change: self._name_versions())
@@ -129,9 +129,11 @@
     def _name_versions(self) -> None:
         """Take the versions that this agent's engine is to serve."""
         for named in list_named(self.base.view, self.settings.pool):
-            self.catalog.name(named.model, named.version)
+            self.catalog.set_named_version(named.model, named.version)
             for known in self.base.view.versions_of(named.model):
-                self.catalog.note_named(known.model, known.version, known.named_s)
+                self.catalog.record_naming_time(
+                    known.model, known.version, known.named_s
+                )
 
     async def _poll_engine(self, controller: WeightController) -> None:
         address = self.settings.target_address
@@ -153,12 +155,12 @@
                 failures += 1
                 if failures == LOST_AFTER:
                     _logger.warning("engine lost", extra={"failure": str(state)})
-                    controller.note_engine_lost()
+                    controller.record_engine_lost()
             else:
                 if failures >= LOST_AFTER:
                     _logger.info("engine regained", extra={"boot": state.boot_id})
                 failures = 0
-                controller.note_engine_state(state)
+                controller.record_engine_state(state)
                 news.note_state(state)
             await anyio.sleep(POLL_S)
 
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -121,7 +121,7 @@
 
         def name_versions() -> None:
             for named in list_named(view):
-                cache.name(named.model, named.version)
+                cache.set_named_version(named.model, named.version)
 
         view.on_change(lambda change: name_versions())
         name_versions()
--- a/reedspar/weights/activation.py
+++ b/reedspar/weights/activation.py
@@ -114,7 +114,7 @@
             self._root_digest = root_digest
             self._since_s = now_s
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Forget what peers said before a pause; wait for them to answer again."""
         self._words.clear()
         self._since_s = now_s
--- a/reedspar/weights/announcing.py
+++ b/reedspar/weights/announcing.py
@@ -107,7 +107,7 @@
             )
             self._actions.append(SendMessage(neighbour.name, message))
 
-    def note_unsent(self, peer: str) -> None:
+    def handle_send_failure(self, peer: str) -> None:
         """Ask a neighbour again soon, as no link to it is open yet."""
         neighbour = self._transfer.table.neighbours.get(peer)
         if neighbour is not None:
--- a/reedspar/weights/assembly.py
+++ b/reedspar/weights/assembly.py
@@ -6,7 +6,7 @@
 from .manifest import CHUNK_LIMIT_BYTES
 from .messages import PIECE_SIZE_BYTES, ChunkPiece
 
-__all__ = ["OBJECT_LIMIT_BYTES", "Assembly", "cut_pieces"]
+__all__ = ["OBJECT_LIMIT_BYTES", "Assembly", "split_into_pieces"]
 
 OBJECT_LIMIT_BYTES = 2 * CHUNK_LIMIT_BYTES
 """Largest object; a manifest of 65,536 chunks stays below it."""
@@ -61,7 +61,7 @@
         return Failure(Reason.CORRUPT, Step.CHUNK_CHECK, peer, detail)
 
 
-def cut_pieces(digest: str, request_id: int, data: bytes) -> list[ChunkPiece]:
+def split_into_pieces(digest: str, request_id: int, data: bytes) -> list[ChunkPiece]:
     """Return the messages that carry an object."""
     return [
         ChunkPiece(
--- a/reedspar/weights/cache.py
+++ b/reedspar/weights/cache.py
@@ -79,9 +79,11 @@
             self._network.subscribe(message_class, self._receive)
         self._timers.call_every(TICK_S, self._tick)
         self._timers.call_every(PEER_REFRESH_S, self._refresh_peers)
-        self._timers.on_pause(lambda gap_s: self._distribution.lapse(self._now_s()))
+        self._timers.on_pause(
+            lambda gap_s: self._distribution.handle_pause(self._now_s())
+        )
 
-    def name(self, model: str, version: int) -> None:
+    def set_named_version(self, model: str, version: int) -> None:
         """Take the version of a model that targets are to serve; it only goes up."""
         named = self._named.setdefault(model, [])
         if named and version <= named[-1]:
@@ -132,12 +134,12 @@
         manifests.sort(key=lambda kept: kept.sequence)
         now_s = self._now_s()
         for older in manifests[:-VERSIONS_KEPT]:
-            self._distribution.forget(older.root_digest, now_s)
+            self._distribution.remove_version(older.root_digest, now_s)
         del manifests[:-VERSIONS_KEPT]
         self._set_peers(model)
-        self._distribution.know_version(manifest, now_s)
+        self._distribution.register_version(manifest, now_s)
         if (model, version) in self._new:
-            self._distribution.want_chunks(manifest, now_s)
+            self._distribution.fetch_chunks(manifest, now_s)
         self._pump.run()
         return None
 
--- a/reedspar/weights/catalog.py
+++ b/reedspar/weights/catalog.py
@@ -94,7 +94,7 @@
         """Call `listener` with each newer document."""
         self._listeners.append(listener)
 
-    def follow(
+    def set_callbacks(
         self,
         hold: Callable[[str, bytes], None],
         left_s: Callable[[str], float | None],
@@ -109,7 +109,7 @@
         self._left_s = left_s
         self._prefetch = prefetch
 
-    def older_until_s(self, model: str, served: int) -> float:
+    def service_deadline_s(self, model: str, served: int) -> float:
         """Return until when a version may serve: the next one's naming ends it."""
         newer = [
             named_s
@@ -118,7 +118,7 @@
         ]
         return min(newer, default=float("inf")) + self._bound_s
 
-    def name(self, model: str, version: int) -> None:
+    def set_named_version(self, model: str, version: int) -> None:
         """Take the version that a model is to be brought to; it only goes up."""
         if version > self._wanted.get(model, 0):
             if model in self._wanted:
@@ -126,13 +126,13 @@
             self._wanted[model] = version
             self._wakeup.set()
 
-    def note_named(self, model: str, version: int, named_s: float) -> None:
+    def record_naming_time(self, model: str, version: int, named_s: float) -> None:
         """Take it that a version was named earlier than this agent heard of it."""
         known_s = self._named_s.get((model, version))
         if known_s is not None and named_s < known_s:
             self._named_s[model, version] = named_s
 
-    def number_of(self, root_digest: str) -> tuple[str, int] | None:
+    def find_version(self, root_digest: str) -> tuple[str, int] | None:
         """Return model and version with a root digest."""
         found = (
             key
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -84,12 +84,12 @@
             fencing,
             gate,
             self._book,
-            self.note_engine_state,
+            self.record_engine_state,
             self._notify,
             self._verifier,
         )
         self._recovery = StagedRecovery(
-            staged_reader, self.hold_object, timers.now_s, lambda: self._book.boot_id
+            staged_reader, self.add_object, timers.now_s, lambda: self._book.boot_id
         )
         self._rollout = Rollout(
             settings.name, settings.weights.switch_share, self._phase_of
@@ -129,7 +129,7 @@
         self._network.subscribe(VersionNotice, self._take_notice)
         self._timers.call_every(TICK_S, self._tick)
         self._timers.call_every(PEER_REFRESH_S, self._refresh_peers)
-        self._timers.on_pause(self._lapse)
+        self._timers.on_pause(self._handle_pause)
         self._configuration.on_change(self._adopt)
         self._tasks.start_soon(self._stager.run)
         self._tasks.start_soon(self._verifier.run)
@@ -137,19 +137,19 @@
         if self._configuration.document is not None:
             self._adopt(self._configuration.document)
 
-    def hold_object(self, digest: str, data: bytes) -> None:
+    def add_object(self, digest: str, data: bytes) -> None:
         """Take a checked object that did not come from a peer or the origin."""
-        self._distribution.hold_object(digest, data, self._timers.now_s())
+        self._distribution.add_object(digest, data, self._timers.now_s())
         self._pump.run()
 
     def prefetch(self, manifest: Manifest) -> None:
         """Get the chunks of a version that is to be loaded after the present one."""
         now_s = self._timers.now_s()
-        self._distribution.know_version(manifest, now_s)
-        self._distribution.want_chunks(manifest, now_s)
+        self._distribution.register_version(manifest, now_s)
+        self._distribution.fetch_chunks(manifest, now_s)
         self._pump.run()
 
-    def note_engine_state(self, state: EngineState) -> None:
+    def record_engine_state(self, state: EngineState) -> None:
         """Take what the agent's poll has read; call it with every report."""
         confirmed = {m for m in self._staged if self._book.is_confirmed(m)}
         is_new_boot = self._book.note_state(state)
@@ -162,7 +162,7 @@
         self._advance()
         self._notify()
 
-    def note_engine_lost(self) -> None:
+    def record_engine_lost(self) -> None:
         """Withdraw every offer: the engine does not answer the agent's poll."""
         self._book.note_lost()
         self._notify()
@@ -192,11 +192,11 @@
         self._rollout.set_version(staged)
         self._set_peers(model)
         now_s = self._timers.now_s()
-        self._distribution.want_object(model, version.manifest_digest, now_s)
+        self._distribution.fetch_object(model, version.manifest_digest, now_s)
 
     def _let_go(self, staged: StagedVersion) -> None:
         del self._staged[staged.model]
-        self._distribution.forget(staged.root_digest, self._timers.now_s())
+        self._distribution.remove_version(staged.root_digest, self._timers.now_s())
 
     def _restage(self, staged: StagedVersion) -> None:
         """Give the engine a version again: it has lost what it was given."""
@@ -207,7 +207,7 @@
         """Get the chunks, unless the engine is unknown or serves them already."""
         is_needed = self._book.boot_id and not self._book.is_confirmed(staged.model)
         if staged.manifest is not None and is_needed:
-            self._distribution.want_chunks(staged.manifest, self._timers.now_s())
+            self._distribution.fetch_chunks(staged.manifest, self._timers.now_s())
 
     def _receive(self, sender: Sender, message: Any) -> None:
         self._distribution.receive(sender.name, message, self._timers.now_s())
@@ -238,11 +238,11 @@
         ]
         self._rollout.set_peers(model, same_pool)
 
-    def _lapse(self, gap_s: float) -> None:
-        self._distribution.lapse(self._timers.now_s())
+    def _handle_pause(self, gap_s: float) -> None:
+        self._distribution.handle_pause(self._timers.now_s())
         for staged in self._staged.values():
             staged.expire_verified(self._timers.now_s())
-        self._rollout.lapse(self._timers.now_s())
+        self._rollout.handle_pause(self._timers.now_s())
 
     def _take_object(self, digest: str) -> None:
         orders = []
@@ -267,7 +267,7 @@
         elif not staged.set_manifest(manifest):
             _logger.error("manifest is of another version: %s", digest)
         else:
-            self._distribution.know_version(manifest, self._timers.now_s())
+            self._distribution.register_version(manifest, self._timers.now_s())
             self._tasks.start_soon(self._recover, staged)
 
     async def _recover(self, staged: StagedVersion) -> None:
@@ -324,7 +324,7 @@
         deadline_s = float("inf")
         if self._deadlines is not None:
             served = self._book.served_sequence(staged.model)
-            deadline_s = self._deadlines.older_until_s(staged.model, served)
+            deadline_s = self._deadlines.service_deadline_s(staged.model, served)
         return self._rollout.may_switch(staged, self._timers.now_s(), deadline_s)
 
     def _phase_of(self, model: str) -> VersionPhase:
--- a/reedspar/weights/distribution.py
+++ b/reedspar/weights/distribution.py
@@ -67,19 +67,19 @@
         """Replace the live agents, without this one, that need or hold a model."""
         ...
 
-    def want_object(self, model: str, digest: str, now_s: float) -> None:
+    def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Get one object, a manifest, and report it ready."""
         ...
 
-    def hold_object(self, digest: str, data: bytes, now_s: float) -> None:
+    def add_object(self, digest: str, data: bytes, now_s: float) -> None:
         """Take a checked object that was found beside the engine."""
         ...
 
-    def know_version(self, manifest: Manifest, now_s: float) -> None:
+    def register_version(self, manifest: Manifest, now_s: float) -> None:
         """Take a version whose chunks peers may ask for, without needing them."""
         ...
 
-    def want_chunks(self, manifest: Manifest, now_s: float) -> None:
+    def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
         """Get every chunk of a version, and report each ready once.
 
         Calling it again gets every chunk again: the engine has lost them.
@@ -90,7 +90,7 @@
         """Return how long the missing chunks take over this machine's link."""
         ...
 
-    def forget(self, root_digest: str, now_s: float) -> None:
+    def remove_version(self, root_digest: str, now_s: float) -> None:
         """Stop getting chunks that only this version needs."""
         ...
 
@@ -110,15 +110,17 @@
         """Let an object that was ready be evicted: it is staged or decoded."""
         ...
 
-    def note_unsent(self, peer: str, message: WeightMessage, now_s: float) -> None:
+    def handle_send_failure(
+        self, peer: str, message: WeightMessage, now_s: float
+    ) -> None:
         """Take back a message for which no link is open yet."""
         ...
 
-    def note_link_lost(self, peer: str, now_s: float) -> None:
+    def handle_link_lost(self, peer: str, now_s: float) -> None:
         """Give up what a peer was asked for: the link to it is gone."""
         ...
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Drop every timed claim after a pause of the process."""
         ...
 
--- a/reedspar/weights/pump.py
+++ b/reedspar/weights/pump.py
@@ -64,11 +64,11 @@
         priority = Priority.BULK if is_bulk else Priority.LIVE
         failure = self._network.send(action.peer, action.message, priority)
         if is_failure(failure):
-            self._distribution.note_unsent(action.peer, action.message, now_s)
+            self._distribution.handle_send_failure(action.peer, action.message, now_s)
 
     def _note_link(self, event: LinkEvent) -> None:
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
-            self._distribution.note_link_lost(event.peer, self._timers.now_s())
+            self._distribution.handle_link_lost(event.peer, self._timers.now_s())
             self.run()
 
     async def _pace(self, delay_s: float) -> None:
--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -54,10 +54,10 @@
         decision.begin_waiting(staged.root_digest, now_s)
         return decision.may_switch(now_s)
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Drop what peers said before a pause."""
         for decision in self._decisions.values():
-            decision.lapse(now_s)
+            decision.handle_pause(now_s)
 
     def tick(self, now_s: float) -> list[SendMessage]:
         """Tell the cohorts what has changed, and repeat what does not last."""
--- a/reedspar/weights/swarm.py
+++ b/reedspar/weights/swarm.py
@@ -1,10 +1,9 @@
-"""Distribution as a swarm: few draw over narrow links, neighbours share the rest.
+"""Peer-to-peer distribution of chunks by rarest-first selection, as in BitTorrent.
 
-Each agent pulls the chunks that are rarest among a bounded set of neighbours
-of its region, as in BitTorrent (Cohen, "Incentives build robustness in
-BitTorrent", 2003).  Which agent draws a chunk from the origin, or over the
-link between two regions, follows from the live agents alone (`Placement`);
-the others step in only when nothing more shows up around them.
+See Cohen, "Incentives build robustness in BitTorrent", 2003.  Each agent requests the
+chunks that are rarest among a bounded set of neighbours in its region.  `Placement`
+assigns fetches from the origin and across regions by the set of live agents; other
+agents fetch remotely only if no neighbour obtains new chunks.
 """
 
 import random
@@ -104,7 +103,7 @@
             self._drop_peer(name, now_s)
         self._settle(now_s)
 
-    def want_object(self, model: str, digest: str, now_s: float) -> None:
+    def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Get one object, a manifest."""
         if digest in self._memory:
             self._report(digest)
@@ -116,17 +115,17 @@
         self._objects[digest] = model
         self._settle(now_s)
 
-    def hold_object(self, digest: str, data: bytes, now_s: float) -> None:
+    def add_object(self, digest: str, data: bytes, now_s: float) -> None:
         """Take a checked object that was found beside the engine."""
         self._fetches.finish(digest)
         self._take_object(digest, data, now_s)
         self._settle(now_s)
 
-    def know_version(self, manifest: Manifest, now_s: float) -> None:
+    def register_version(self, manifest: Manifest, now_s: float) -> None:
         """Take a version whose chunks peers may ask for."""
         self._transfer_of(manifest, now_s)
 
-    def want_chunks(self, manifest: Manifest, now_s: float) -> None:
+    def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
         """Get every chunk of a version, also those that were got before."""
         self._want(self._transfer_of(manifest, now_s), now_s)
         self._settle(now_s)
@@ -148,7 +147,7 @@
         missing_bytes = transfer.missing_bytes if transfer is not None else 0
         return missing_bytes / self._limits.machine_bytes_per_s
 
-    def forget(self, root_digest: str, now_s: float) -> None:
+    def remove_version(self, root_digest: str, now_s: float) -> None:
         """Stop getting chunks that only this version needs."""
         transfer = self._transfers.pop(root_digest, None)
         if transfer is None:
@@ -209,7 +208,7 @@
             self._memory.unpin(digest)
             self._settle(now_s)
 
-    def note_link_lost(self, peer: str, now_s: float) -> None:
+    def handle_link_lost(self, peer: str, now_s: float) -> None:
         """Take a peer for gone until it is heard of, or for as long as a lease."""
         self._reachable.note_lost(peer, now_s)
         self._place_all(now_s)
@@ -218,7 +217,7 @@
         for model in self._live:
             self._place(model, now_s)
 
-    def lapse(self, now_s: float) -> None:
+    def handle_pause(self, now_s: float) -> None:
         """Start every deadline again, and ask for all maps, after a pause."""
         for _, request in self._fetches.iterate():
             request.progress_s = now_s
@@ -228,7 +227,9 @@
             for neighbour in transfer.table.neighbours.values():
                 announcer.send_map(neighbour, now_s, is_reply_wanted=True)
 
-    def note_unsent(self, peer: str, message: WeightMessage, now_s: float) -> None:
+    def handle_send_failure(
+        self, peer: str, message: WeightMessage, now_s: float
+    ) -> None:
         """Take back a message for which no link is open yet."""
         if isinstance(message, ChunkRequest):
             fetch = self._fetches.get(message.digest)
@@ -242,7 +243,7 @@
         elif isinstance(message, HaveMap):
             announcer = self._announcers.get(message.root_digest)
             if announcer is not None:
-                announcer.note_unsent(peer)
+                announcer.handle_send_failure(peer)
 
     def tick(self, now_s: float) -> None:
         """Act on whatever has become due."""
--- a/reedspar/weights/tests/fakes.py
+++ b/reedspar/weights/tests/fakes.py
@@ -275,7 +275,7 @@
     async def poll(self) -> None:
         state = await self.engine.read_state()
         assert isinstance(state, EngineState)
-        self.controller.note_engine_state(state)
+        self.controller.record_engine_state(state)
 
     @property
     def offered_root(self) -> str:
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -31,7 +31,7 @@
             if not agent.peer.is_cache:
                 agent.want(self.manifest)
             elif agent.peer.name != late:
-                agent.decide.know_version(self.manifest, self.fleet.events.now_s)
+                agent.decide.register_version(self.manifest, self.fleet.events.now_s)
 
     def finish(self) -> float:
         self.assertTrue(self.fleet.events.run(self.fleet.is_finished, TIME_LIMIT_S))
@@ -60,7 +60,7 @@
         cache = self.fleet.agents[CACHE]
 
         def learn() -> None:
-            cache.decide.know_version(self.manifest, events.now_s)
+            cache.decide.register_version(self.manifest, events.now_s)
             cache.pump()
 
         events.at(LATE_MANIFEST_S, learn)
@@ -99,7 +99,7 @@
         fleet.objects.update(objects)
         for agent in fleet.live:
             if not agent.peer.is_cache:
-                agent.decide.forget(older.root_digest, fleet.events.now_s)
+                agent.decide.remove_version(older.root_digest, fleet.events.now_s)
         self.begin()
         fleet.events.run(lambda: False, 0.8)
         with mock.patch.object(fleet, "read_origin", wraps=fleet.read_origin) as read:
@@ -142,8 +142,8 @@
         self.begin()
         fleet.events.run(lambda: False, 2.0)
         for agent in fleet.live:
-            agent.decide.know_version(second, fleet.events.now_s)
-            agent.decide.want_chunks(second, fleet.events.now_s)
+            agent.decide.register_version(second, fleet.events.now_s)
+            agent.decide.fetch_chunks(second, fleet.events.now_s)
             agent.pump()
         fleet.events.run(lambda: False, 2.5)
         fleet.origin_is_away = True
@@ -187,7 +187,7 @@
     fleet.agents[name] = successor
     others = [a.peer for a in fleet.live if a is not successor]
     successor.decide.set_peers(MODEL, others, fleet.events.now_s)
-    successor.decide.know_version(manifest, fleet.events.now_s)
+    successor.decide.register_version(manifest, fleet.events.now_s)
     successor.pump()
     return successor
 
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -80,8 +80,8 @@
 
     def _name(self, manifest: Manifest) -> None:
         for agent in self.fleet.live:
-            agent.decide.know_version(manifest, self.fleet.events.now_s)
-            agent.decide.want_chunks(manifest, self.fleet.events.now_s)
+            agent.decide.register_version(manifest, self.fleet.events.now_s)
+            agent.decide.fetch_chunks(manifest, self.fleet.events.now_s)
             agent.pump()
 
     def _set_away(self, is_away: bool) -> None:
@@ -176,8 +176,8 @@
         second, more = make_weights(CHUNKS, CHUNK_BYTES, sequence=2)
         objects |= more
         for manifest in (first, second):
-            entry.know_version(manifest, 0.0)
-            entry.want_chunks(manifest, 0.0)
+            entry.register_version(manifest, 0.0)
+            entry.fetch_chunks(manifest, 0.0)
         reading = take_reads(entry)
         for number, digest in enumerate(first.chunk_digests):
             request = ChunkRequest(digest, number, may_draw=True)
@@ -197,7 +197,7 @@
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
         entry.set_peers(MODEL, [FAR, NEAR], 0.0)
         manifest, _ = make_weights(CHUNKS, CHUNK_BYTES)
-        entry.know_version(manifest, 0.0)
+        entry.register_version(manifest, 0.0)
         digest = manifest.chunk_digests[0]
         entry.receive(FAR.name, ChunkRequest(digest, 1, may_draw=True), 0.0)
         for turn in range(50):
--- a/reedspar/weights/tests/test_succession.py
+++ b/reedspar/weights/tests/test_succession.py
@@ -70,7 +70,7 @@
             1000.0,
         )
         catalog.on_change(self.documents.append)
-        catalog.follow(
+        catalog.set_callbacks(
             lambda digest, data: None,
             lambda model: self.left_s,
             lambda manifest: self.prefetched.append(manifest.sequence),
@@ -98,17 +98,17 @@
 
     async def name_in_turn(self, catalog: VersionCatalog, *versions: int) -> None:
         for version in versions:
-            catalog.name("m", version)
+            catalog.set_named_version("m", version)
             await self.settle()
 
     def test_named_versions_become_documents(self) -> None:
         async def script(catalog: VersionCatalog) -> None:
             await self.name_in_turn(catalog, 1)
-            catalog.name("m", 2)
-            catalog.name("m", 1)
+            catalog.set_named_version("m", 2)
+            catalog.set_named_version("m", 1)
             await self.settle()
             digest = make_manifest(2).root_digest
-            self.assertEqual(catalog.number_of(digest), ("m", 2))
+            self.assertEqual(catalog.find_version(digest), ("m", 2))
             self.assertEqual(catalog.root_digest_of("m", 2), digest)
 
         self.assertEqual(self.follow(script), [1, 2])
@@ -117,7 +117,7 @@
         self.reader.failures = 2
 
         async def script(catalog: VersionCatalog) -> None:
-            catalog.name("m", 1)
+            catalog.set_named_version("m", 1)
             await anyio.sleep(1.2)
 
         self.assertEqual(self.follow(script), [1])
@@ -173,7 +173,7 @@
                 named_s = self.clock.now_s()
                 self.clock.advance(late_s)
                 await self.name_in_turn(catalog, 2)
-                catalog.note_named("m", 2, named_s)
+                catalog.record_naming_time("m", 2, named_s)
                 self.clock.advance(2.0 - late_s)
                 await self.name_in_turn(catalog, 3)
 
@@ -202,9 +202,11 @@
             await self.name_in_turn(catalog, 1, 2)
             self.clock.advance(2.0)
             await self.name_in_turn(catalog, 3)
-            self.assertEqual(catalog.older_until_s("m", 1), named_s + BOUND_S)
-            self.assertEqual(catalog.older_until_s("m", 2), named_s + 2.0 + BOUND_S)
-            self.assertEqual(catalog.older_until_s("m", 3), float("inf"))
+            self.assertEqual(catalog.service_deadline_s("m", 1), named_s + BOUND_S)
+            self.assertEqual(
+                catalog.service_deadline_s("m", 2), named_s + 2.0 + BOUND_S
+            )
+            self.assertEqual(catalog.service_deadline_s("m", 3), float("inf"))
 
         self.assertEqual(self.follow(script), [1, 2, 3])
 
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -123,7 +123,7 @@
         self.manifest, objects = make_weights(CHUNKS, CHUNK_BYTES, sequence, shared)
         self.fleet.objects.update(objects)
         for agent in self.fleet.live:
-            agent.decide.forget(older, self.fleet.events.now_s)
+            agent.decide.remove_version(older, self.fleet.events.now_s)
             agent.want(self.manifest)
 
     def replace(self, agent: FleetAgent) -> None:
--- a/reedspar/weights/tests/test_weight_cache.py
+++ b/reedspar/weights/tests/test_weight_cache.py
@@ -69,10 +69,10 @@
                 cache = make_cache(origin, tasks)
                 cache.start()
                 tasks.start_soon(cache.run)
-                cache.name(MODEL, 1)
+                cache.set_named_version(MODEL, 1)
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual(origin.chunk_reads, 0)
-                cache.name(MODEL, 2)
+                cache.set_named_version(MODEL, 2)
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual(origin.chunk_reads, CHUNKS)
                 tasks.cancel_scope.cancel()
@@ -94,7 +94,7 @@
                 cache.start()
                 tasks.start_soon(cache.run)
                 for version in (1, 2, 3):
-                    cache.name(MODEL, version)
+                    cache.set_named_version(MODEL, version)
                 view.is_one = True
                 clock.advance(1.0)
                 timers.run_due()
--- a/reedspar/weights/views.py
+++ b/reedspar/weights/views.py
@@ -69,6 +69,6 @@
 class VersionDeadlines(Protocol):
     """Until when an older version of a model may be served."""
 
-    def older_until_s(self, model: str, served: int) -> float:
+    def service_deadline_s(self, model: str, served: int) -> float:
         """Return the time by the timer service; infinite if there is no bound."""
         ...
