--- a/bench/claims.py
+++ b/bench/claims.py
@@ -23,7 +23,7 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.requests import Answer, EntryAddress, Outcome, Request
 from reedspar.requests.claim_client import ClaimClient
-from reedspar.requests.claim_ledger import ClaimLedger, LedgerTerms
+from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
 from reedspar.requests.deduplicate import Deduplicate
 from reedspar.requests.tests.fakes import FakeEntries, FakeKeyValue, FakeNetwork
 from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
@@ -97,7 +97,7 @@
         async with anyio.create_task_group() as tasks:
             for name in ENTRIES:
                 timers = create_loop_timers()
-                terms = LedgerTerms(86_400.0, 35.0)
+                terms = LedgerOptions(86_400.0, 35.0)
                 ledger = ClaimLedger(
                     self.key_value, timers, self.unix_time, terms, lambda: len(ENTRIES)
                 )
--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -182,7 +182,7 @@
     def _read(self) -> tuple[list[_Job], float]:
         """Return the prompts that are read by the end of this pass, and the time."""
         steps = ENGINE.steps_per_pass if self._writing else 1
-        budget = steps * ENGINE.read_tokens_per_pass
+        budget = steps * ENGINE.prefill_tokens_per_pass
         read: list[_Job] = []
         time_s = 0.0
         while budget > 0 and self._reading:
@@ -190,7 +190,10 @@
             tokens = min(left, budget)
             budget -= tokens
             pairs = job.request.prompt_tokens * tokens / 2
-            time_s += tokens / ENGINE.read_tokens_per_s + pairs * ENGINE.pair_s
+            time_s += (
+                tokens / ENGINE.prefill_tokens_per_s
+                + pairs * ENGINE.attention_s_per_pair
+            )
             if tokens == left:
                 read.append(job)
             else:
@@ -288,7 +291,7 @@
         )
         request.model = "m"
         request.prompt_tokens = int(tokens)
-        request.aim_s = ROUTE_AIM_S
+        request.latency_goal_s = ROUTE_AIM_S
         request.gap_s = GAP_S
         request.deadline_s = self._now_s + PATIENCE_S
         return request
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -24,7 +24,7 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.platform import EngineState, TargetRequest
 from reedspar.requests import RequestService
-from reedspar.requests.admission import AdmissionControl, WorkspaceTerms
+from reedspar.requests.admission import AdmissionControl, WorkspaceLimits
 from reedspar.requests.tests.fakes import make_service
 from reedspar.requests.tests.mesh import Mesh, PlainOffers, make_agent_settings
 from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
@@ -127,13 +127,13 @@
     def try_admit(
         self,
         workspace: str,
-        terms: WorkspaceTerms,
+        terms: WorkspaceLimits,
         now_s: float,
         *,
-        has_room: bool = False,
+        has_spare_capacity: bool = False,
     ) -> Failure | None:
         """Take a place whatever the load is."""
-        return super().try_admit(workspace, terms, now_s, has_room=True)
+        return super().try_admit(workspace, terms, now_s, has_spare_capacity=True)
 
 
 @dataclass
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -19,8 +19,8 @@
 from reedspar.direct.news import create_load_listener
 from reedspar.direct.request_log import RequestLog
 from reedspar.fleet import DaemonRecord, FleetView
-from reedspar.requests.border import CallerBorder
-from reedspar.requests.draining import DrainTerms, run_drain
+from reedspar.requests.caller_adapter import CallerAdapter
+from reedspar.requests.draining import DrainOptions, run_drain
 from reedspar.routes import CallerLimits
 from reedspar.settings import SiteSettings
 from reedspar.telemetry import Metrics
@@ -55,7 +55,7 @@
 class EntryBorders:
     """What the site's wire brings for an entry."""
 
-    border: CallerBorder
+    adapter: CallerAdapter
     create_dialer: Callable[[FleetView], TargetDialer]
     create_directory: Callable[["SiteEntry"], ASGIApp]
     create_origin: Callable[[FleetView], VersionedOrigin]
@@ -149,7 +149,7 @@
         self.tasks.start_soon(self.base.registration.withdraw)
         application = self.service.application
         application.close_connections()
-        terms = DrainTerms(FINISH_PART * grace_s, grace_s)
+        terms = DrainOptions(FINISH_PART * grace_s, grace_s)
         await run_drain(application, terms, self.timers.now_s)
         self._stop_serving.set()
         with anyio.move_on_after(STOP_MARGIN_S / 2):
@@ -186,7 +186,7 @@
         tasks=tasks,
         network=links.on_demand("crashes"),
         dialer=borders.create_dialer(view),
-        border=borders.border,
+        adapter=borders.adapter,
         others=borders.metrics_app,
         is_in_doubt=lambda: base.registration.speed.is_in_doubt,
         rng=rng,
--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -52,7 +52,7 @@
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
         """Return the live agents whose targets serve a model, and the caches."""
         routes = self._view.routes
-        pools = routes.pools_of(model) if routes is not None else ()
+        pools = routes.services_for_model(model) if routes is not None else ()
         agents = [
             record
             for record in self._view.daemons(Role.AGENT.value)
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -8,7 +8,7 @@
 from reedspar.fleet import FleetView, KnownTarget
 from reedspar.requests.attempting import ChosenTarget
 from reedspar.requests.request import Answer, Outcome, Request
-from reedspar.routes import EngineTerms, ServiceTerms
+from reedspar.routes import EngineParameters, ServiceParameters
 from reedspar.timers import TimerService
 
 from .cold import ColdLimits
@@ -221,14 +221,14 @@
         """Take in a target's own word of its load."""
         self._loads.of(target_id).note_report(report, self._timers.now_s())
 
-    def _terms_of(self, pool: str) -> ServiceTerms | None:
+    def _terms_of(self, pool: str) -> ServiceParameters | None:
         routes = self._view.routes
         return routes.services.get(pool) if routes is not None else None
 
     def _estimate(
         self,
         request: Request,
-        terms: ServiceTerms | None,
+        terms: ServiceParameters | None,
         known: KnownTarget,
         load: TargetLoad,
         usual: UsualLoad,
@@ -262,9 +262,9 @@
         A long prompt may take longer than the aimed time though nothing waits
         before it.  Refused for that, it would be refused at idle targets, always.
         """
-        if not best.alone_s or request.aim_s <= 0:
+        if not best.alone_s or request.latency_goal_s <= 0:
             return float("inf")
-        return max(request.aim_s * AIM_PART, best.alone_s + QUEUE_SLACK_S)
+        return max(request.latency_goal_s * AIM_PART, best.alone_s + QUEUE_SLACK_S)
 
 
 def _leaves_pauses(candidate: _Candidate, request: Request) -> bool:
@@ -273,12 +273,12 @@
 
 
 def _work_of(
-    load: TargetLoad, usual: UsualLoad, engine: EngineTerms, now_s: float
+    load: TargetLoad, usual: UsualLoad, engine: EngineParameters, now_s: float
 ) -> EngineWork:
     others_waiting = load.others_waiting(now_s, usual)
     own_waiting = load.own_waiting()
     waiting = own_waiting + others_waiting
-    tokens = load.own_waiting_tokens() + others_waiting * engine.usual_prompt_tokens
+    tokens = load.own_waiting_tokens() + others_waiting * engine.typical_prompt_tokens
     pace = load.report.pace if load.report is not None else 1.0
     writing = max(0.0, load.count(now_s, usual) - waiting)
     return EngineWork(tokens, writing, waiting, max(1.0, pace))
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -115,9 +115,9 @@
         self._tasks.start_soon(self._run, attempt, running)
         return attempt
 
-    def take(self, attempt: OpenAttempt) -> bytes:
+    def read_available(self, attempt: OpenAttempt) -> bytes:
         """Return the bytes that arrived, and let the target send on."""
-        data = attempt.assembly.take()
+        data = attempt.assembly.read_available()
         running = self._running.get(id(attempt))
         if running is not None:
             running.has_room.set()
@@ -142,7 +142,7 @@
             _logger.info("attempts withdrawn", extra={"count": withdrawn})
         for running in list(self._running.values()):
             attempt = running.attempt
-            silent_s = now_s - attempt.heard_s
+            silent_s = now_s - attempt.last_received_s
             is_waiting = attempt.assembly.is_open and not attempt.assembly.pieces
             if is_waiting and silent_s >= SILENT_S:
                 self._give_up(running, f"silent for {silent_s:.1f} s")
@@ -228,7 +228,7 @@
         async for piece in response.iterate():
             if isinstance(piece, Failure):
                 return piece
-            while assembly.pending_bytes >= attempt.room_bytes:
+            while assembly.pending_bytes >= attempt.buffer_limit_bytes:
                 running.has_room = anyio.Event()
                 await running.has_room.wait()
             data = AttemptData(*key, assembly.size_bytes, piece)
@@ -238,7 +238,7 @@
         return None
 
     def _note_heard(self, attempt: OpenAttempt) -> None:
-        attempt.heard_s = self._timers.now_s()
+        attempt.last_received_s = self._timers.now_s()
         attempt.wake()
 
 
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass
 
-from reedspar.routes import EngineTerms
+from reedspar.routes import EngineParameters
 
 __all__ = [
     "Calibration",
@@ -47,12 +47,12 @@
 
 
 def estimate_first_event_s(
-    terms: EngineTerms, work: EngineWork, prompt_tokens: float
+    terms: EngineParameters, work: EngineWork, prompt_tokens: float
 ) -> float:
     """Return the time until one more request would get its first event."""
     tokens = work.waiting_tokens + prompt_tokens
     reading_s = _read_time_s(terms, tokens, prompt_tokens)
-    passes = math.ceil(tokens / terms.read_tokens_per_pass) if tokens else 1
+    passes = math.ceil(tokens / terms.prefill_tokens_per_pass) if tokens else 1
     writing_s = 0.0
     if work.writing >= 1:
         writing_s = passes * _pass_time_s(terms, work.writing)
@@ -60,7 +60,7 @@
     return NETWORK_S + work.pace * (reading_s + writing_s + place_s)
 
 
-def estimate_pause_s(terms: EngineTerms, work: EngineWork) -> float:
+def estimate_pause_s(terms: EngineParameters, work: EngineWork) -> float:
     """Return the longest pause that waiting prompts make in the streams beside them.
 
     An engine reads up to a fixed number of prompt tokens in each of the steps between
@@ -69,7 +69,7 @@
     """
     if work.writing < 1:
         return 0.0
-    most_tokens = terms.steps_per_pass * terms.read_tokens_per_pass
+    most_tokens = terms.steps_per_pass * terms.prefill_tokens_per_pass
     reading_s = _read_time_s(terms, min(work.waiting_tokens, most_tokens), 0)
     return work.pace * (reading_s + _pass_time_s(terms, work.writing))
 
@@ -99,29 +99,31 @@
 
 
 def estimate_service_s(
-    terms: EngineTerms, batch: float, answer_tokens: float = 0.0
+    terms: EngineParameters, batch: float, answer_tokens: float = 0.0
 ) -> float:
     """Return how long a usual request stays in a batch of that size."""
-    tokens = answer_tokens or terms.usual_answer_tokens
+    tokens = answer_tokens or terms.typical_answer_tokens
     step_s = terms.step_s + batch * terms.step_per_request_s
     own_s = tokens * step_s
-    prompt_s = _read_time_s(terms, terms.usual_prompt_tokens, terms.usual_prompt_tokens)
+    prompt_s = _read_time_s(
+        terms, terms.typical_prompt_tokens, terms.typical_prompt_tokens
+    )
     # While it writes, the prompts of those that take its neighbours' places
     # are read: each neighbour is replaced once in the time of one request.
     return own_s + prompt_s * max(1.0, batch)
 
 
-def _read_time_s(terms: EngineTerms, tokens: float, own_tokens: float) -> float:
+def _read_time_s(terms: EngineParameters, tokens: float, own_tokens: float) -> float:
     pairs = own_tokens * own_tokens / 2
-    return tokens / terms.read_tokens_per_s + pairs * terms.pair_s
+    return tokens / terms.prefill_tokens_per_s + pairs * terms.attention_s_per_pair
 
 
-def _pass_time_s(terms: EngineTerms, writing: float) -> float:
+def _pass_time_s(terms: EngineParameters, writing: float) -> float:
     step_s = terms.step_s + writing * terms.step_per_request_s
     return terms.steps_per_pass * step_s
 
 
-def _place_wait_s(terms: EngineTerms, work: EngineWork) -> float:
+def _place_wait_s(terms: EngineParameters, work: EngineWork) -> float:
     """Return how long a request waits for a place in the batch."""
     excess = work.writing + work.waiting + 1 - terms.slots
     if excess <= 0:
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -68,7 +68,7 @@
         request.is_stream = route.kind is RequestKind.STREAM
         request.can_resume = request.is_stream and route.can_resume
         request.attempts_max = route.attempts_max
-        request.aim_s = route.aim_s
+        request.latency_goal_s = route.latency_goal_s
         request.gap_s = route.gap_s
         request.priority = route.priority
         request.regions = route.regions
--- a/reedspar/direct/fitness.py
+++ b/reedspar/direct/fitness.py
@@ -4,7 +4,7 @@
 
 from reedspar.fleet import FleetView, KnownTarget, TargetRecord, TargetState
 from reedspar.requests.request import Request
-from reedspar.routes import ServiceTerms
+from reedspar.routes import ServiceParameters
 
 from .cold import ColdLimits
 from .loads import TargetLoad, TargetLoads
@@ -41,7 +41,7 @@
         ]
 
     def list_open(
-        self, fit: list[KnownTarget], terms: ServiceTerms | None, now_s: float
+        self, fit: list[KnownTarget], terms: ServiceParameters | None, now_s: float
     ) -> list[tuple[KnownTarget, TargetLoad]]:
         """Return the targets that may be sent to now.
 
@@ -98,6 +98,6 @@
     return ""
 
 
-def cold_rate_of(terms: ServiceTerms | None) -> float:
+def cold_rate_of(terms: ServiceParameters | None) -> float:
     """Return the requests a second that a cold target bears; 0 if unbounded."""
     return terms.cold_requests_per_s if terms is not None else 0.0
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -9,12 +9,12 @@
 
 from reedspar.fleet import DaemonChange, FleetChange, FleetView, TargetChange
 from reedspar.links import Network, Role
-from reedspar.requests.application import RequestApplication, RequestIds
-from reedspar.requests.attempting import RelayTerms
-from reedspar.requests.border import CallerBorder
+from reedspar.requests.application import RequestApplication, RequestIdGenerator
+from reedspar.requests.attempting import RelayOptions
+from reedspar.requests.caller_adapter import CallerAdapter
 from reedspar.requests.crash_gossip import create_crash_gossip
 from reedspar.requests.filters import chain_filters
-from reedspar.requests.guards import Guard
+from reedspar.requests.guards import QuarantineFilter
 from reedspar.requests.quarantine import Quarantine
 from reedspar.requests.relay import Relay
 from reedspar.requests.request import Filter
@@ -137,7 +137,7 @@
     tasks: TaskGroup,
     network: Network,
     dialer: TargetDialer,
-    border: CallerBorder,
+    adapter: CallerAdapter,
     others: ASGIApp,
     is_in_doubt: Callable[[], bool],
     rng: random.Random,
@@ -158,7 +158,7 @@
         rng,
         lambda: [entry.name for entry in view.daemons(Role.ENTRY.value)],
     )
-    crashes = CrashWatch(settings.name, timers, gossip.note_crash)
+    crashes = CrashWatch(settings.name, timers, gossip.report_crash)
     chooser = DirectChooser(
         view,
         loads,
@@ -179,18 +179,18 @@
     follower = _FleetFollower(view, loads, cold, budgets, bounds.retry_slack, timers)
     view.on_change(follower.note)
     view.on_change(lambda change: _note_crash(crashes, view, change))
-    terms = RelayTerms(retry_wait_s=0.0, verdict_margin_s=0.0)
+    terms = RelayOptions(retry_wait_s=0.0, deadline_margin_s=0.0)
     filters: list[Filter] = [
         *first_filters,
         IdentifyRoute(view, is_in_doubt, rng),
         BoundByRoute(),
-        Guard(quarantine, timers),
+        QuarantineFilter(quarantine, timers),
         Relay(client, chooser, budgets, quarantine, timers, terms),
     ]
     application = RequestApplication(
         chain_filters(filters),
-        border,
-        RequestIds(settings.name, incarnation),
+        adapter,
+        RequestIdGenerator(settings.name, incarnation),
         timers,
         CallerLimits().body_bytes,
         others,
--- a/reedspar/direct/tests/fakes.py
+++ b/reedspar/direct/tests/fakes.py
@@ -18,15 +18,15 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.fleet import FleetView, RoutesChange, TargetChange, TargetRecord
 from reedspar.platform import TargetRequest
-from reedspar.requests.border import PoolBorder, read_headers
+from reedspar.requests.caller_adapter import PoolAdapter, read_headers
 from reedspar.requests.request import Request, Responder
 from reedspar.requests.tests.fakes import FakeNetwork
 from reedspar.routes import (
-    EngineTerms,
+    EngineParameters,
     RequestKind,
     Route,
     RouteTable,
-    ServiceTerms,
+    ServiceParameters,
     WeightedService,
     WorkspaceAccess,
     index_routes,
@@ -38,7 +38,7 @@
     "ENGINE",
     "FakeDialer",
     "FakeResponse",
-    "HostBorder",
+    "HostAdapter",
     "broken",
     "make_direct_service",
     "make_engine_target",
@@ -47,17 +47,17 @@
     "unreachable",
 ]
 
-ENGINE = EngineTerms(
+ENGINE = EngineParameters(
     models=("m",),
     slots=16,
     step_s=0.00927,
     step_per_request_s=0.0000232,
-    read_tokens_per_s=20_700.0,
-    pair_s=1.18e-9,
+    prefill_tokens_per_s=20_700.0,
+    attention_s_per_pair=1.18e-9,
     steps_per_pass=5,
-    read_tokens_per_pass=2048,
-    usual_prompt_tokens=979,
-    usual_answer_tokens=92,
+    prefill_tokens_per_pass=2048,
+    typical_prompt_tokens=979,
+    typical_answer_tokens=92,
     layers=16,
     warm_s=0.3,
 )
@@ -161,10 +161,10 @@
             self.closed.append(target_id)
 
 
-class HostBorder(PoolBorder):
+class HostAdapter(PoolAdapter):
     """Callers that ask by host and path, and say what they want in headers."""
 
-    def takes(self, scope: Scope) -> bool:
+    def accepts(self, scope: Scope) -> bool:
         return True
 
     def read(
@@ -195,7 +195,7 @@
             "kind": kind,
             "services": (WeightedService(pool),),
             "timeout_s": 2.0,
-            "aim_s": 0.5,
+            "latency_goal_s": 0.5,
             "priority": 1,
             "attempts_max": 2,
         }
@@ -213,8 +213,8 @@
             ]
         ),
         "services": {
-            "quotes": ServiceTerms("quotes", 100, 3.0, 36.0, ENGINE),
-            "orders": ServiceTerms("orders", 100, 0.0, 0.0),
+            "quotes": ServiceParameters("quotes", 100, 3.0, 36.0, ENGINE),
+            "orders": ServiceParameters("orders", 100, 0.0, 0.0),
         },
         "workspaces": {"key": WorkspaceAccess("shop")},
         "has_workspaces": True,
@@ -253,7 +253,7 @@
         tasks=tasks,
         network=FakeNetwork(),  # type: ignore[arg-type]
         dialer=dialer,
-        border=HostBorder(),
+        adapter=HostAdapter(),
         others=Starlette(),
         is_in_doubt=lambda: False,
         rng=random.Random(1),
--- a/reedspar/fleet/tests/test_view.py
+++ b/reedspar/fleet/tests/test_view.py
@@ -12,10 +12,10 @@
     ZoneChange,
 )
 from reedspar.fleet.tests.fakes import make_target
-from reedspar.routes import RouteTable, ServiceTerms
+from reedspar.routes import RouteTable, ServiceParameters
 from reedspar.timers import TimerService, VirtualClock
 
-TABLE = RouteTable(2, services={"quotes": ServiceTerms("quotes", 10, 3.0, 36.0)})
+TABLE = RouteTable(2, services={"quotes": ServiceParameters("quotes", 10, 3.0, 36.0)})
 
 
 class ViewTest(unittest.TestCase):
--- a/reedspar/requests/address_list.py
+++ b/reedspar/requests/address_list.py
@@ -29,7 +29,7 @@
         self._is_named = True
         self.route = Route("/v1/addresses", self._list_addresses)
 
-    def stop_naming(self) -> None:
+    def exclude_self(self) -> None:
         """Leave this entry out of the addresses it gives."""
         self._is_named = False
 
--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -14,7 +14,7 @@
 
 from reedspar.errors import Failure, Reason, Step
 
-__all__ = ["AdmissionControl", "WorkspaceTerms"]
+__all__ = ["AdmissionControl", "WorkspaceLimits"]
 
 FIRST_WINDOW = 16.0
 WINDOW_MIN = 1.0
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkspaceTerms:
+class WorkspaceLimits:
     """What the configuration grants a workspace."""
 
     share: float = 1.0
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class _Workspace:
-    terms: WorkspaceTerms
+    terms: WorkspaceLimits
     in_flight: int = 0
     seen_s: float = 0.0
     refused: float = 0.0
@@ -89,10 +89,10 @@
     def try_admit(
         self,
         workspace: str,
-        terms: WorkspaceTerms,
+        terms: WorkspaceLimits,
         now_s: float,
         *,
-        has_room: bool = False,
+        has_spare_capacity: bool = False,
     ) -> Failure | None:
         """Take a place, or return why not and when to come back.
 
@@ -109,7 +109,7 @@
         if state.in_flight >= terms.max_in_flight:
             return self._refuse(f"{workspace} has {state.in_flight} in flight")
         top = max(WINDOW_MIN, self.window * _priority_part(terms.priority))
-        if has_room:
+        if has_spare_capacity:
             self.window = max(self.window, float(self.in_flight + 1))
             self._admit(state)
             return None
--- a/reedspar/requests/application.py
+++ b/reedspar/requests/application.py
@@ -12,11 +12,11 @@
 from reedspar.telemetry import check_invariant
 from reedspar.timers import TimerService
 
-from .border import CallerBorder
+from .caller_adapter import CallerAdapter
 from .endings import make_not_run
 from .request import Answer, Outcome, Proceed, Request
 
-__all__ = ["AsgiResponder", "RequestApplication", "RequestIds"]
+__all__ = ["AsgiResponder", "RequestApplication", "RequestIdGenerator"]
 
 CUT_SHOWING_VERSION = "1.1"
 """Under HTTP/1.0 the end of a broken stream looks like any end, and under HTTP/2
@@ -25,7 +25,7 @@
 logger = logging.getLogger(__name__)
 
 
-class RequestIds:
+class RequestIdGenerator:
     """Ids that no other request of any entry ever has.
 
     Callers' own ids don't do: a shop that sends one id twice would get the
@@ -46,10 +46,10 @@
     """Writes one answer to one ASGI connection."""
 
     def __init__(
-        self, send: Send, border: CallerBorder, *, is_last_answer: bool = False
+        self, send: Send, adapter: CallerAdapter, *, is_last_answer: bool = False
     ) -> None:
         self._send = send
-        self._border = border
+        self._adapter = adapter
         self._is_last_answer = is_last_answer
         self.caller_request_id = ""
         self.is_started = False
@@ -58,7 +58,7 @@
         self, status: int, headers: Iterable[Header], weights_digest: str
     ) -> None:
         """Send the head of a stream."""
-        fields = self._border.make_headers(
+        fields = self._adapter.make_headers(
             Outcome.ANSWERED, self.caller_request_id, weights_digest, headers
         )
         await self._send_start(status, fields)
@@ -70,10 +70,10 @@
     async def finish(self, request: Request, answer: Answer) -> None:
         """Send a whole answer, or the refusal that stands for it."""
         if answer.failure is not None:
-            status, headers, body = self._border.encode_refusal(request, answer)
+            status, headers, body = self._adapter.encode_refusal(request, answer)
         else:
             status, headers, body = answer.status, list(answer.headers), answer.body
-        fields = self._border.make_headers(
+        fields = self._adapter.make_headers(
             answer.outcome, self.caller_request_id, answer.weights_digest, headers
         )
         if status not in BODILESS_STATUSES:
@@ -100,14 +100,14 @@
     def __init__(
         self,
         proceed: Proceed,
-        border: CallerBorder,
-        ids: RequestIds,
+        adapter: CallerAdapter,
+        ids: RequestIdGenerator,
         timers: TimerService,
         body_limit_bytes: int,
         others: ASGIApp,
     ) -> None:
         self._proceed = proceed
-        self._border = border
+        self._adapter = adapter
         self._ids = ids
         self._timers = timers
         self._body_limit_bytes = body_limit_bytes
@@ -136,7 +136,7 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one ASGI connection."""
-        if scope["type"] == "http" and self._border.takes(scope):
+        if scope["type"] == "http" and self._adapter.accepts(scope):
             self.in_flight += 1
             try:
                 await self._serve(scope, receive, send)
@@ -146,15 +146,15 @@
             await self._others(scope, receive, send)
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        responder = AsgiResponder(send, self._border, is_last_answer=self._is_closing)
+        responder = AsgiResponder(send, self._adapter, is_last_answer=self._is_closing)
         arrived_s = self._timers.now_s()
         body = await _read_body(receive, self._body_limit_bytes)
         if body is None:
             return
-        request = self._border.read(scope, body, arrived_s, responder)
+        request = self._adapter.read(scope, body, arrived_s, responder)
         request.request_id = self._ids.make()
         request.caller_request_id = request.caller_request_id or request.request_id
-        request.can_show_cuts = scope.get("http_version") == CUT_SHOWING_VERSION
+        request.can_signal_truncation = scope.get("http_version") == CUT_SHOWING_VERSION
         responder.caller_request_id = request.caller_request_id
         await self._run(request, responder, receive)
 
@@ -184,7 +184,7 @@
 
     async def _answer_bounded(self, request: Request) -> Answer:
         """Return the answer, or at an abort the truth: it may have run."""
-        if not request.can_show_cuts:
+        if not request.can_signal_truncation:
             detail = "use HTTP/1.1: no other version shows here that an answer was cut"
             return make_not_run(Failure(Reason.INVALID, Step.RELAY, detail=detail))
         if not self._is_admitting:
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -85,7 +85,7 @@
         return Progress.NEWS
 
     def on_data(self, message: AttemptData, room_bytes: int) -> Progress:
-        """Take what is new of `message`, if it fits into `room_bytes`."""
+        """Take what is new of `message`, if it fits into `buffer_limit_bytes`."""
         if not self.is_open:
             return Progress.NOTHING
         skip = self.size_bytes - message.offset
@@ -172,7 +172,7 @@
             Verdict.UNKNOWN, Reason.OUTCOME_UNKNOWN, detail, step=Step.LINK
         )
 
-    def take(self) -> bytes:
+    def read_available(self) -> bytes:
         """Return the bytes that arrived since the last call."""
         pieces = self.pieces
         data = pieces[0] if len(pieces) == 1 else b"".join(pieces)
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -60,12 +60,12 @@
     def __init__(self, assembly: AnswerAssembly, now_s: float) -> None:
         self.assembly = assembly
         self.started_s = now_s
-        self.heard_s = now_s
-        self.asked_s = now_s
+        self.last_received_s = now_s
+        self.last_resume_s = now_s
         self.acked_bytes = 0
-        self.room_bytes = ROOM_BYTES
+        self.buffer_limit_bytes = ROOM_BYTES
         self.is_streamed = False
-        self.is_full = False
+        self.is_buffer_full = False
         self._event: anyio.Event | None = None
 
     @property
@@ -74,7 +74,7 @@
         return self.assembly.target
 
     @property
-    def safe_bytes(self) -> int:
+    def acknowledgeable_bytes(self) -> int:
         """Return how much of the answer the agent need not keep any longer."""
         assembly = self.assembly
         waiting = assembly.pending_bytes if self.is_streamed else 0
@@ -152,12 +152,12 @@
         )
         self._network.send(attempt.target, message)
 
-    def take(self, attempt: OpenAttempt) -> bytes:
+    def read_available(self, attempt: OpenAttempt) -> bytes:
         """Return the bytes that arrived, and tell the agent now and then."""
-        data = attempt.assembly.take()
+        data = attempt.assembly.read_available()
         self._ack_progress(attempt)
-        if attempt.is_full:
-            attempt.is_full = False
+        if attempt.is_buffer_full:
+            attempt.is_buffer_full = False
             self._resume(attempt)
         return data
 
@@ -173,10 +173,13 @@
         for attempt in list(self._open.values()):
             if not attempt.assembly.is_open:
                 continue
-            silent_s = now_s - attempt.heard_s
+            silent_s = now_s - attempt.last_received_s
             if silent_s >= self._lost_after_s and attempt.assembly.start.is_idempotent:
                 self._give_up(attempt, f"silent for {silent_s:.1f} s")
-            elif now_s - max(attempt.heard_s, attempt.asked_s) >= self._resume_after_s:
+            elif (
+                now_s - max(attempt.last_received_s, attempt.last_resume_s)
+                >= self._resume_after_s
+            ):
                 self._resume(attempt)
 
     def _on_link_event(self, event: LinkEvent) -> None:
@@ -206,7 +209,7 @@
 
     def _resume(self, attempt: OpenAttempt) -> None:
         assembly = attempt.assembly
-        attempt.asked_s = self._timers.now_s()
+        attempt.last_resume_s = self._timers.now_s()
         self.counts.resumed += 1
         start = assembly.start
         message = AttemptResume(
@@ -222,12 +225,12 @@
 
         An answer that is passed on as a whole is acknowledged as it arrives.
         """
-        if attempt.safe_bytes - attempt.acked_bytes >= ACK_EVERY_BYTES:
+        if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_EVERY_BYTES:
             self._ack(attempt, is_complete=False)
 
     def _ack(self, attempt: OpenAttempt, *, is_complete: bool) -> None:
         start = attempt.assembly.start
-        attempt.acked_bytes = attempt.safe_bytes
+        attempt.acked_bytes = attempt.acknowledgeable_bytes
         message = AttemptAck(
             start.request_id, start.attempt, attempt.acked_bytes, is_complete
         )
@@ -239,7 +242,7 @@
     def _on_data(self, sender: Sender, message: AttemptData) -> None:
         attempt = self._find(sender, message)
         if attempt is not None:
-            progress = attempt.assembly.on_data(message, attempt.room_bytes)
+            progress = attempt.assembly.on_data(message, attempt.buffer_limit_bytes)
             self._react(attempt, progress)
             if not attempt.is_streamed:
                 self._ack_progress(attempt)
@@ -250,7 +253,7 @@
     def _on_refused(self, sender: Sender, message: AttemptRefused) -> None:
         attempt = self._find(sender, message)
         if attempt is not None:
-            age_s = attempt.heard_s - attempt.started_s
+            age_s = attempt.last_received_s - attempt.started_s
             progress = attempt.assembly.on_refused(message, sender.incarnation, age_s)
             self._react(attempt, progress)
 
@@ -274,7 +277,7 @@
             self.counts.dropped += 1
             self._let_go(sender, message)
             return None
-        attempt.heard_s = self._timers.now_s()
+        attempt.last_received_s = self._timers.now_s()
         return attempt
 
     def _let_go(self, sender: Sender, message: Any) -> None:
@@ -293,10 +296,10 @@
         elif progress is Progress.MISSING:
             self.cancel(attempt)
         elif progress is Progress.FULL:
-            attempt.is_full = True
-        elif progress is Progress.GAP and not attempt.is_full:
+            attempt.is_buffer_full = True
+        elif progress is Progress.GAP and not attempt.is_buffer_full:
             self.counts.gaps += 1
-            if attempt.heard_s - attempt.asked_s >= GAP_RESUME_S:
+            if attempt.last_received_s - attempt.last_resume_s >= GAP_RESUME_S:
                 self._resume(attempt)
 
 
--- a/reedspar/requests/attempting.py
+++ b/reedspar/requests/attempting.py
@@ -10,18 +10,18 @@
 from .attempt_client import OpenAttempt
 from .request import Answer, Request
 
-__all__ = ["AttemptOpener", "ChosenTarget", "RelayTerms", "TargetChooser"]
+__all__ = ["AttemptOpener", "ChosenTarget", "RelayOptions", "TargetChooser"]
 
 
 @dataclass(frozen=True, slots=True)
-class RelayTerms:
+class RelayOptions:
     """How the relay deals with targets that fail or are missing."""
 
     retry_wait_s: float = 1.5
     """How long a request waits for a target while links and reports recover."""
-    verdict_margin_s: float = 0.25
+    deadline_margin_s: float = 0.25
     """What a peer's word at its deadline gets to reach us before ours."""
-    free_attempts_max: int = 3
+    unreached_attempts_max: int = 3
     """Attempts beyond the request's own that reached no target at all."""
 
 
@@ -79,7 +79,7 @@
         """Hand a request over; a failure means that nothing was handed over."""
         ...
 
-    def take(self, attempt: OpenAttempt) -> bytes:
+    def read_available(self, attempt: OpenAttempt) -> bytes:
         """Return the bytes that arrived since the last call."""
         ...
 
--- a/reedspar/requests/border.py
+++ b/reedspar/requests/caller_adapter.py
@@ -15,7 +15,7 @@
 from .endings import REQUEST_ID_HEADER, encode_refusal, make_headers
 from .request import Answer, Outcome, Request, Responder
 
-__all__ = ["CallerBorder", "EncodedAnswer", "PoolBorder", "read_headers"]
+__all__ = ["CallerAdapter", "EncodedAnswer", "PoolAdapter", "read_headers"]
 
 POOLS_PREFIX = "/v1/pools/"
 HEADERS_LEFT_OUT = frozenset(
@@ -33,10 +33,10 @@
 """Status, headers and body of an ending that is no target's answer."""
 
 
-class CallerBorder(Protocol):
+class CallerAdapter(Protocol):
     """Translates between a caller's HTTP and the product's requests."""
 
-    def takes(self, scope: Scope) -> bool:
+    def accepts(self, scope: Scope) -> bool:
         """Tell whether an ASGI connection carries a request for a target."""
         ...
 
@@ -61,10 +61,10 @@
         ...
 
 
-class PoolBorder:
+class PoolAdapter:
     """The product's own interface: the path names the pool."""
 
-    def takes(self, scope: Scope) -> bool:
+    def accepts(self, scope: Scope) -> bool:
         """Tell whether the path is below the pools."""
         return scope["path"].startswith(POOLS_PREFIX)
 
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -18,7 +18,7 @@
 from reedspar.timers import TimerService
 
 from .claim_leases import ClaimLeases
-from .claim_pace import PaceTerms, WritePace
+from .claim_pace import WritePace, WritePaceOptions
 from .claim_places import is_location_expired
 from .claim_table import ClaimTable, make_reply
 from .messages import (
@@ -31,7 +31,7 @@
     register_messages,
 )
 
-__all__ = ["ClaimLedger", "LedgerCounts", "LedgerTerms"]
+__all__ = ["ClaimLedger", "LedgerCounts", "LedgerOptions"]
 
 CACHED_MAX = 64
 CACHE_SIZE_BYTES = 8 * 1024 * 1024
@@ -52,12 +52,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerTerms:
+class LedgerOptions:
     """Times of the ledger."""
 
     ttl_s: float
     running_s: float
-    pace: PaceTerms = field(default_factory=PaceTerms)
+    pace: WritePaceOptions = field(default_factory=WritePaceOptions)
     update_delay_s: float = 0.25
     """How long an outcome waits for a claim to share its write with."""
     cache_s: float = 1.0
@@ -109,7 +109,7 @@
         key_value: KeyValueStore,
         timers: TimerService,
         unix_time: Callable[[], float],
-        terms: LedgerTerms,
+        terms: LedgerOptions,
         count_entries: Callable[[], int] = lambda: 1,
     ) -> None:
         self._key_value = key_value
--- a/reedspar/requests/claim_pace.py
+++ b/reedspar/requests/claim_pace.py
@@ -9,11 +9,11 @@
 
 from .claim_places import UNDATED, partition_of
 
-__all__ = ["PaceTerms", "WritePace"]
+__all__ = ["WritePace", "WritePaceOptions"]
 
 
 @dataclass(frozen=True, slots=True)
-class PaceTerms:
+class WritePaceOptions:
     """Rates of the writes of claims."""
 
     write_interval_s: float = 0.04
@@ -30,7 +30,7 @@
     def __init__(
         self,
         timers: TimerService,
-        terms: PaceTerms,
+        terms: WritePaceOptions,
         count_entries: Callable[[], int],
     ) -> None:
         self._timers = timers
--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -44,7 +44,7 @@
         network.subscribe(CrashNews, self._on_news)
         timers.call_every(REPEAT_S, self._repeat)
 
-    def note_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
+    def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
         """Take in a crash that this entry has noticed by itself."""
         self._take(CrashNews(crash_id, fingerprints, 0))
 
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-__all__ = ["DrainPhase", "DrainTerms", "EntryDrain", "run_drain"]
+__all__ = ["DrainOptions", "DrainPhase", "EntryDrain", "run_drain"]
 
 SPREAD_S = 1.0
 """How long other entries may go on naming this one after its notice."""
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainTerms:
+class DrainOptions:
     """How long callers keep an address, and how long a stop may take, in seconds."""
 
     address_ttl_s: float
@@ -85,7 +85,7 @@
 
 
 async def run_drain(
-    application: Drainable, terms: DrainTerms, now_s: Callable[[], float]
+    application: Drainable, terms: DrainOptions, now_s: Callable[[], float]
 ) -> None:
     """Return once this entry may stop; it is named to callers no more."""
     drain = EntryDrain(now_s(), terms.address_ttl_s, terms.timeout_s)
--- a/reedspar/requests/guards.py
+++ b/reedspar/requests/guards.py
@@ -6,21 +6,21 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.timers import TimerService
 
-from .admission import AdmissionControl, WorkspaceTerms
+from .admission import AdmissionControl, WorkspaceLimits
 from .endings import make_not_run
 from .quarantine import Quarantine, Standing
 from .request import Answer, Outcome, Proceed, Request
 from .target_directory import TargetDirectory
 from .views import ConfigurationView
 
-__all__ = ["Admit", "Guard"]
+__all__ = ["AdmissionFilter", "QuarantineFilter"]
 
 LOAD_REASONS = frozenset({Reason.OVERLOADED, Reason.COLD})
 FORGET_S = 10.0
 DEFAULT_WORKSPACE = WorkspaceConfiguration()
 
 
-class Guard:
+class QuarantineFilter:
     """Refuse blamed requests; let suspects run one at a time."""
 
     def __init__(self, quarantine: Quarantine, timers: TimerService) -> None:
@@ -73,7 +73,7 @@
     return make_not_run(failure)
 
 
-class Admit:
+class AdmissionFilter:
     """Refuse what the pool does not bear now, by priority and by workspace."""
 
     def __init__(
@@ -98,7 +98,7 @@
             workspace,
             terms,
             started_s,
-            has_room=self._directory.has_room(request.pool),
+            has_spare_capacity=self._directory.has_spare_capacity(request.pool),
         )
         if failure is not None:
             return make_not_run(failure)
@@ -125,12 +125,12 @@
         else:
             control.on_other(workspace)
 
-    def _find_terms(self, workspace: str) -> WorkspaceTerms:
+    def _find_terms(self, workspace: str) -> WorkspaceLimits:
         document = self._configuration.document
         if document is None:
-            return WorkspaceTerms()
+            return WorkspaceLimits()
         found = document.workspaces.get(workspace, DEFAULT_WORKSPACE)
-        return WorkspaceTerms(found.share, found.priority, found.max_in_flight)
+        return WorkspaceLimits(found.share, found.priority, found.max_in_flight)
 
     def _forget_idle(self) -> None:
         now_s = self._timers.now_s()
--- a/reedspar/requests/passing.py
+++ b/reedspar/requests/passing.py
@@ -9,7 +9,7 @@
 from .event_stream import EVENT_STREAM_TYPE, LAST_EVENT_ID_HEADER, EventCutter
 from .request import Answer, Outcome, Request
 
-__all__ = ["StreamPasser", "is_streamed"]
+__all__ = ["StreamForwarder", "is_streamed"]
 
 STREAM_TYPES = (EVENT_STREAM_TYPE, "application/x-ndjson")
 WHOLE_ANSWER_BYTES = 8 * 1024 * 1024
@@ -28,7 +28,7 @@
     return _find_header(head.headers, "content-type").startswith(STREAM_TYPES)
 
 
-class StreamPasser:
+class StreamForwarder:
     """One caller's stream, over as many targets as it takes.
 
     Where the stream may be resumed, only whole events go to the caller, so
@@ -59,9 +59,9 @@
         kept = [item for item in headers if item.name != LAST_EVENT_ID_HEADER]
         return (*kept, Header(LAST_EVENT_ID_HEADER, self._cutter.last_event_id))
 
-    async def pass_on(self, attempt: OpenAttempt, head: AttemptHead) -> Answer:
+    async def forward(self, attempt: OpenAttempt, head: AttemptHead) -> Answer:
         """Pass an answer on; its end only once it proved whole."""
-        attempt.room_bytes = STREAM_ROOM_BYTES
+        attempt.buffer_limit_bytes = STREAM_ROOM_BYTES
         attempt.is_streamed = True
         if self.is_begun and head.status != SUCCESS_STATUS:
             return self._refuse_to_join(attempt, f"status {head.status}")
@@ -70,13 +70,13 @@
         assembly = attempt.assembly
         while assembly.is_open:
             if assembly.pieces:
-                await self._send(head, self._client.take(attempt))
+                await self._send(head, self._client.read_available(attempt))
             else:
                 await attempt.wait()
         if assembly.verdict is not Verdict.WHOLE:
             self._cutter.drop_pending()
             return self._make_broken(assembly.failure)
-        last = self._client.take(attempt)
+        last = self._client.read_available(attempt)
         if self._request.can_resume:
             last = self._cutter.feed(last) + self._cutter.pending
         await self._start(head)
@@ -105,7 +105,7 @@
     def _make_broken(self, failure: Failure | None) -> Answer:
         is_begun = self.is_begun
         return Answer(
-            Outcome.UNKNOWN, failure=failure, is_sent=is_begun, is_cut=is_begun
+            Outcome.UNKNOWN, failure=failure, is_sent=is_begun, is_truncated=is_begun
         )
 
 
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -16,9 +16,9 @@
 
 from .assembly import Verdict
 from .attempt_client import OpenAttempt
-from .attempting import AttemptOpener, ChosenTarget, RelayTerms, TargetChooser
+from .attempting import AttemptOpener, ChosenTarget, RelayOptions, TargetChooser
 from .endings import make_not_run
-from .passing import StreamPasser, is_streamed
+from .passing import StreamForwarder, is_streamed
 from .quarantine import Quarantine, Standing
 from .request import Answer, Outcome, Proceed, Request
 from .retries import RetryBudgets
@@ -40,7 +40,7 @@
 class _Course:
     """What has become of one request so far."""
 
-    passer: StreamPasser
+    passer: StreamForwarder
     tried: set[str] = field(default_factory=set)
     last: Answer | None = None
     handed_over: int = 0
@@ -58,19 +58,19 @@
         budgets: RetryBudgets,
         quarantine: Quarantine,
         timers: TimerService,
-        terms: RelayTerms | None = None,
+        terms: RelayOptions | None = None,
     ) -> None:
         self._client = client
         self._chooser = chooser
         self._budgets = budgets
         self._quarantine = quarantine
         self._timers = timers
-        self._terms = terms or RelayTerms()
+        self._terms = terms or RelayOptions()
         self._served_s: dict[str, float] = {}
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Return the answer; `proceed` is not called, for this filter is the last."""
-        course = _Course(StreamPasser(request, self._client))
+        course = _Course(StreamForwarder(request, self._client))
         while True:
             chosen = await self._choose_soon(request, course)
             if isinstance(chosen, Failure):
@@ -87,7 +87,7 @@
 
     def _may_pay(self, request: Request, course: _Course) -> bool:
         """Tell whether the next attempt is a first one, or the budget has it."""
-        budget = self._budgets.of(request.pool)
+        budget = self._budgets.for_pool(request.pool)
         if not course.handed_over:
             if not course.unreached:
                 budget.on_first_attempt()
@@ -174,7 +174,7 @@
         self, request: Request, chosen: ChosenTarget, course: _Course
     ) -> AttemptStart:
         remaining_s = request.deadline_s - self._timers.now_s()
-        margin_s = min(self._terms.verdict_margin_s, remaining_s / 10)
+        margin_s = min(self._terms.deadline_margin_s, remaining_s / 10)
         return AttemptStart(
             request.request_id,
             course.handed_over + course.unreached,
@@ -207,11 +207,11 @@
                 has_begun = True
                 self._chooser.on_first_byte(request, chosen)
             if head is not None and is_streamed(request, head, assembly.size_bytes):
-                return await course.passer.pass_on(attempt, head)
+                return await course.passer.forward(attempt, head)
             await attempt.wait()
         head = assembly.head
         if course.passer.is_begun and head is not None:
-            return await course.passer.pass_on(attempt, head)
+            return await course.passer.forward(attempt, head)
         return _conclude(attempt, is_begun=course.passer.is_begun)
 
     def _may_retry(self, request: Request, course: _Course, latest: Answer) -> bool:
@@ -222,7 +222,7 @@
             return False
         if course.handed_over >= request.attempts_max or course.breaks >= BREAKS_MAX:
             return False
-        if course.unreached > self._terms.free_attempts_max:
+        if course.unreached > self._terms.unreached_attempts_max:
             return False
         if latest.outcome is Outcome.NOT_RUN:
             return True
@@ -246,7 +246,10 @@
         failure = Failure(Reason.TIMEOUT, Step.RELAY, attempt.target, detail)
         is_started = request.responder.is_started
         return Answer(
-            Outcome.UNKNOWN, failure=failure, is_sent=is_started, is_cut=is_started
+            Outcome.UNKNOWN,
+            failure=failure,
+            is_sent=is_started,
+            is_truncated=is_started,
         )
 
 
@@ -273,13 +276,15 @@
             Outcome.ANSWERED,
             head.status,
             head.headers,
-            assembly.take(),
+            assembly.read_available(),
             head.weights_digest,
         )
     failure = assembly.failure or Failure(Reason.OUTCOME_UNKNOWN, Step.RELAY)
     if assembly.verdict is Verdict.NOT_RUN:
         return make_not_run(failure)
-    return Answer(Outcome.UNKNOWN, failure=failure, is_sent=is_begun, is_cut=is_begun)
+    return Answer(
+        Outcome.UNKNOWN, failure=failure, is_sent=is_begun, is_truncated=is_begun
+    )
 
 
 def _join(earlier: Answer | None, latest: Answer) -> Answer:
--- a/reedspar/requests/request.py
+++ b/reedspar/requests/request.py
@@ -27,7 +27,7 @@
     """How a request ended.
 
     `is_sent` tells that a stream went to the caller while it arrived;
-    `is_cut` that such a stream broke, so that the connection must be aborted.
+    `is_truncated` that such a stream broke, so that the connection must be aborted.
     """
 
     outcome: Outcome
@@ -37,7 +37,7 @@
     weights_digest: str = ""
     failure: Failure | None = None
     is_sent: bool = False
-    is_cut: bool = False
+    is_truncated: bool = False
 
 
 class Responder(Protocol):
@@ -90,7 +90,7 @@
     """How long the operator lets a caller be kept waiting."""
     attempts_max: int = 4
     """Targets that the request may be handed to at most."""
-    aim_s: float = 0.0
+    latency_goal_s: float = 0.0
     """Time to the first byte that the caller waits gladly; 0: not known."""
     gap_s: float = 0.0
     """Pause between events that the caller bears gladly; 0: not known."""
@@ -105,7 +105,7 @@
     prompt_tokens: int = 0
     answer_tokens: int = 0
     """Bound on the answer's length, or the caller's estimate of it."""
-    can_show_cuts: bool = True
+    can_signal_truncation: bool = True
     """The caller's protocol tells a broken stream from a whole one."""
     targets: list[str] = field(default_factory=list)
     """Targets that it was handed to, in order."""
--- a/reedspar/requests/retries.py
+++ b/reedspar/requests/retries.py
@@ -48,7 +48,7 @@
         self._burst = burst
         self._budgets: dict[str, RetryBudget] = {}
 
-    def of(self, pool: str) -> RetryBudget:
+    def for_pool(self, pool: str) -> RetryBudget:
         """Return the budget of a pool."""
         budget = self._budgets.get(pool)
         if budget is None:
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -14,16 +14,16 @@
 from reedspar.timers import TimerService
 
 from .address_list import AddressList
-from .application import RequestApplication, RequestIds
+from .application import RequestApplication, RequestIdGenerator
 from .attempt_client import AttemptClient, create_attempt_client
-from .border import PoolBorder
+from .caller_adapter import PoolAdapter
 from .claim_client import ClaimClient
-from .claim_ledger import ClaimLedger, LedgerTerms
+from .claim_ledger import ClaimLedger, LedgerOptions
 from .crash_gossip import create_crash_gossip
 from .deduplicate import Deduplicate
-from .draining import DrainTerms, run_drain
+from .draining import DrainOptions, run_drain
 from .filters import Bound, Classify, Identify, chain_filters
-from .guards import Admit, Guard
+from .guards import AdmissionFilter, QuarantineFilter
 from .quarantine import Quarantine
 from .relay import Relay
 from .request import Filter
@@ -47,7 +47,7 @@
     client: AttemptClient
     directory: TargetDirectory
     ledger: ClaimLedger
-    admission: Admit
+    admission: AdmissionFilter
     timers: TimerService
     settings: RequestSettings
 
@@ -57,8 +57,8 @@
 
     async def drain(self) -> None:
         """Return once this entry may stop; announce its leaving before."""
-        self.addresses.stop_naming()
-        terms = DrainTerms(self.settings.address_ttl_s, self.settings.drain_timeout_s)
+        self.addresses.exclude_self()
+        terms = DrainOptions(self.settings.address_ttl_s, self.settings.drain_timeout_s)
         await run_drain(self.application, terms, self.timers.now_s)
 
 
@@ -88,7 +88,7 @@
         key_value,
         timers,
         unix_time,
-        LedgerTerms(settings.claim_ttl_s, settings.deadline_s + RUNNING_MARGIN_S),
+        LedgerOptions(settings.claim_ttl_s, settings.deadline_s + RUNNING_MARGIN_S),
         lambda: len(entries.entries()),
     )
     claims = ClaimClient(name, network, timers, ledger, entries)
@@ -99,13 +99,13 @@
         quarantine,
         timers,
     )
-    admission = Admit(configuration, directory, timers)
+    admission = AdmissionFilter(configuration, directory, timers)
     filters: list[Filter] = [
         Identify(configuration),
         Bound(timers, settings.deadline_s, settings.body_limit_bytes),
         Classify(configuration),
         Deduplicate(claims, timers, unix_time, settings.claim_ttl_s),
-        Guard(quarantine, timers),
+        QuarantineFilter(quarantine, timers),
         admission,
         relay,
     ]
@@ -114,8 +114,8 @@
     addresses = AddressList(name, zone, configuration, entries, settings.address_ttl_s)
     application = RequestApplication(
         chain_filters(filters),
-        PoolBorder(),
-        RequestIds(name, incarnation),
+        PoolAdapter(),
+        RequestIdGenerator(name, incarnation),
         timers,
         settings.body_limit_bytes,
         Starlette(routes=[addresses.route, *extra_routes]),
--- a/reedspar/requests/target_directory.py
+++ b/reedspar/requests/target_directory.py
@@ -91,7 +91,7 @@
             if now_s >= view.refused_until_s:
                 yield view
 
-    def has_room(self, pool: str) -> bool:
+    def has_spare_capacity(self, pool: str) -> bool:
         """Tell whether the pool's targets are, as far as known, far from full."""
         limit = 0
         count = 0.0
--- a/reedspar/requests/tests/test_assembly.py
+++ b/reedspar/requests/tests/test_assembly.py
@@ -64,14 +64,14 @@
         taken = b""
         for message in crossed:
             feed(assembly, message)
-            taken += assembly.take()
+            taken += assembly.read_available()
         again = make_answer(START, body)
         resumed = AttemptData(
             START.request_id, START.attempt, len(taken), body[len(taken) :]
         )
         for message in (again[0], resumed, messages[-1]):
             feed(assembly, message)
-        taken += assembly.take()
+        taken += assembly.read_available()
         if is_damaged:
             self.assertIs(assembly.verdict, Verdict.UNKNOWN)
             return
@@ -110,7 +110,7 @@
         self.assertIs(assembly.on_data(piece, ROOM_BYTES), Progress.NEWS)
         more = AttemptData("e:1:1", 0, ROOM_BYTES, b"more")
         self.assertIs(assembly.on_data(more, ROOM_BYTES), Progress.FULL)
-        assembly.take()
+        assembly.read_available()
         self.assertIs(assembly.on_data(more, ROOM_BYTES), Progress.NEWS)
 
 
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -14,7 +14,7 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.requests import Answer, EntryAddress, Outcome, Request
 from reedspar.requests.claim_client import ClaimClient
-from reedspar.requests.claim_ledger import ClaimLedger, LedgerTerms
+from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
 from reedspar.requests.claim_table import ClaimTable
 from reedspar.requests.deduplicate import Deduplicate
 from reedspar.requests.endings import make_not_run, make_unknown
@@ -123,7 +123,7 @@
         async with anyio.create_task_group() as tasks:
             for name in ENTRIES:
                 timers = create_loop_timers()
-                terms = LedgerTerms(TTL_S, 35.0)
+                terms = LedgerOptions(TTL_S, 35.0)
                 ledger = ClaimLedger(self.key_value, timers, self.unix_time, terms)
                 client = ClaimClient(name, mesh.add(name), timers, ledger, entries)
                 self.filters[name] = Deduplicate(client, timers, self.unix_time, TTL_S)
--- a/reedspar/requests/tests/test_decisions.py
+++ b/reedspar/requests/tests/test_decisions.py
@@ -10,7 +10,7 @@
 from reedspar.attempts import TargetStatus
 from reedspar.configuration import ConfigurationDocument
 from reedspar.errors import Failure
-from reedspar.requests.admission import AdmissionControl, WorkspaceTerms
+from reedspar.requests.admission import AdmissionControl, WorkspaceLimits
 from reedspar.requests.quarantine import Quarantine, Standing
 from reedspar.requests.retries import RetryBudget
 from reedspar.requests.routing import Router
@@ -54,7 +54,7 @@
         self.answered: dict[str, int] = {}
 
     def run(
-        self, rates: dict[str, float], terms: dict[str, WorkspaceTerms], seconds: float
+        self, rates: dict[str, float], terms: dict[str, WorkspaceLimits], seconds: float
     ) -> None:
         """Offer `rates` requests a second, each of 0.1 s, after a warm-up."""
         names = list(rates)
@@ -93,7 +93,7 @@
         # few requests are within its share and must hardly notice.
         for seed in range(5):
             pool = Pool(20, seed)
-            terms = dict.fromkeys(("big", "small"), WorkspaceTerms())
+            terms = dict.fromkeys(("big", "small"), WorkspaceLimits())
             pool.run({"big": 800, "small": 40}, terms, 20)
             self.assertGreater(pool.share("small"), 0.85)
             total = sum(pool.answered.values()) / 10
@@ -103,16 +103,18 @@
         # Many streams begin within a second, each for minutes.  A window that
         # grows by answers alone would refuse nearly all before idle targets.
         control = AdmissionControl()
-        terms = WorkspaceTerms(max_in_flight=1000)
+        terms = WorkspaceLimits(max_in_flight=1000)
         for number in range(400):
-            failure = control.try_admit("w", terms, number / 400, has_room=True)
+            failure = control.try_admit(
+                "w", terms, number / 400, has_spare_capacity=True
+            )
             self.assertIsNone(failure)
 
     def test_low_priority_is_refused_first(self) -> None:
         pool = Pool(20, 1)
         terms = {
-            "counter": WorkspaceTerms(share=4, priority=9),
-            "batch": WorkspaceTerms(priority=0),
+            "counter": WorkspaceLimits(share=4, priority=9),
+            "batch": WorkspaceLimits(priority=0),
         }
         pool.run({"counter": 120, "batch": 400}, terms, 20)
         self.assertGreater(pool.share("counter"), 0.9)
@@ -128,7 +130,7 @@
         for now_s, (step, number) in enumerate(steps):
             name = f"w{number}"
             if step < 3:
-                terms = WorkspaceTerms(max_in_flight=3)
+                terms = WorkspaceLimits(max_in_flight=3)
                 window = control.window
                 if control.try_admit(name, terms, now_s / 10) is None:
                     held.append(name)
--- a/reedspar/routes/__init__.py
+++ b/reedspar/routes/__init__.py
@@ -1,7 +1,7 @@
 """Routes of callers' requests: which service runs them, how often, for whom."""
 
 from .access import WorkspaceAccess, find_workspace
-from .services import EngineTerms, OriginTerms, ServiceTerms
+from .services import EngineParameters, OriginParameters, ServiceParameters
 from .table import (
     CallerLimits,
     RequestKind,
@@ -14,12 +14,12 @@
 
 __all__ = [
     "CallerLimits",
-    "EngineTerms",
-    "OriginTerms",
+    "EngineParameters",
+    "OriginParameters",
     "RequestKind",
     "Route",
     "RouteTable",
-    "ServiceTerms",
+    "ServiceParameters",
     "WeightedService",
     "WorkspaceAccess",
     "find_route",
--- a/reedspar/routes/services.py
+++ b/reedspar/routes/services.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["EngineTerms", "OriginTerms", "ServiceTerms"]
+__all__ = ["EngineParameters", "OriginParameters", "ServiceParameters"]
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTerms:
+class EngineParameters:
     """How the model engines of a service batch, read and write."""
 
     models: tuple[str, ...]
@@ -16,23 +16,23 @@
     """Time of one step that writes one token for each request of the batch."""
     step_per_request_s: float
     """What each request that writes adds to a step."""
-    read_tokens_per_s: float
+    prefill_tokens_per_s: float
     """Prompt tokens read a second, while nothing else runs."""
-    pair_s: float
+    attention_s_per_pair: float
     """What each pair of a prompt token and an earlier one adds to the reading."""
     steps_per_pass: int
     """Steps of one pass; between two passes the engine reads prompts."""
-    read_tokens_per_pass: int
+    prefill_tokens_per_pass: int
     """Prompt tokens read in one pass at most."""
-    usual_prompt_tokens: int
-    usual_answer_tokens: int
+    typical_prompt_tokens: int
+    typical_answer_tokens: int
     layers: int
     warm_s: float
     """Time in which an engine loads a version that lies staged beside it."""
 
 
 @dataclass(frozen=True, slots=True)
-class OriginTerms:
+class OriginParameters:
     """Where the origin of weights is, and what its link carries."""
 
     host: str
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceTerms:
+class ServiceParameters:
     """A pool of alike targets."""
 
     name: str
@@ -53,5 +53,5 @@
     """How long a target is cold after its start."""
     cold_requests_per_s: float
     """Requests a second that a cold target bears from all entries; 0: unbounded."""
-    engine: EngineTerms | None = None
-    origin: OriginTerms | None = None
+    engine: EngineParameters | None = None
+    origin: OriginParameters | None = None
--- a/reedspar/routes/table.py
+++ b/reedspar/routes/table.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from .access import WorkspaceAccess
-from .services import ServiceTerms
+from .services import ServiceParameters
 
 __all__ = [
     "CallerLimits",
@@ -47,7 +47,7 @@
     services: tuple[WeightedService, ...]
     timeout_s: float
     """How long a caller may be kept waiting at most."""
-    aim_s: float
+    latency_goal_s: float
     """Time to the answer, or to a stream's first event, that callers wait gladly."""
     priority: int
     """0 is the most urgent."""
@@ -92,19 +92,19 @@
     version: int
     routes: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
     """Routes by host, the longest prefix first."""
-    services: Mapping[str, ServiceTerms] = field(default_factory=dict)
+    services: Mapping[str, ServiceParameters] = field(default_factory=dict)
     workspaces: Mapping[str, WorkspaceAccess] = field(default_factory=dict)
     """Workspaces by API key."""
     has_workspaces: bool = False
     limits: CallerLimits = CallerLimits()
 
     @property
-    def origin(self) -> ServiceTerms | None:
+    def origin(self) -> ServiceParameters | None:
         """Return the service that is the origin of weights, if there is one."""
         found = (item for item in self.services.values() if item.origin is not None)
         return next(found, None)
 
-    def pools_of(self, model: str) -> tuple[str, ...]:
+    def services_for_model(self, model: str) -> tuple[str, ...]:
         """Return the services whose engines serve a model."""
         return tuple(
             terms.name
--- a/reedspar/routes/tests/test_table.py
+++ b/reedspar/routes/tests/test_table.py
@@ -23,7 +23,7 @@
         "kind": RequestKind.IDEMPOTENT,
         "services": (WeightedService("s"),),
         "timeout_s": 1.0,
-        "aim_s": 0.1,
+        "latency_goal_s": 0.1,
         "priority": 1,
         "attempts_max": 2,
     }
--- a/tests/test_silent_link.py
+++ b/tests/test_silent_link.py
@@ -67,7 +67,7 @@
     async def expect_whole_answer(self, attempt: OpenAttempt) -> None:
         await wait_until(lambda: not attempt.assembly.is_open)
         self.assertIs(attempt.assembly.verdict, Verdict.WHOLE)
-        self.assertEqual(attempt.assembly.take(), WHOLE)
+        self.assertEqual(attempt.assembly.read_available(), WHOLE)
         self.assertEqual(self.target.runs, ["r1.1"])
 
     def test_connection_that_goes_silent_both_ways_loses_nothing(self) -> None:
