--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -117,7 +117,7 @@
         view.apply(RoutesChange(make_table()))
         for target in targets:
             view.apply(TargetChange(target, make_engine_target(target)))
-        view.end_seeding()
+        view.mark_initialized()
         versions = VersionRule(view, timers, 8.0)
         self.chooser = DirectChooser(
             view,
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -228,7 +228,7 @@
             self._told_s.clear()
         self._note_ready()
         is_watching = self.is_watching
-        if is_watching and self._view.is_seeded:
+        if is_watching and self._view.is_initialized:
             if self._may_attest(now_s):
                 self._exchange.table.note_attested(self._zone, now_s)
             self._start_watch()
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -129,7 +129,7 @@
 
     def __init__(self, fleet: "Fleet", node: "Node") -> None:
         self._fleet = fleet
-        self.is_seeded = True
+        self.is_initialized = True
 
     def zones(self) -> frozenset[str]:
         return self._fleet.zones
--- a/reedspar/configuration/view.py
+++ b/reedspar/configuration/view.py
@@ -10,7 +10,7 @@
     """The daemons that may be alive, this one included."""
 
     @property
-    def is_seeded(self) -> bool:
+    def is_initialized(self) -> bool:
         """Tell whether the instance list was ever learned."""
         ...
 
--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -126,7 +126,7 @@
         self.recorder.record(EventKind.DAEMON_PAUSED, detail=f"{gap_s:.1f} s")
 
     def _want_links(self) -> None:
-        wanted = self.membership.wanted_links()
+        wanted = self.membership.desired_links()
         self.network.want(
             "membership",
             [PeerAddress(record.name, record.host, record.port) for record in wanted],
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -123,7 +123,7 @@
         await self._poll_engine(controller)
 
     async def _register(self) -> None:
-        await self.base.feed.wait_seeded()
+        await self.base.feed.wait_initialized()
         await self.base.registration.run()
 
     def _name_versions(self) -> None:
@@ -131,7 +131,7 @@
         for named in list_named(self.base.view, self.settings.pool):
             self.catalog.name(named.model, named.version)
             for known in self.base.view.versions_of(named.model):
-                self.catalog.note_named(known.model, known.version, known.named_s)
+                self.catalog.note_named(known.model, known.version, known.named_at_s)
 
     async def _poll_engine(self, controller: WeightController) -> None:
         address = self.settings.target_address
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -80,7 +80,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
-        is_known = self.base.feed.is_seeded and self.base.view.routes is not None
+        is_known = self.base.feed.is_initialized and self.base.view.routes is not None
         return is_known and not self.is_leaving
 
     def list_addresses(self, host: str, zone: str, region: str) -> list[DaemonRecord]:
@@ -108,7 +108,7 @@
         await self._leave()
 
     async def _register(self) -> None:
-        await self.base.feed.wait_seeded()
+        await self.base.feed.wait_initialized()
         self.service.note_seeded()
         _logger.info("ready", extra={"targets": self.base.view.target_count()})
         await self.base.registration.run()
@@ -188,7 +188,7 @@
         dialer=borders.create_dialer(view),
         border=borders.border,
         others=borders.metrics_app,
-        is_in_doubt=lambda: base.registration.speed.is_in_doubt,
+        is_in_doubt=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
         first_filters=(RequestLog(view, timers, borders.metrics),),
     )
--- a/reedspar/daemon/site_parts.py
+++ b/reedspar/daemon/site_parts.py
@@ -79,8 +79,8 @@
         value,
         parts.store,
         timers,
-        feed.note_served,
-        feed.note_unserved,
+        feed.record_store_success,
+        feed.record_store_failure,
         lambda: feed.revision_of(key),
     )
     links = create_site_links(settings, incarnation, view, timers, rng)
--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -102,7 +102,7 @@
 
 async def wait_routes(base: SiteBase) -> None:
     """Return once the configuration is known: it says where the origin is."""
-    await base.feed.wait_seeded()
+    await base.feed.wait_initialized()
     known = anyio.Event()
     base.view.on_change(lambda change: known.set())
     while base.view.routes is None:
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -128,7 +128,7 @@
         self.rule.note_seeded()
         self.clock.advance(1.0)
         self.name(2)
-        self.view.note_named("m", 2, self.clock.now_s() - 2.0, "entry-2")
+        self.view.record_naming_time("m", 2, self.clock.now_s() - 2.0, "entry-2")
         self.clock.advance(5.5)
         self.assertTrue(self.rule.may_serve("m", 1))
         self.clock.advance(0.2)
@@ -137,7 +137,7 @@
     def test_peers_word_does_not_lengthen_the_time_after_a_start(self) -> None:
         self.name(2)
         self.rule.note_seeded()
-        self.view.note_named("m", 2, self.clock.now_s() - 0.5, "entry-2")
+        self.view.record_naming_time("m", 2, self.clock.now_s() - 0.5, "entry-2")
         self.clock.advance(0.9)
         self.assertTrue(self.rule.may_serve("m", 1))
         self.clock.advance(0.2)
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -45,7 +45,7 @@
     def replaced_s(self, model: str, version: int) -> float | None:
         """Return when the first version above `version` was named, if one was."""
         newer = self._newer(model, version)
-        return min((item.named_s for item in newer), default=None)
+        return min((item.named_at_s for item in newer), default=None)
 
     def may_serve(self, model: str, version: int, wait_s: float = 0.0) -> bool:
         """Tell whether a request that will wait may begin on a version."""
@@ -57,9 +57,9 @@
         newer = self._newer(model, version)
         if not newer:
             return float("inf")
-        named_s = min(item.named_s for item in newer)
+        named_s = min(item.named_at_s for item in newer)
         until_s = named_s + self._bound_s - OLDER_MARGIN_S
-        heard_s = min(item.heard_s for item in newer)
+        heard_s = min(item.learned_at_s for item in newer)
         if self._seeded_s is None or heard_s <= self._seeded_s:
             return min(until_s, heard_s + UNSURE_S)
         return until_s
--- a/reedspar/fleet/ages.py
+++ b/reedspar/fleet/ages.py
@@ -46,7 +46,7 @@
     def ask(self, peers: Sequence[str]) -> None:
         """Ask peers, and at times one of any region, about versions heard of lately."""
         horizon_s = self._timers.now_s() - ASKED_FOR_S
-        recent = [i for i in self._view.all_versions() if i.heard_s > horizon_s]
+        recent = [i for i in self._view.all_versions() if i.learned_at_s > horizon_s]
         if not recent:
             return
         for peer in [*peers, *self._choose_far()]:
@@ -68,10 +68,10 @@
             return
         for named in known:
             if named.version <= request.version:
-                age_ms = round((now_s - named.named_s) * 1000)
+                age_ms = round((now_s - named.named_at_s) * 1000)
                 age = VersionAge(request.model, named.version, age_ms)
                 self._network.send(sender.name, age)
 
     def _take(self, sender: Sender, age: VersionAge) -> None:
-        named_s = self._timers.now_s() - age.age_ms / 1000
-        self._view.note_named(age.model, age.version, named_s, sender.name)
+        named_at_s = self._timers.now_s() - age.age_ms / 1000
+        self._view.record_naming_time(age.model, age.version, named_at_s, sender.name)
--- a/reedspar/fleet/document_poll.py
+++ b/reedspar/fleet/document_poll.py
@@ -9,7 +9,7 @@
 from reedspar.messages import Sender
 from reedspar.timers import TimerService
 
-from .entries import EntryBook
+from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import DocumentNews, DocumentRequest
 from .reader_selection import READERS_KEY, ReaderSelection
@@ -33,7 +33,7 @@
         self,
         name: str,
         region: str,
-        book: EntryBook,
+        cache: PrefixCache,
         feed: FleetFeed,
         view: FleetView,
         network: Network,
@@ -43,7 +43,7 @@
     ) -> None:
         self._name = name
         self._region = region
-        self._book = book
+        self._book = cache
         self._view = view
         self._network = network
         self._timers = timers
--- a/reedspar/fleet/entries.py
+++ b/reedspar/fleet/entries.py
@@ -10,7 +10,7 @@
 
 from .store import Listing, WatchedEntry
 
-__all__ = ["LAPSE_GRACE_S", "EntryBook"]
+__all__ = ["LAPSE_GRACE_S", "PrefixCache"]
 
 LAPSE_GRACE_S = 2.0
 """Seconds after the store's return for which an entry that has lapsed is kept.
@@ -26,11 +26,11 @@
 
 
 @dataclass(slots=True)
-class EntryBook:
+class PrefixCache:
     """Entries below one prefix."""
 
     prefix: str
-    is_kept_over_outage: bool = False
+    defers_outage_removals: bool = False
     """Removals around an outage may be lapses of leases that still live."""
     revision: int = 0
     _entries: dict[str, WatchedEntry] = field(default_factory=dict)
@@ -95,7 +95,7 @@
         if newest <= self._newest_revision:
             self.revision = max(self.revision, covered)
 
-    def note_served(self, now_s: float) -> None:
+    def record_store_success(self, now_s: float) -> None:
         """Note that the store has answered a call, for whatever prefix."""
         is_first = self._served_s == float("-inf") and not self._is_away
         if now_s - self._served_s >= LAPSE_MIN_S and not is_first:
@@ -104,7 +104,7 @@
 
     def note_returned(self, now_s: float) -> bool:
         """Note that the store answers; tell whether that is news."""
-        self.note_served(now_s)
+        self.record_store_success(now_s)
         if not self._is_away:
             return False
         self._is_away = False
@@ -168,7 +168,7 @@
     def _is_to_hold(
         self, entry: WatchedEntry, known: WatchedEntry | None, now_s: float
     ) -> bool:
-        if entry.value is not None or not self.is_kept_over_outage:
+        if entry.value is not None or not self.defers_outage_removals:
             return False
         if known is None or known.value is None:
             return False
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -14,7 +14,7 @@
 
 from .ages import VersionAges
 from .document_poll import DocumentPoll
-from .entries import EntryBook
+from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import DocumentNews, DocumentRequest, FleetEntries, FleetRequest
 from .packing import EntryPacker, unpack_entry
@@ -71,29 +71,31 @@
         self._packer = EntryPacker()
         self._relay = RegionRelay(name, region, role, feed, view, network, timers, rng)
         network.subscribe(DocumentRequest, self._answer_document)
-        pushed = [book.prefix for book in feed.pushed_books]
-        for book in [*feed.relayed_books, *feed.polled_books]:
-            if book.prefix in pushed:
-                prefix_poll = PrefixPoll(name, region, book, view, network, rng)
-                feed.set_poller(book.prefix, prefix_poll.poll)
+        pushed = [cache.prefix for cache in feed.pushed_caches]
+        for cache in [*feed.relayed_caches, *feed.polled_caches]:
+            if cache.prefix in pushed:
+                prefix_poll = PrefixPoll(name, region, cache, view, network, rng)
+                feed.set_poller(cache.prefix, prefix_poll.poll)
                 continue
-            is_reader = self._relay.is_relayed(book.prefix)
+            is_reader = self._relay.is_relayed(cache.prefix)
             poll = DocumentPoll(
-                name, region, book, feed, view, network, timers, rng, is_reader
+                name, region, cache, feed, view, network, timers, rng, is_reader
             )
-            feed.set_poller(book.prefix, poll.poll)
+            feed.set_poller(cache.prefix, poll.poll)
 
     def ask(self) -> None:
         """Ask peers for what they have heard of the store since this daemon has."""
         peers = self._choose_peers()
-        books = [book for book in self._feed.shared_books if self._is_asked(book)]
+        caches = [cache for cache in self._feed.shared_caches if self._is_asked(cache)]
         for peer in peers:
-            for book in books:
-                self._network.send(peer, FleetRequest(book.prefix, book.seen_revision))
+            for cache in caches:
+                self._network.send(
+                    peer, FleetRequest(cache.prefix, cache.seen_revision)
+                )
         self._ages.ask(peers)
 
-    def _is_asked(self, book: EntryBook) -> bool:
-        return not self._relay.is_relayed(book.prefix) or self._relay.is_asking
+    def _is_asked(self, cache: PrefixCache) -> bool:
+        return not self._relay.is_relayed(cache.prefix) or self._relay.is_asking
 
     def _choose_peers(self) -> list[str]:
         # Agents follow fewer prefixes than entries.
@@ -112,41 +114,45 @@
 
     def _answer_document(self, sender: Sender, request: DocumentRequest) -> None:
         """Answer even if nothing is newer: the sender asks seldom, and waits for it."""
-        book = self._feed.books.get(request.prefix)
-        if book is None:
+        cache = self._feed.caches.get(request.prefix)
+        if cache is None:
             return
-        if book.entries_after(request.after_revision):
-            self._answer(sender, FleetRequest(book.prefix, request.after_revision))
+        if cache.entries_after(request.after_revision):
+            self._answer(sender, FleetRequest(cache.prefix, request.after_revision))
         else:
-            newest, covered = book.newest_revision, book.revision
-            news = DocumentNews(book.prefix, newest, covered, True)
+            newest, covered = cache.newest_revision, cache.revision
+            news = DocumentNews(cache.prefix, newest, covered, True)
             self._network.send(sender.name, news)
 
     def _answer(self, sender: Sender, request: FleetRequest) -> None:
         """Answer from entries that cover what a peer follows, which may be a part."""
-        book = next(
-            (b for b in self._feed.shared_books if request.prefix.startswith(b.prefix)),
+        cache = next(
+            (
+                b
+                for b in self._feed.shared_caches
+                if request.prefix.startswith(b.prefix)
+            ),
             None,
         )
-        if book is None:
+        if cache is None:
             return
         newer = [
             entry
-            for entry in book.entries_after(request.after_revision)
+            for entry in cache.entries_after(request.after_revision)
             if entry.key.startswith(request.prefix)
         ]
         if not newer:
             return
         entries = tuple(self._packer.pack(entry) for entry in newer[:ENTRIES_MAX])
         is_complete = len(newer) <= ENTRIES_MAX
-        revision = book.revision if is_complete else entries[-1].revision
-        is_whole = is_complete and request.after_revision == 0 and book.revision > 0
+        revision = cache.revision if is_complete else entries[-1].revision
+        is_whole = is_complete and request.after_revision == 0 and cache.revision > 0
         message = FleetEntries(request.prefix, revision, entries, is_whole)
         self._network.send(sender.name, message)
 
     def _take(self, sender: Sender, message: FleetEntries) -> None:
         entries = [e for e in map(unpack_entry, message.entries) if e is not None]
-        if message.is_whole and message.prefix in self._feed.books:
+        if message.is_whole and message.prefix in self._feed.caches:
             listing = Listing(tuple(entries), message.revision)
             news = self._feed.take_listing_from_peer(message.prefix, listing)
         else:
@@ -166,10 +172,10 @@
 
     def _note_covered(self, message: FleetEntries) -> None:
         """Advance the watch of a document to the revision that the peer has covered."""
-        book = self._feed.books[message.prefix]
-        if book not in self._feed.pushed_books:
+        cache = self._feed.caches[message.prefix]
+        if cache not in self._feed.pushed_caches:
             newest = max(entry.revision for entry in message.entries)
-            book.note_covered(newest, message.revision)
+            cache.note_covered(newest, message.revision)
 
 
 def create_fleet_exchange(
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -12,7 +12,7 @@
 from reedspar.timers import TimerService
 
 from .changes import FleetChange
-from .entries import EntryBook
+from .entries import PrefixCache
 from .gate import WatchGate
 from .store import Listing, WatchableStore, WatchedChanges, WatchedEntry
 from .view import FleetView
@@ -57,10 +57,10 @@
     """A part of the store to follow."""
 
     prefix: str
-    is_kept_over_outage: bool = False
-    gather_s: float = GATHER_S
+    defers_outage_removals: bool = False
+    batch_interval_s: float = GATHER_S
     """Pause between two watches, in which changes gather for one call."""
-    poll_s: float | None = None
+    poll_interval_s: float | None = None
     """Mean time between two reads of what need not be known at once, or None.
 
     Such a prefix is not watched.  Peers are asked at each read, and the store only if
@@ -91,8 +91,8 @@
         self._timers = timers
         self._rng = rng
         self._prefixes = {item.prefix: item for item in prefixes}
-        self._books = {
-            item.prefix: EntryBook(item.prefix, item.is_kept_over_outage)
+        self._caches = {
+            item.prefix: PrefixCache(item.prefix, item.defers_outage_removals)
             for item in prefixes
         }
         self._gates = {
@@ -102,52 +102,52 @@
         self._taken_listeners: list[TakenListener] = []
         self._gather_min_s = 0.0
         self._listed: set[str] = set()
-        self._asking: EntryBook | None = None
+        self._asking: PrefixCache | None = None
         self._answered = anyio.Event()
-        self._seeded = anyio.Event()
+        self._initialized = anyio.Event()
         timers.call_every(HELD_CHECK_S, self._release_held)
 
     @property
-    def is_seeded(self) -> bool:
+    def is_initialized(self) -> bool:
         """Tell whether every prefix was listed once."""
-        return self._seeded.is_set()
+        return self._initialized.is_set()
 
     @property
     def is_store_away(self) -> bool:
         """Tell whether the store does not answer this daemon."""
-        return any(book.is_away for book in self._books.values())
+        return any(cache.is_away for cache in self._caches.values())
 
     @property
-    def books(self) -> dict[str, EntryBook]:
+    def caches(self) -> dict[str, PrefixCache]:
         """Return the entries by prefix."""
-        return self._books
+        return self._caches
 
     @property
-    def shared_books(self) -> list[EntryBook]:
+    def shared_caches(self) -> list[PrefixCache]:
         """Return the entries that peers tell each other of, by prefix."""
         return [
-            book
-            for prefix, book in self._books.items()
-            if self._prefixes[prefix].poll_s is None
+            cache
+            for prefix, cache in self._caches.items()
+            if self._prefixes[prefix].poll_interval_s is None
         ]
 
     @property
-    def relayed_books(self) -> list[EntryBook]:
+    def relayed_caches(self) -> list[PrefixCache]:
         """Return the entries that a few daemons of each region watch."""
-        return [b for p, b in self._books.items() if self._prefixes[p].is_relayed]
+        return [b for p, b in self._caches.items() if self._prefixes[p].is_relayed]
 
     @property
-    def pushed_books(self) -> list[EntryBook]:
+    def pushed_caches(self) -> list[PrefixCache]:
         """Return the entries whose changes readers send without a request."""
-        return [b for p, b in self._books.items() if self._prefixes[p].is_pushed]
+        return [b for p, b in self._caches.items() if self._prefixes[p].is_pushed]
 
     @property
-    def polled_books(self) -> list[EntryBook]:
+    def polled_caches(self) -> list[PrefixCache]:
         """Return the entries that are read seldom."""
         return [
-            book
-            for prefix, book in self._books.items()
-            if self._prefixes[prefix].poll_s is not None
+            cache
+            for prefix, cache in self._caches.items()
+            if self._prefixes[prefix].poll_interval_s is not None
         ]
 
     def set_poller(self, prefix: str, poll: Callable[[], Awaitable[bool]]) -> None:
@@ -168,7 +168,7 @@
             "watch changed", extra={"prefix": prefix, "is_watched": is_watched}
         )
         if not is_watched:
-            self._leave_to_peers(self._books[prefix])
+            self._leave_to_peers(self._caches[prefix])
         return True
 
     def set_gather_min(self, gather_min_s: float) -> None:
@@ -179,34 +179,34 @@
         """Return the revision of a key, 0 if it is not known to exist."""
         return next(
             (
-                book.revision_of(key)
-                for prefix, book in self._books.items()
+                cache.revision_of(key)
+                for prefix, cache in self._caches.items()
                 if key.startswith(prefix)
             ),
             0,
         )
 
-    def note_served(self) -> None:
+    def record_store_success(self) -> None:
         """Note that the store has answered some call of this daemon."""
         now_s = self._timers.now_s()
-        for prefix, book in self._books.items():
+        for prefix, cache in self._caches.items():
             if self._gates[prefix].is_open:
-                book.note_served(now_s)
+                cache.record_store_success(now_s)
             else:
-                book.note_returned(now_s)
+                cache.note_returned(now_s)
 
-    def note_unserved(self) -> None:
+    def record_store_failure(self) -> None:
         """Note that a call of this daemon to the store has failed.
 
         Marks only prefixes that are not watched; a watch detects an outage itself.
         """
-        for prefix, book in self._books.items():
+        for prefix, cache in self._caches.items():
             if not self._gates[prefix].is_open:
-                book.note_away()
+                cache.note_away()
 
-    async def wait_seeded(self) -> None:
+    async def wait_initialized(self) -> None:
         """Return once every prefix was listed."""
-        await self._seeded.wait()
+        await self._initialized.wait()
 
     async def run(self) -> None:
         """Follow every prefix until cancelled.
@@ -214,140 +214,142 @@
         The first prefixes, up to the last document, are read before the others: what
         their entries say decides how those of the others are read.
         """
-        documents = [n for n, p in enumerate(self._books) if self._is_document(p)]
-        books = list(self._books.values())
+        documents = [n for n, p in enumerate(self._caches) if self._is_document(p)]
+        caches = list(self._caches.values())
         first_count = max(documents, default=0) + 1
         is_from_peers = False
         async with anyio.create_task_group() as tasks:
-            for book in books[:first_count]:
-                is_from_peers = await self._read(book)
-                tasks.start_soon(self._follow, book)
-            for book in books[first_count:]:
-                tasks.start_soon(self._read_and_follow, book, is_from_peers)
+            for cache in caches[:first_count]:
+                is_from_peers = await self._read(cache)
+                tasks.start_soon(self._follow, cache)
+            for cache in caches[first_count:]:
+                tasks.start_soon(self._read_and_follow, cache, is_from_peers)
 
     def _is_document(self, prefix: str) -> bool:
         return prefix in self._pollers and not self._prefixes[prefix].is_pushed
 
     def take_from_peer(self, prefix: str, entries: Iterable[WatchedEntry]) -> int:
         """Take in what a peer has heard from the store; return how much was news."""
-        book = self._books.get(prefix)
-        if book is None:
+        cache = self._caches.get(prefix)
+        if cache is None:
             return 0
         # The own watch goes on from the revision that it has reached itself:
         # a peer's entries may leave gaps below the peer's revision.
         # Peers pass on no removal that they keep back themselves.
         now_s = self._timers.now_s()
-        changed = book.take(entries, book.revision, now_s, is_certain=True)
-        self._take_in(book, changed)
+        changed = cache.take(entries, cache.revision, now_s, is_certain=True)
+        self._take_in(cache, changed)
         return len(changed)
 
     def take_listing_from_peer(self, prefix: str, listing: Listing) -> int:
         """Take in all entries of a prefix that a peer has; return how many were new."""
-        book = self._books[prefix]
+        cache = self._caches[prefix]
         now_s = self._timers.now_s()
-        changed = book.take_listing(listing, now_s, is_certain=True)
-        self._take_in(book, changed)
+        changed = cache.take_listing(listing, now_s, is_certain=True)
+        self._take_in(cache, changed)
         return len(changed)
 
-    async def _read_and_follow(self, book: EntryBook, is_from_peers: bool) -> None:
+    async def _read_and_follow(self, cache: PrefixCache, is_from_peers: bool) -> None:
         """Read a prefix, from peers if they answered the last read, and follow it."""
         if is_from_peers:
-            await self._read(book)
+            await self._read(cache)
         else:
-            await self._list(book)
-        await self._follow(book)
+            await self._list(cache)
+        await self._follow(cache)
 
-    async def _read(self, book: EntryBook) -> bool:
+    async def _read(self, cache: PrefixCache) -> bool:
         """Read from peers what may be had from them, else from the store.
 
         Return whether a peer has answered.
         """
-        poll = self._pollers.get(book.prefix)
+        poll = self._pollers.get(cache.prefix)
         while True:
             if poll is not None and await poll():
-                self._leave_to_peers(book)
-                self._note_listed(book)
+                self._leave_to_peers(cache)
+                self._note_listed(cache)
                 return True
-            if await self._try_list(book):
+            if await self._try_list(cache):
                 return False
 
-    async def _list(self, book: EntryBook) -> None:
-        while not await self._try_list(book):
+    async def _list(self, cache: PrefixCache) -> None:
+        while not await self._try_list(cache):
             pass
 
-    async def _try_list(self, book: EntryBook) -> bool:
+    async def _try_list(self, cache: PrefixCache) -> bool:
         """List once; after a failure return when it is time to call again."""
-        listing = await self._store.list_entries(book.prefix)
+        listing = await self._store.list_entries(cache.prefix)
         now_s = self._timers.now_s()
         if isinstance(listing, Failure):
-            await self._wait_for_store(book, listing)
+            await self._wait_for_store(cache, listing)
             return False
-        self._note_answer(book, now_s)
-        self._take_in(book, book.take_listing(listing, now_s))
-        self._note_listed(book)
+        self._note_answer(cache, now_s)
+        self._take_in(cache, cache.take_listing(listing, now_s))
+        self._note_listed(cache)
         return True
 
-    async def _follow(self, book: EntryBook) -> None:
-        poll_s = self._prefixes[book.prefix].poll_s
+    async def _follow(self, cache: PrefixCache) -> None:
+        poll_interval_s = self._prefixes[cache.prefix].poll_interval_s
         while True:
             # Until the first entry is written it is awaited like any other news.
-            if poll_s is not None and book.entries_after(0):
-                await anyio.sleep(poll_s * self._rng.uniform(POLL_MIN, POLL_MAX))
-                await self._read(book)
+            if poll_interval_s is not None and cache.entries_after(0):
+                await anyio.sleep(
+                    poll_interval_s * self._rng.uniform(POLL_MIN, POLL_MAX)
+                )
+                await self._read(cache)
                 continue
-            result = await self._gates[book.prefix].run(lambda: self._watch(book))
+            result = await self._gates[cache.prefix].run(lambda: self._watch(cache))
             now_s = self._timers.now_s()
             if result is None:
                 continue
             if isinstance(result, WatchedChanges):
-                self._note_answer(book, now_s)
-                changed = book.take(result.entries, result.revision, now_s)
-                self._take_in(book, changed)
-                gather_s = self._prefixes[book.prefix].gather_s
-                await anyio.sleep(max(gather_s, self._gather_min_s))
+                self._note_answer(cache, now_s)
+                changed = cache.take(result.entries, result.revision, now_s)
+                self._take_in(cache, changed)
+                batch_interval_s = self._prefixes[cache.prefix].batch_interval_s
+                await anyio.sleep(max(batch_interval_s, self._gather_min_s))
             elif result.reason is Reason.EXPIRED:
                 _logger.warning(
                     "history of the store is gone; listing again",
-                    extra={"prefix": book.prefix, "revision": book.revision},
+                    extra={"prefix": cache.prefix, "revision": cache.revision},
                 )
-                await self._list(book)
+                await self._list(cache)
             else:
-                await self._wait_for_store(book, result)
+                await self._wait_for_store(cache, result)
 
-    async def _watch(self, book: EntryBook) -> WatchedChanges | Failure:
-        wait_s = PROBE_S if book.is_away else WATCH_S
-        is_single = self._is_single_document(book.prefix)
-        after = book.seen_revision if is_single else book.revision
-        return await self._store.watch_entries(book.prefix, after, wait_s)
+    async def _watch(self, cache: PrefixCache) -> WatchedChanges | Failure:
+        wait_s = PROBE_S if cache.is_away else WATCH_S
+        is_single = self._is_single_document(cache.prefix)
+        after = cache.seen_revision if is_single else cache.revision
+        return await self._store.watch_entries(cache.prefix, after, wait_s)
 
     def _is_single_document(self, prefix: str) -> bool:
         """Tell whether a prefix has one entry: peers' revisions then leave no gap."""
         options = self._prefixes[prefix]
         return options.is_relayed and not options.is_pushed
 
-    async def _wait_for_store(self, book: EntryBook, failure: Failure) -> None:
+    async def _wait_for_store(self, cache: PrefixCache, failure: Failure) -> None:
         """Return when it is time to call again."""
-        if book.note_away():
+        if cache.note_away():
             _logger.warning(
-                "store lost", extra={"prefix": book.prefix, "failure": str(failure)}
+                "store lost", extra={"prefix": cache.prefix, "failure": str(failure)}
             )
         if self._asking is None:
-            self._asking = book
-        if self._asking is book:
+            self._asking = cache
+        if self._asking is cache:
             await anyio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
         else:
             await self._answered.wait()
 
-    def _note_answer(self, book: EntryBook, now_s: float) -> None:
-        self.note_served()
-        if book.note_returned(now_s):
-            _logger.info("store regained", extra={"prefix": book.prefix})
+    def _note_answer(self, cache: PrefixCache, now_s: float) -> None:
+        self.record_store_success()
+        if cache.note_returned(now_s):
+            _logger.info("store regained", extra={"prefix": cache.prefix})
         if self._asking is not None:
             self._let_others_ask()
 
-    def _leave_to_peers(self, book: EntryBook) -> None:
-        book.note_left()
-        if self._asking is book:
+    def _leave_to_peers(self, cache: PrefixCache) -> None:
+        cache.note_left()
+        if self._asking is cache:
             self._let_others_ask()
 
     def _let_others_ask(self) -> None:
@@ -355,17 +357,17 @@
         self._answered.set()
         self._answered = anyio.Event()
 
-    def _note_listed(self, book: EntryBook) -> None:
-        self._listed.add(book.prefix)
-        if len(self._listed) == len(self._books) and not self._seeded.is_set():
-            self._view.end_seeding()
-            self._seeded.set()
+    def _note_listed(self, cache: PrefixCache) -> None:
+        self._listed.add(cache.prefix)
+        if len(self._listed) == len(self._caches) and not self._initialized.is_set():
+            self._view.mark_initialized()
+            self._initialized.set()
 
-    def _take_in(self, book: EntryBook, changed: Sequence[WatchedEntry]) -> None:
+    def _take_in(self, cache: PrefixCache, changed: Sequence[WatchedEntry]) -> None:
         self._apply(changed)
         if changed:
             for listener in self._taken_listeners:
-                listener(book.prefix, changed)
+                listener(cache.prefix, changed)
 
     def _apply(self, entries: Iterable[WatchedEntry]) -> None:
         for entry in entries:
@@ -374,8 +376,8 @@
                 self._view.apply(change)
 
     def _release_held(self) -> None:
-        for book in self._books.values():
-            self._take_in(book, book.release_held(self._timers.now_s()))
+        for cache in self._caches.values():
+            self._take_in(cache, cache.release_held(self._timers.now_s()))
 
 
 def create_fleet_feed(
--- a/reedspar/fleet/prefix_poll.py
+++ b/reedspar/fleet/prefix_poll.py
@@ -7,7 +7,7 @@
 from reedspar.links import Network, Role
 from reedspar.messages import Sender
 
-from .entries import EntryBook
+from .entries import PrefixCache
 from .messages import DocumentNews, DocumentRequest, FleetEntries
 from .reader_selection import READERS_KEY, ReaderSelection
 from .view import FleetView
@@ -25,14 +25,14 @@
         self,
         name: str,
         region: str,
-        book: EntryBook,
+        cache: PrefixCache,
         view: FleetView,
         network: Network,
         rng: random.Random,
     ) -> None:
         self._name = name
         self._region = region
-        self._book = book
+        self._book = cache
         self._view = view
         self._network = network
         self._rng = rng
--- a/reedspar/fleet/reader_selection.py
+++ b/reedspar/fleet/reader_selection.py
@@ -4,11 +4,11 @@
 
 from reedspar.utils import rank_by_rendezvous
 
-__all__ = ["NEWS_S", "READERS", "READERS_KEY", "ReaderSelection"]
+__all__ = ["NEWS_S", "READERS_KEY", "READERS_PER_REGION", "ReaderSelection"]
 
 READERS_KEY = "readers"
 """Rendezvous hashing key by which all daemons rank those of a region."""
-READERS = 2
+READERS_PER_REGION = 2
 """Daemons of a region that read the store."""
 READ_BY_ALL = 2
 """In a region of so few daemons each reads by itself."""
@@ -42,12 +42,12 @@
     @property
     def is_first(self) -> bool:
         """Tell whether this daemon is one of those that always read."""
-        return self._rank < READERS
+        return self._rank < READERS_PER_REGION
 
     @property
     def is_primary(self) -> bool:
         """Tell whether this daemon ranks first in its group."""
-        return self._rank % READERS == 0
+        return self._rank % READERS_PER_REGION == 0
 
     @property
     def is_next(self) -> bool:
@@ -62,17 +62,17 @@
     @property
     def listeners(self) -> list[str]:
         """Return the daemons of this region that are told what readers know."""
-        return self._ranked[READERS:]
+        return self._ranked[READERS_PER_REGION:]
 
     @property
     def group(self) -> int:
         """Return how many groups are before this daemon's."""
-        return self._rank // READERS
+        return self._rank // READERS_PER_REGION
 
     @property
     def first(self) -> list[str]:
         """Return the daemons that always read."""
-        return self._ranked[:READERS]
+        return self._ranked[:READERS_PER_REGION]
 
     def place(
         self, own_name: str, names: Iterable[str], agents: Iterable[str] = ()
@@ -119,4 +119,4 @@
         """Return the group of a daemon; an unranked one comes after all others."""
         is_ranked = name in self._ranked
         rank = self._ranked.index(name) if is_ranked else len(self._ranked)
-        return rank // READERS
+        return rank // READERS_PER_REGION
--- a/reedspar/fleet/records.py
+++ b/reedspar/fleet/records.py
@@ -62,7 +62,7 @@
 
     model: str
     version: int
-    heard_s: float
+    learned_at_s: float
     """When this daemon learned of it, by its monotonic clock."""
-    named_s: float
+    named_at_s: float
     """By when it was named: when the first daemon, as peers tell, had learned of it."""
--- a/reedspar/fleet/registration.py
+++ b/reedspar/fleet/registration.py
@@ -9,7 +9,7 @@
 from reedspar.timers import TimerService
 
 from .store import LeasingStore
-from .store_speed import StoreSpeed
+from .store_speed import StoreLatencyMonitor
 
 __all__ = ["LEASE_TTL_S", "Registration", "create_registration"]
 
@@ -38,17 +38,17 @@
         value: bytes,
         store: LeasingStore,
         timers: TimerService,
-        note_served: Callable[[], None],
-        note_unserved: Callable[[], None],
+        record_store_success: Callable[[], None],
+        record_store_failure: Callable[[], None],
         expected_revision: Callable[[], int],
     ) -> None:
         self._key = key
         self._value = value
         self._store = store
-        self._note_served = note_served
-        self._note_unserved = note_unserved
+        self._record_store_success = record_store_success
+        self._record_store_failure = record_store_failure
         self._expected_revision = expected_revision
-        self._speed = StoreSpeed(timers)
+        self._store_latency = StoreLatencyMonitor(timers)
         self._lease_id = ""
         self._is_leaving = False
         self._wakeup = anyio.Event()
@@ -60,21 +60,21 @@
         return bool(self._lease_id)
 
     @property
-    def speed(self) -> StoreSpeed:
+    def store_latency(self) -> StoreLatencyMonitor:
         """Return how fast the store answers the renewals."""
-        return self._speed
+        return self._store_latency
 
     async def run(self) -> None:
         """Keep the entry until cancelled or withdrawn."""
         while not self._is_leaving:
-            with self._speed.measure():
+            with self._store_latency.measure():
                 failure = await (self._renew() if self._lease_id else self._register())
             if failure is not None:
                 _logger.warning("registration failed", extra={"failure": str(failure)})
                 if failure.reason not in ANSWERED_REASONS:
-                    self._note_unserved()
+                    self._record_store_failure()
             else:
-                self._note_served()
+                self._record_store_success()
             self._wakeup = anyio.Event()
             with anyio.move_on_after(RETRY_S if failure else RENEW_S):
                 await self._wakeup.wait()
@@ -134,17 +134,23 @@
     value: bytes,
     store: LeasingStore,
     timers: TimerService,
-    note_served: Callable[[], None] = lambda: None,
-    note_unserved: Callable[[], None] = lambda: None,
+    record_store_success: Callable[[], None] = lambda: None,
+    record_store_failure: Callable[[], None] = lambda: None,
     expected_revision: Callable[[], int] = lambda: 0,
 ) -> Registration:
     """Make the registration of a daemon; start `run` next.
 
-    `note_served` is called after each call that succeeds, `note_unserved` after each
-    one that fails for a reason other than ANSWERED_REASONS.  `expected_revision`
-    returns the last known revision of the entry, 0 if none is known; the key is read
-    only if the store reports a conflict.
+    `record_store_success` is called after each call that succeeds,
+    `record_store_failure` after each one that fails for a reason other than
+    ANSWERED_REASONS.  `expected_revision` returns the last known revision of the
+    entry, 0 if none is known; the key is read only if the store reports a conflict.
     """
     return Registration(
-        key, value, store, timers, note_served, note_unserved, expected_revision
+        key,
+        value,
+        store,
+        timers,
+        record_store_success,
+        record_store_failure,
+        expected_revision,
     )
--- a/reedspar/fleet/relay.py
+++ b/reedspar/fleet/relay.py
@@ -8,7 +8,7 @@
 from reedspar.timers import TimerService
 
 from .changes import DaemonChange, FleetChange
-from .entries import EntryBook
+from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import FleetEntries, FleetNews, FleetRequest, PrefixState
 from .packing import EntryPacker
@@ -30,7 +30,7 @@
 """Between two requests for all entries of a prefix.
 
 The digest of a reader that holds back removals differs for two seconds."""
-STANDBY_GATHER_S = 0.8
+STANDBY_BATCH_INTERVAL_S = 0.8
 """Minimum pause between two watches of a reader that is not its group's primary.
 
 Shorter than the time in which a change has to be known, in case the primary fails."""
@@ -88,9 +88,9 @@
         self._network = network
         self._timers = timers
         self._rng = rng
-        self._books = {book.prefix: book for book in feed.relayed_books}
-        self._pushed = {book.prefix for book in feed.pushed_books}
-        self._limiters = {prefix: _RequestLimiter() for prefix in self._books}
+        self._caches = {cache.prefix: cache for cache in feed.relayed_caches}
+        self._pushed = {cache.prefix for cache in feed.pushed_caches}
+        self._limiters = {prefix: _RequestLimiter() for prefix in self._caches}
         self._packer = EntryPacker()
         self._selection = ReaderSelection(READERS_KEY, timers.now_s())
         self._is_placed = False
@@ -110,14 +110,14 @@
 
     def is_relayed(self, prefix: str) -> bool:
         """Tell whether a prefix is relayed."""
-        return prefix in self._books
+        return prefix in self._caches
 
     def _note_change(self, change: FleetChange) -> None:
         if isinstance(change, DaemonChange):
             self._is_placed = False
 
     def _check(self) -> None:
-        is_listed = any(book.revision for book in self._books.values())
+        is_listed = any(cache.revision for cache in self._caches.values())
         if not is_listed and not self._view.daemon_names():
             # Without known peers this daemon would select itself as a reader and start
             # watches that are cancelled after the first listing.
@@ -131,8 +131,8 @@
         has_begun = is_reading and not self._is_reading
         self._is_reading = is_reading
         is_standby = not self._selection.is_primary
-        self._feed.set_gather_min(STANDBY_GATHER_S if is_standby else 0.0)
-        for prefix in self._books:
+        self._feed.set_gather_min(STANDBY_BATCH_INTERVAL_S if is_standby else 0.0)
+        for prefix in self._caches:
             self._feed.set_watched(prefix, is_reading)
         if has_begun:
             # Before the next in rank time out, too.
@@ -154,7 +154,7 @@
     def _note_taken(self, prefix: str, changed: Sequence[WatchedEntry]) -> None:
         if prefix in self._pushed:
             self._push(prefix, changed)
-        elif prefix in self._books:
+        elif prefix in self._caches:
             self._tell()
 
     def _push(self, prefix: str, changed: Sequence[WatchedEntry]) -> None:
@@ -162,7 +162,7 @@
         if not self._selection.is_reading(self._timers.now_s()):
             return
         entries = [self._packer.pack(entry) for entry in changed]
-        revision = self._books[prefix].revision
+        revision = self._caches[prefix].revision
         for start in range(0, len(entries), PUSH_ENTRIES_MAX):
             part = tuple(entries[start : start + PUSH_ENTRIES_MAX])
             self._send_to_listeners(FleetEntries(prefix, revision, part))
@@ -173,7 +173,7 @@
         if not is_reading and not self._selection.is_next:
             return
         is_served = is_reading and not self._feed.is_store_away
-        states = tuple(_create_state(book) for book in self._books.values())
+        states = tuple(_create_state(cache) for cache in self._caches.values())
         self._send_to_listeners(FleetNews(states, is_served))
 
     def _send_to_listeners(self, message: FleetNews | FleetEntries) -> None:
@@ -186,23 +186,23 @@
         for state in news.states:
             if state.prefix in self._pushed:
                 self._compare_entries(sender.name, state)
-            elif state.prefix in self._books:
+            elif state.prefix in self._caches:
                 self._compare_document(sender.name, state)
 
     def _compare_document(self, peer: str, state: PrefixState) -> None:
-        book = self._books[state.prefix]
-        book.note_covered(state.newest_revision, state.covered_revision)
-        if state.newest_revision > book.newest_revision:
+        cache = self._caches[state.prefix]
+        cache.note_covered(state.newest_revision, state.covered_revision)
+        if state.newest_revision > cache.newest_revision:
             self._ask_newer(peer, state)
 
     def _compare_entries(self, peer: str, state: PrefixState) -> None:
         """Request entries from a reader that this daemon lacks after a lost message."""
-        book = self._books[state.prefix]
-        if state.covered_revision < book.newest_revision:
+        cache = self._caches[state.prefix]
+        if state.covered_revision < cache.newest_revision:
             return
-        if state.digest == book.digest:
-            book.note_covered(book.newest_revision, state.covered_revision)
-        elif state.newest_revision > book.newest_revision:
+        if state.digest == cache.digest:
+            cache.note_covered(cache.newest_revision, state.covered_revision)
+        elif state.newest_revision > cache.newest_revision:
             self._ask_newer(peer, state)
         elif self._limiters[state.prefix].allow_full_request(self._timers.now_s()):
             self._network.send(peer, FleetRequest(state.prefix, 0))
@@ -210,7 +210,7 @@
     def _ask_newer(self, peer: str, state: PrefixState) -> None:
         limiter = self._limiters[state.prefix]
         if limiter.allow_request(state.newest_revision, self._timers.now_s()):
-            after = self._books[state.prefix].newest_revision
+            after = self._caches[state.prefix].newest_revision
             self._network.send(peer, FleetRequest(state.prefix, after))
 
     def _ask_far(self) -> None:
@@ -225,10 +225,12 @@
         if not far:
             return
         peer = self._rng.choice(far).name
-        for prefix, book in self._books.items():
+        for prefix, cache in self._caches.items():
             if prefix not in self._pushed or self.is_asking:
-                self._network.send(peer, FleetRequest(prefix, book.seen_revision))
+                self._network.send(peer, FleetRequest(prefix, cache.seen_revision))
 
 
-def _create_state(book: EntryBook) -> PrefixState:
-    return PrefixState(book.prefix, book.newest_revision, book.revision, book.digest)
+def _create_state(cache: PrefixCache) -> PrefixState:
+    return PrefixState(
+        cache.prefix, cache.newest_revision, cache.revision, cache.digest
+    )
--- a/reedspar/fleet/store_speed.py
+++ b/reedspar/fleet/store_speed.py
@@ -5,7 +5,7 @@
 
 from reedspar.timers import TimerService
 
-__all__ = ["StoreSpeed"]
+__all__ = ["StoreLatencyMonitor"]
 
 SLOW_S = 0.5
 """A short call that takes longer shows a slow store; usual ones take 5 ms."""
@@ -13,7 +13,7 @@
 """How long a slow call casts doubt: as long as operators allow a change to take."""
 
 
-class StoreSpeed:
+class StoreLatencyMonitor:
     """Tells whether news of the store may be late.
 
     A slow store answers watches late, too, and a watch without news looks the same.
@@ -28,7 +28,7 @@
         self._doubt_until_s = float("-inf")
 
     @property
-    def is_in_doubt(self) -> bool:
+    def is_recently_slow(self) -> bool:
         """Tell whether the store is slow, or was a moment ago."""
         now_s = self._timers.now_s()
         return now_s < self._doubt_until_s or self._is_slow(now_s)
--- a/reedspar/fleet/tests/test_ages.py
+++ b/reedspar/fleet/tests/test_ages.py
@@ -30,10 +30,10 @@
         )
         self.view.apply(WeightsChange("m", 2))
 
-    def named_s(self) -> float:
+    def named_at_s(self) -> float:
         version = self.view.version_of("m")
         assert version is not None
-        return version.named_s
+        return version.named_at_s
 
     def test_peers_are_asked_for_a_while_and_one_of_another_region_at_times(
         self,
@@ -53,9 +53,9 @@
         with self.assertLogs("reedspar.fleet.view", "INFO") as logs:
             self.network.deliver("e2", VersionAge("m", 2, 4000))
         self.assertEqual(vars(logs.records[0])["late_ms"], 1000)
-        self.assertAlmostEqual(self.named_s(), START_S - 1.0)
+        self.assertAlmostEqual(self.named_at_s(), START_S - 1.0)
         self.network.deliver("e3", VersionAge("m", 2, 500))
-        self.assertAlmostEqual(self.named_s(), START_S - 1.0)
+        self.assertAlmostEqual(self.named_at_s(), START_S - 1.0)
 
     def test_answer_tells_the_earliest_time_known_here(self) -> None:
         self.network.deliver("e2", VersionAge("m", 2, 700))
@@ -69,7 +69,7 @@
         self.clock.advance(2.0)
         self.view.apply(WeightsChange("m", 4))
         self.network.deliver("e2", VersionAge("m", 3, 1500))
-        named = [(i.version, i.named_s) for i in self.view.versions_of("m")]
+        named = [(i.version, i.named_at_s) for i in self.view.versions_of("m")]
         self.assertEqual(named, [(2, START_S), (3, START_S + 0.5), (4, START_S + 2.0)])
 
     def test_answer_tells_of_versions_that_the_asker_may_have_skipped(self) -> None:
--- a/reedspar/fleet/tests/test_document_poll.py
+++ b/reedspar/fleet/tests/test_document_poll.py
@@ -54,7 +54,7 @@
         self.poll = DocumentPoll(
             name,
             "ra",
-            self.feed.books[PREFIX],
+            self.feed.caches[PREFIX],
             self.feed,
             view,
             self.network,  # type: ignore[arg-type]
@@ -110,9 +110,9 @@
 
     def test_peer_that_knows_the_same_has_answered(self) -> None:
         async def run() -> None:
-            book = self.feed.books[PREFIX]
+            cache = self.feed.caches[PREFIX]
             entry = WatchedEntry("versions/m", b"2", 8)
-            book.take_listing(Listing((entry,), 8), 0.0)
+            cache.take_listing(Listing((entry,), 8), 0.0)
             start_s = anyio.current_time()
             self.assertTrue(await self.run_poll(revision=8))
             self.assertLess(anyio.current_time() - start_s, ANSWER_S)
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -21,7 +21,7 @@
 
 PREFIXES = (
     FleetPrefix("zones/"),
-    FleetPrefix("targets/", is_kept_over_outage=True),
+    FleetPrefix("targets/", defers_outage_removals=True),
     FleetPrefix("versions/"),
 )
 
@@ -53,8 +53,8 @@
 
     def hear_store(self, prefix: str, *entries: WatchedEntry) -> None:
         revision = max(entry.revision for entry in entries)
-        book = self.feed.books[prefix]
-        for entry in book.take_listing(Listing(entries, revision), 0.0):
+        cache = self.feed.caches[prefix]
+        for entry in cache.take_listing(Listing(entries, revision), 0.0):
             change = FakeCodec().decode(entry)
             assert change is not None
             self.view.apply(change)
@@ -84,7 +84,7 @@
         self.cut_off.tick()
         self.assertEqual(len({peer for peer, _ in self.cut_off.network.sent}), 1)
         self.cut_off.network.sent.clear()
-        self.cut_off.feed.books["zones/"].note_away()
+        self.cut_off.feed.caches["zones/"].note_away()
         self.cut_off.tick()
         self.assertEqual(len({peer for peer, _ in self.cut_off.network.sent}), 2)
 
@@ -105,7 +105,7 @@
         # one machine requests would go on to it.
         taken_out = [WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)]
         self.served.hear_store("zones/", *taken_out)
-        self.cut_off.feed.books["zones/"].note_away()
+        self.cut_off.feed.caches["zones/"].note_away()
         self.cut_off.tick()
         asked = self.cut_off.network.sent_of(FleetRequest)
         self.assertEqual(asked[0], FleetRequest("zones/", 5))
@@ -113,9 +113,9 @@
         self.assertEqual(self.cut_off.view.zones_out, {"a", "b"})
 
     def test_removal_is_passed_on_and_never_undone(self) -> None:
-        book = self.served.feed.books["zones/"]
-        book.take([WatchedEntry("zones/a", None, 9)], 9, 0.0)
-        self.cut_off.feed.books["zones/"].note_away()
+        cache = self.served.feed.caches["zones/"]
+        cache.take([WatchedEntry("zones/a", None, 9)], 9, 0.0)
+        self.cut_off.feed.caches["zones/"].note_away()
         self.cut_off.tick()
         self.pass_on()
         self.assertEqual(self.cut_off.view.zones_out, frozenset())
@@ -139,16 +139,16 @@
             self.pass_on()
         version = self.cut_off.view.version_of("m")
         assert version is not None
-        self.assertLess(version.named_s, 1.0)
+        self.assertLess(version.named_at_s, 1.0)
 
     def test_removal_that_a_peer_holds_for_certain_is_not_kept_back(self) -> None:
         # The store turns one machine away for nine seconds, and a target leaves.  Its
         # removal was kept back there until 2 s after the store's return, though the
         # peer that told of it had been served all the while.
-        self.cut_off.feed.books["targets/"].note_away()
+        self.cut_off.feed.caches["targets/"].note_away()
         self.cut_off.clock.advance(LAPSE_MIN_S)
         gone = WatchedEntry("targets/t1", None, 9)
-        self.served.feed.books["targets/"].take([gone], 9, 0.0)
+        self.served.feed.caches["targets/"].take([gone], 9, 0.0)
         self.cut_off.tick()
         self.pass_on()
         self.assertIsNone(self.cut_off.view.target("t1"))
@@ -157,11 +157,11 @@
         # The store is away for everyone and the leases lapse.  A peer that hears of it
         # first must not spread what may be back in a moment.
         for daemon in (self.cut_off, self.served):
-            daemon.feed.books["targets/"].note_away()
+            daemon.feed.caches["targets/"].note_away()
             daemon.clock.advance(LAPSE_MIN_S)
         gone = WatchedEntry("targets/t1", None, 9)
         now_s = self.served.clock.now_s()
-        self.served.feed.books["targets/"].take([gone], 9, now_s)
+        self.served.feed.caches["targets/"].take([gone], 9, now_s)
         self.cut_off.tick()
         self.pass_on()
         self.assertIsNotNone(self.cut_off.view.target("t1"))
@@ -172,12 +172,12 @@
         self.served.hear_store(
             "zones/", WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)
         )
-        book = self.cut_off.feed.books["zones/"]
-        book.note_away()
+        cache = self.cut_off.feed.caches["zones/"]
+        cache.note_away()
         self.cut_off.tick()
         self.pass_on()
-        self.assertEqual(book.revision, 5)
-        self.assertEqual(book.seen_revision, 9)
+        self.assertEqual(cache.revision, 5)
+        self.assertEqual(cache.seen_revision, 9)
 
 
 if __name__ == "__main__":
--- a/reedspar/fleet/tests/test_feed.py
+++ b/reedspar/fleet/tests/test_feed.py
@@ -11,7 +11,7 @@
 from reedspar.fleet.tests.fakes import FakeCodec, FakeStore
 from reedspar.timers import TimerService, VirtualClock
 
-PREFIXES = (FleetPrefix("zones/"), FleetPrefix("targets/", is_kept_over_outage=True))
+PREFIXES = (FleetPrefix("zones/"), FleetPrefix("targets/", defers_outage_removals=True))
 GATHER_S = 0.3
 SETTLE_S = 0.1
 POLL_S = 0.2
@@ -38,7 +38,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(feed.run)
                 with anyio.fail_after(5):
-                    await feed.wait_seeded()
+                    await feed.wait_initialized()
                     await script(store, feed)
                 tasks.cancel_scope.cancel()
 
@@ -71,9 +71,9 @@
             await anyio.sleep(2 * POLL_S)
             self.assertEqual(self.view.zones_out, {"b"})
             self.assertLessEqual(len(store.calls) - reads, 6)
-            self.assertEqual(feed.shared_books, [])
+            self.assertEqual(feed.shared_caches, [])
 
-        self.follow(script, (FleetPrefix("zones/", poll_s=POLL_S),))
+        self.follow(script, (FleetPrefix("zones/", poll_interval_s=POLL_S),))
 
     def test_first_document_is_taken_at_once(self) -> None:
         # Daemons start before the operator has written anything.  Those that read the
@@ -82,9 +82,9 @@
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             store.put("routes/first", b"{}")
             await anyio.sleep(SETTLE_S)
-            self.assertTrue(feed.books["routes/"].entries_after(0))
+            self.assertTrue(feed.caches["routes/"].entries_after(0))
 
-        self.follow(script, (FleetPrefix("routes/", poll_s=30.0),))
+        self.follow(script, (FleetPrefix("routes/", poll_interval_s=30.0),))
 
     def test_changes_that_may_wait_share_a_call(self) -> None:
         # All daemons start at once.  With a call for each start of each other one,
@@ -97,7 +97,7 @@
             await anyio.sleep(GATHER_S)
             self.assertLessEqual(store.calls.count("watch") - before, 3)
 
-        prefix = FleetPrefix("daemons/", gather_s=GATHER_S)
+        prefix = FleetPrefix("daemons/", batch_interval_s=GATHER_S)
         self.follow(script, [prefix])
 
     def test_lists_again_once_the_history_is_gone(self) -> None:
@@ -138,7 +138,7 @@
             store.is_away = True
             store.put("zones/c", b"{}")
             await anyio.sleep(SETTLE_S)
-            self.assertIs(feed._asking, feed.books["zones/"])
+            self.assertIs(feed._asking, feed.caches["zones/"])
             feed.set_watched("zones/", False)
             store.is_away = False
             store.put("targets/t2", b"{}")
@@ -175,7 +175,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(feed.run)
                 with anyio.fail_after(2 * RETRY_MAX_S):
-                    await feed.wait_seeded()
+                    await feed.wait_initialized()
                 # Else no other prefix asked the store again.
                 self.assertIsNone(feed._asking)
                 self.assertFalse(feed.is_store_away)
--- a/reedspar/fleet/tests/test_registration.py
+++ b/reedspar/fleet/tests/test_registration.py
@@ -15,7 +15,7 @@
 class RegistrationTest(unittest.TestCase):
     served = 0
 
-    def note_served(self) -> None:
+    def record_store_success(self) -> None:
         self.served += 1
 
     def run_with(
@@ -25,7 +25,7 @@
             store = FakeStore()
             timers = TimerService(VirtualClock())
             registration = create_registration(
-                KEY, b"me", store, timers, self.note_served
+                KEY, b"me", store, timers, self.record_store_success
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(registration.run)
--- a/reedspar/fleet/tests/test_relay.py
+++ b/reedspar/fleet/tests/test_relay.py
@@ -20,7 +20,11 @@
     FleetRequest,
     PrefixState,
 )
-from reedspar.fleet.reader_selection import READERS, READERS_KEY, ReaderSelection
+from reedspar.fleet.reader_selection import (
+    READERS_KEY,
+    READERS_PER_REGION,
+    ReaderSelection,
+)
 from reedspar.fleet.relay import ANSWER_S
 from reedspar.fleet.tests.fakes import FakeCodec, FakeStore
 from reedspar.requests.tests.fakes import FakeNetwork
@@ -71,8 +75,8 @@
             region = "r" if other in NEAR else "s"
             record = DaemonRecord(other, "entry", "a", region, "10.0.0.1", 1, 2)
             view.apply(DaemonChange(other, record))
-        book = self.feed.books[PREFIX]
-        book.take_listing(Listing((WatchedEntry("versions/m", b"1", 5),), 5), 0.0)
+        cache = self.feed.caches[PREFIX]
+        cache.take_listing(Listing((WatchedEntry("versions/m", b"1", 5),), 5), 0.0)
         self.tick()
         self.network.sent.clear()
 
@@ -94,7 +98,7 @@
         self.feed.take_from_peer(PREFIX, [WatchedEntry("versions/m", b"2", 8)])
         told = [p for p, m in self.network.sent if isinstance(m, FleetNews)]
         self.assertEqual(told, self.listeners)
-        self.assertEqual(len(self.readers), READERS)
+        self.assertEqual(len(self.readers), READERS_PER_REGION)
 
     def test_listener_asks_the_one_that_told_it(self) -> None:
         self.create(self.listeners[0])
@@ -124,7 +128,7 @@
             self.tick()
             self.hear(5)
         self.assertEqual(self.asked(), [])
-        self.assertEqual(self.feed.books[PREFIX].revision, 5)
+        self.assertEqual(self.feed.caches[PREFIX].revision, 5)
 
     def test_next_in_rank_asks_none_but_other_regions_unprompted(self) -> None:
         # Readers whose links are slow go on telling that the store serves them.
@@ -133,7 +137,7 @@
             self.tick()
             self.hear(5)
         self.assertEqual(set(self.asked()), {FAR})
-        self.assertEqual(self.feed.books[PREFIX].revision, 5)
+        self.assertEqual(self.feed.caches[PREFIX].revision, 5)
 
     def test_reader_asks_other_regions_too(self) -> None:
         # The store leaves the watches of a region's readers without any answer.
@@ -147,7 +151,7 @@
         self.create(self.listeners[0])
         entry = FleetEntry("versions/m", b"2", 8, False)
         self.network.deliver(self.readers[0], FleetEntries(PREFIX, 12, (entry,)))
-        self.assertEqual(self.feed.books[PREFIX].revision, 12)
+        self.assertEqual(self.feed.caches[PREFIX].revision, 12)
 
 
 class PushTest(RelayTestCase):
@@ -168,7 +172,7 @@
     def test_listener_that_has_missed_a_change_asks_for_all_entries(self) -> None:
         # Guards against a lost change going unnoticed once a newer one has arrived.
         self.create(self.listeners[-1])
-        digest = self.feed.books[PREFIX].digest
+        digest = self.feed.caches[PREFIX].digest
         for known, asked in ((digest, []), (digest + 1, [FleetRequest(PREFIX, 0)])):
             state = PrefixState(PREFIX, 5, 7, known)
             self.network.deliver(self.readers[0], FleetNews((state,), True))
--- a/reedspar/fleet/tests/test_view.py
+++ b/reedspar/fleet/tests/test_view.py
@@ -39,7 +39,7 @@
         # share at once it would crash.
         self.view.apply(TargetChange("t1", make_target("t1")))
         self.assertFalse(self.is_cold("t1"))
-        self.view.end_seeding()
+        self.view.mark_initialized()
         self.view.apply(TargetChange("t2", make_target("t2")))
         self.assertTrue(self.is_cold("t2"))
         self.view.apply(TargetChange("t2", make_target("t2", zone="b")))
@@ -50,7 +50,7 @@
     def test_restart_under_the_same_id_is_a_cold_start(self) -> None:
         # A target crashes and comes back under its id, empty and cold.
         self.view.apply(TargetChange("t1", make_target("t1", started_ms=1)))
-        self.view.end_seeding()
+        self.view.mark_initialized()
         self.view.apply(TargetChange("t1", make_target("t1", started_ms=2)))
         self.assertTrue(self.is_cold("t1"))
 
--- a/reedspar/fleet/view.py
+++ b/reedspar/fleet/view.py
@@ -51,7 +51,7 @@
         self._zones_out: set[str] = set()
         self._versions: dict[str, list[NamedVersion]] = {}
         self._listeners: list[Listener] = []
-        self._is_seeded = False
+        self._is_initialized = False
         self.routes: RouteTable | None = None
 
     @property
@@ -63,9 +63,9 @@
         """Call `listener` after each change that was taken in."""
         self._listeners.append(listener)
 
-    def end_seeding(self) -> None:
+    def mark_initialized(self) -> None:
         """Note that what is there was taken in; what comes now has just started."""
-        self._is_seeded = True
+        self._is_initialized = True
 
     def target(self, target_id: str) -> KnownTarget | None:
         """Return what is known of a target."""
@@ -122,24 +122,26 @@
         for named in self._versions.values():
             yield from named
 
-    def note_named(self, model: str, version: int, named_s: float, peer: str) -> None:
+    def record_naming_time(
+        self, model: str, version: int, named_at_s: float, peer: str
+    ) -> None:
         """Take a peer's word that a version was named by then; none is put later."""
         named = self._versions.get(model, [])
         if named and version < named[-1].version:
             now_s = self._timers.now_s()
-            _insert_skipped(named, NamedVersion(model, version, now_s, named_s))
+            _insert_skipped(named, NamedVersion(model, version, now_s, named_at_s))
         for i, known in enumerate(named):
-            if known.version != version or named_s >= known.named_s:
+            if known.version != version or named_at_s >= known.named_at_s:
                 continue
-            named[i] = replace(known, named_s=named_s)
-            if known.named_s - named_s >= LATE_S:
+            named[i] = replace(known, named_at_s=named_at_s)
+            if known.named_at_s - named_at_s >= LATE_S:
                 _logger.info(
                     "weights named earlier",
                     extra={
                         "model": model,
                         "version": version,
                         "peer": peer,
-                        "late_ms": round((known.heard_s - named_s) * 1000),
+                        "late_ms": round((known.learned_at_s - named_at_s) * 1000),
                     },
                 )
 
@@ -204,7 +206,7 @@
         share at once it would crash.
         """
         has_just_started = (
-            self._is_seeded if known is None else self._is_restart(known, record)
+            self._is_initialized if known is None else self._is_restart(known, record)
         )
         if not has_just_started or self.routes is None:
             return 0.0
--- a/reedspar/membership/controller.py
+++ b/reedspar/membership/controller.py
@@ -80,9 +80,9 @@
         self._view.on_change(self._forget_wanted)
 
     @property
-    def is_seeded(self) -> bool:
+    def is_initialized(self) -> bool:
         """Tell whether the instance list was ever read."""
-        return self._view.is_seeded
+        return self._view.is_initialized
 
     @property
     def own(self) -> InstanceRecord:
@@ -131,7 +131,7 @@
         """Return the names of the daemons in a zone that are not leaving."""
         return self._view.zone_members(zone)
 
-    def wanted_links(self) -> tuple[InstanceRecord, ...]:
+    def desired_links(self) -> tuple[InstanceRecord, ...]:
         """Return the daemons that this one should keep a link dialled to.
 
         Others dial this one, too; a link that is no longer wanted stays open
--- a/reedspar/membership/tests/test_controller.py
+++ b/reedspar/membership/tests/test_controller.py
@@ -51,9 +51,9 @@
             incarnation=1,
         )
         membership.start()
-        self.assertEqual(membership.wanted_links(), (AGENT,))
+        self.assertEqual(membership.desired_links(), (AGENT,))
         membership.note_refused_dial(AGENT.name)
         self.assertEqual(membership.agents(), ())
-        self.assertEqual(membership.wanted_links(), (AGENT,))
+        self.assertEqual(membership.desired_links(), (AGENT,))
         membership.note_link_up(AGENT.name, 2)
         self.assertEqual(membership.agents(), (AGENT,))
--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -48,7 +48,7 @@
     """Takes in evidence and answers who may be alive and who may be chosen."""
 
     own: InstanceRecord
-    is_seeded: bool = False
+    is_initialized: bool = False
     _members: dict[str, Member] = field(default_factory=dict)
     _listeners: list[Callable[[], None]] = field(default_factory=list)
 
@@ -100,8 +100,8 @@
     def note_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
         """Take in the instance list."""
         listed = {record.name: record for record in records}
-        is_changed = not self.is_seeded
-        self.is_seeded = True
+        is_changed = not self.is_initialized
+        self.is_initialized = True
         for name, record in listed.items():
             if name != self.own.name:
                 is_changed |= self._note_listed(record)
