--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -237,7 +237,7 @@
             self._beacon_sent_s.clear()
         self._update_readiness()
         is_watching = self.is_watching
-        if is_watching and self._view.is_seeded:
+        if is_watching and self._view.is_initialized:
             if self._may_attest(now_s):
                 self._exchange.table.record_attestation(self._zone, now_s)
             self._start_watch()
--- a/reedspar/configuration/view.py
+++ b/reedspar/configuration/view.py
@@ -10,7 +10,7 @@
     """The daemons that may be alive, including this one."""
 
     @property
-    def is_seeded(self) -> bool:
+    def is_initialized(self) -> bool:
         """Return whether the instance list has ever been received."""
         ...
 
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -123,7 +123,7 @@
         await self._poll_engine(controller)
 
     async def _register(self) -> None:
-        await self.base.feed.wait_seeded()
+        await self.base.feed.wait_initialized()
         await self.base.registration.run()
 
     def _name_versions(self) -> None:
@@ -132,7 +132,7 @@
             self.catalog.set_named_version(named.model, named.version)
             for known in self.base.view.versions_of(named.model):
                 self.catalog.record_naming_time(
-                    known.model, known.version, known.named_s
+                    known.model, known.version, known.named_at_s
                 )
 
     async def _poll_engine(self, controller: WeightController) -> None:
