--- a/reedspar/fleet/tests/fakes.py
+++ b/reedspar/fleet/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store in memory that can be listed and watched, and a codec for it."""
+"""An in-memory store that can be listed and watched, and a codec for its entries."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def make_target(target_id: str, **changes: object) -> TargetRecord:
-    """Return a target's record."""
+    """Return a target's record with the given changes to the defaults."""
     values: dict = {
         "id": target_id,
         "pool": "quotes",
@@ -35,21 +35,21 @@
 
 
 class FakeStore:
-    """Keeps entries with revisions; may be away, or have dropped its history."""
+    """Keeps entries with revisions; can be unavailable or drop its history."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.log: list[WatchedEntry] = []
         self.current: dict[str, WatchedEntry] = {}
         self.leases: dict[str, set[str]] = {}
-        self.first_kept = 0
+        self.first_kept_revision = 0
         self.is_unavailable = False
         self.calls: list[str] = []
-        self.cuts = 0
-        self._news = anyio.Event()
+        self.interruption_count = 0
+        self._changed = anyio.Event()
 
     def put(self, key: str, value: bytes | None) -> int:
-        """Write or remove an entry as another writer does."""
+        """Write or remove an entry on behalf of another client."""
         self.revision += 1
         entry = WatchedEntry(key, value, self.revision)
         self.log.append(entry)
@@ -57,24 +57,24 @@
             self.current.pop(key, None)
         else:
             self.current[key] = entry
-        self._news.set()
-        self._news = anyio.Event()
+        self._changed.set()
+        self._changed = anyio.Event()
         return self.revision
 
     def drop_history(self) -> None:
-        """Forget every change so far."""
-        self.first_kept = self.revision
-        self._news.set()
-        self._news = anyio.Event()
-
-    def cut_watches(self) -> None:
-        """Break off the watches that wait; the next calls are answered."""
-        self.cuts += 1
-        self._news.set()
-        self._news = anyio.Event()
-
-    def lapse(self, lease_id: str) -> None:
-        """End a lease as its time to live does."""
+        """Drop the history of all changes so far."""
+        self.first_kept_revision = self.revision
+        self._changed.set()
+        self._changed = anyio.Event()
+
+    def interrupt_watches(self) -> None:
+        """Fail the pending watches; later calls are answered."""
+        self.interruption_count += 1
+        self._changed.set()
+        self._changed = anyio.Event()
+
+    def expire_lease(self, lease_id: str) -> None:
+        """End a lease and remove its entries, as the end of its time to live does."""
         for key in self.leases.pop(lease_id, set()):
             self.put(key, None)
 
@@ -89,12 +89,12 @@
         self, prefix: str, after_revision: int, timeout_s: float
     ) -> WatchedChanges | Failure:
         self.calls.append("watch")
-        cuts = self.cuts
+        interruption_count = self.interruption_count
         with anyio.move_on_after(timeout_s):
             while not self.is_unavailable:
-                if self.cuts != cuts:
+                if self.interruption_count != interruption_count:
                     return Failure(Reason.OUTCOME_UNKNOWN, Step.KEY_VALUE)
-                if after_revision < self.first_kept:
+                if after_revision < self.first_kept_revision:
                     return Failure(Reason.EXPIRED, Step.KEY_VALUE)
                 found = [
                     entry
@@ -103,7 +103,7 @@
                 ]
                 if found:
                     return WatchedChanges(tuple(found), self.revision)
-                await self._news.wait()
+                await self._changed.wait()
         if self.is_unavailable:
             return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
         return WatchedChanges((), max(after_revision, self.revision))
@@ -147,7 +147,7 @@
     async def end_lease(self, lease_id: str) -> Failure | None:
         if self.is_unavailable:
             return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
-        self.lapse(lease_id)
+        self.expire_lease(lease_id)
         return None
 
     async def watch(
@@ -157,7 +157,7 @@
 
 
 class FakeCodec:
-    """Reads ``targets/ID``, ``zones/NAME`` and ``versions/MODEL``."""
+    """Decodes ``targets/ID``, ``zones/NAME`` and ``versions/MODEL``."""
 
     def decode(self, entry: WatchedEntry) -> FleetChange | None:
         kind, _, name = entry.key.partition("/")
--- a/reedspar/fleet/tests/test_ages.py
+++ b/reedspar/fleet/tests/test_ages.py
@@ -1,4 +1,4 @@
-"""Tests of the time at which a version was named, as peers tell it."""
+"""Tests of the correction of naming times by peers."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
         assert version is not None
         return version.named_at_s
 
-    def test_peers_are_asked_for_a_while_and_one_of_another_region_at_times(
+    def test_recent_versions_are_requested_from_peers_and_other_regions(
         self,
     ) -> None:
         for _ in range(40):
@@ -48,7 +48,7 @@
         self.ages.request_ages(["e2"])
         self.assertEqual(self.network.sent, [])
 
-    def test_version_is_put_earlier_and_never_later(self) -> None:
+    def test_naming_time_moves_earlier_but_never_later(self) -> None:
         self.clock.advance(3.0)
         with self.assertLogs("reedspar.fleet.view", "INFO") as logs:
             self.network.deliver("e2", VersionAge("m", 2, 4000))
@@ -57,29 +57,30 @@
         self.network.deliver("e3", VersionAge("m", 2, 500))
         self.assertAlmostEqual(self.named_at_s(), START_S - 1.0)
 
-    def test_answer_tells_the_earliest_time_known_here(self) -> None:
+    def test_answer_uses_earliest_known_naming_time(self) -> None:
         self.network.deliver("e2", VersionAge("m", 2, 700))
         self.clock.advance(2.0)
         self.network.deliver("e3", VersionAgeRequest("m", 2))
         self.assertEqual(self.network.sent, [("e3", VersionAge("m", 2, 2700))])
 
-    def test_version_that_this_daemon_skipped_still_ends_the_one_before(self) -> None:
-        # Two versions were named before this daemon heard: the store and its peers told
-        # only of the second, and the first one's bound was counted from that.
+    def test_skipped_version_is_added_with_its_naming_time(self) -> None:
+        # Two versions are named before this daemon learns of any, and the store and its
+        # peers report only the second.  The time limit of the version before must count
+        # from the naming of the first.
         self.clock.advance(2.0)
         self.view.apply(WeightsChange("m", 4))
         self.network.deliver("e2", VersionAge("m", 3, 1500))
         named = [(i.version, i.named_at_s) for i in self.view.versions_of("m")]
         self.assertEqual(named, [(2, START_S), (3, START_S + 0.5), (4, START_S + 2.0)])
 
-    def test_answer_tells_of_versions_that_the_asker_may_have_skipped(self) -> None:
+    def test_answer_includes_versions_the_sender_may_lack(self) -> None:
         self.clock.advance(1.0)
         self.view.apply(WeightsChange("m", 3))
         self.network.deliver("e3", VersionAgeRequest("m", 3))
         sent = [age for _, age in self.network.sent]
         self.assertEqual(sent, [VersionAge("m", 2, 1000), VersionAge("m", 3, 0)])
 
-    def test_version_that_is_not_known_here_has_no_age(self) -> None:
+    def test_unknown_version_is_not_answered(self) -> None:
         self.network.deliver("e3", VersionAgeRequest("m", 3))
         self.network.deliver("e3", VersionAge("other", 1, 10))
         self.assertEqual(self.network.sent, [])
--- a/reedspar/fleet/tests/test_document_poll.py
+++ b/reedspar/fleet/tests/test_document_poll.py
@@ -1,4 +1,4 @@
-"""Tests of asking entries for a document instead of the store."""
+"""Tests of reading a document from entries instead of the store."""
 
 import random
 import unittest
@@ -63,14 +63,14 @@
             is_relayed=True,
         )
 
-    def hear(self, revision: int) -> None:
+    def receive_news(self, revision: int) -> None:
         self.network.deliver(RANKED[0], DocumentNews(PREFIX, revision, revision, True))
 
     async def run_poll(self, revision: int) -> bool:
-        """Poll while a peer tells of a revision and sends the entry a moment later."""
+        """Poll while a peer reports a revision and sends the entry shortly after."""
 
         async def answer() -> None:
-            self.hear(revision)
+            self.receive_news(revision)
             await anyio.sleep(ANSWER_DELAY_S)
             entry = WatchedEntry("versions/m", b"2", 8)
             self.feed.apply_from_peer(PREFIX, [entry])
@@ -81,15 +81,16 @@
             tasks.cancel_scope.cancel()
         return is_answered
 
-    def test_news_of_a_document_is_not_taken_for_the_document(self) -> None:
-        # Readers tell of what they have a few times a second.  An entry that started
-        # took that for its answer, found that it knew nothing, and read the store.
+    def test_report_of_newer_revision_does_not_complete_poll(self) -> None:
+        # Readers report their revision several times a second.  If a starting entry
+        # treats that as the answer, it finds that it has no document and reads the
+        # store.
         async def run() -> None:
             self.assertTrue(await self.run_poll(revision=8))
 
         self.run_with(run)
 
-    def test_first_in_rank_reads_if_its_peers_know_nothing(self) -> None:
+    def test_first_ranked_entry_reads_store_if_peers_lack_document(self) -> None:
         async def run() -> None:
             self.create(RANKED[0])
             start_s = anyio.current_time()
@@ -100,8 +101,8 @@
 
         run_virtual(run)
 
-    def test_only_entry_reads_at_once_at_its_next_start(self) -> None:
-        # It waited up to five seconds for others that there are not.
+    def test_restarted_only_entry_reads_store_immediately(self) -> None:
+        # Guards against a wait of up to five seconds for peers that don't exist.
         async def run() -> None:
             self.create("e0", ["e0"])
             start_s = anyio.current_time()
@@ -110,7 +111,7 @@
 
         run_virtual(run)
 
-    def test_peer_that_knows_the_same_has_answered(self) -> None:
+    def test_peer_with_same_revision_completes_poll(self) -> None:
         async def run() -> None:
             cache = self.feed.caches[PREFIX]
             entry = WatchedEntry("versions/m", b"2", 8)
--- a/reedspar/fleet/tests/test_entries.py
+++ b/reedspar/fleet/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Tests of which of the store's entries hold."""
+"""Tests of merging the store's entries by revision."""
 
 import unittest
 
@@ -13,29 +13,29 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_only_newer_entries_change_anything(self) -> None:
+    def test_only_newer_entries_are_applied(self) -> None:
         cache = PrefixCache("t/")
         self.assertEqual(cache.apply([PUT], 5, 0.0), [PUT])
         self.assertEqual(cache.apply([PUT], 5, 0.0), [])
         self.assertEqual(cache.apply([WatchedEntry("t/1", b"old", 4)], 4, 0.0), [])
         self.assertEqual(cache.revision, 5)
 
-    def test_late_word_of_an_entry_that_was_removed_is_dropped(self) -> None:
-        # A peer passes on an old entry after its removal.  Taken in, requests
-        # would go to a target that is gone.
+    def test_late_entry_does_not_undo_removal(self) -> None:
+        # A peer passes on an old entry after its removal.  If it were applied, requests
+        # would be sent to a target that has left.
         cache = PrefixCache("t/")
         cache.apply([PUT, GONE], 9, 0.0)
         self.assertEqual(cache.apply([PUT], 9, 0.0), [])
 
-    def test_listing_removes_what_it_lacks(self) -> None:
+    def test_listing_removes_missing_entries(self) -> None:
         cache = PrefixCache("t/")
         cache.apply([PUT, WatchedEntry("t/2", b"b", 6)], 6, 0.0)
         changed = cache.apply_listing(Listing((PUT,), 8), 0.0)
         self.assertEqual(changed, [WatchedEntry("t/2", None, 8)])
 
-    def test_own_watch_goes_on_after_what_a_peer_has_covered(self) -> None:
-        # A daemon has a document from a peer.  Its own watch went on from before, and
-        # the store sent the whole document once more.
+    def test_advance_revision_to_that_covered_by_peer(self) -> None:
+        # A daemon gets a document from a peer.  If its own watch continued from an
+        # older revision, the store would send the whole document again.
         cache = PrefixCache("t/")
         cache.apply([PUT], 5, 0.0)
         cache.advance_revision(newest=9, covered=12)
@@ -44,7 +44,7 @@
         self.assertEqual(cache.revision, 8)
 
     @given(st.permutations(list(range(1, 9))), st.sets(st.integers(1, 8)))
-    def test_any_order_of_news_ends_alike(self, order: list, removed: set) -> None:
+    def test_result_is_independent_of_order(self, order: list, removed: set) -> None:
         cache = PrefixCache("t/")
         for revision in order:
             value = None if revision in removed else b"%d" % revision
@@ -53,10 +53,8 @@
         self.assertEqual(entry.revision, 8)
 
     @given(st.permutations(list(range(1, 9))), st.sets(st.integers(1, 8)))
-    def test_any_order_of_news_has_the_same_digest(
-        self, order: list, removed: set
-    ) -> None:
-        # Guards against daemons requesting entries repeatedly that they already have.
+    def test_digest_is_independent_of_order(self, order: list, removed: set) -> None:
+        # Guards against repeated requests for entries that a daemon already has.
         digests = set()
         for revisions in (order, sorted(order)):
             cache = PrefixCache("t/")
@@ -67,7 +65,7 @@
             digests.add(cache.digest)
         self.assertEqual(len(digests), 1)
 
-    def test_missed_removal_changes_the_digest(self) -> None:
+    def test_missed_removal_changes_digest(self) -> None:
         complete, incomplete = PrefixCache("t/"), PrefixCache("t/")
         other = WatchedEntry("t/2", b"b", 12)
         complete.apply([PUT, GONE, other], 12, 0.0)
@@ -82,10 +80,10 @@
         self.cache = PrefixCache("t/", defers_outage_removals=True)
         self.cache.apply([PUT], 5, 0.0)
 
-    def test_entry_that_lapsed_in_an_outage_is_kept_until_it_is_back(self) -> None:
-        # The store is away for longer than the leases last.  All targets' entries
-        # lapse, though the targets live; were they dropped, each request would be
-        # refused until they have written themselves in again.
+    def test_expired_entry_is_kept_until_rewritten_after_outage(self) -> None:
+        # The store is unavailable for longer than the leases last.  The entries of all
+        # targets expire though the targets are alive.  If they were removed, every
+        # request would be refused until the targets have registered again.
         self.cache.mark_unavailable()
         self.cache.mark_available(20.0)
         self.assertEqual(self.cache.apply([GONE], 9, 20.1), [])
@@ -93,9 +91,9 @@
         self.assertEqual(self.cache.apply([back], 11, 21.0), [back])
         self.assertEqual(self.cache.release_deferred(30.0), [])
 
-    def test_entry_that_does_not_come_back_is_gone(self) -> None:
-        # A target dies during an outage of the store.  Kept for good, it would be
-        # sent requests that nobody answers.
+    def test_expired_entry_is_removed_after_grace_period(self) -> None:
+        # A target dies during an outage of the store.  If its entry were kept
+        # permanently, it would be sent requests that nobody answers.
         self.cache.mark_unavailable()
         self.cache.mark_available(20.0)
         self.cache.apply([GONE], 9, 20.1)
@@ -106,26 +104,27 @@
             self.cache.release_deferred(20.0 + LEASE_EXPIRY_GRACE_S), [GONE]
         )
 
-    def test_target_that_leaves_just_after_an_outage_is_gone_in_time(self) -> None:
-        # A machine was cut off and is back.  A target leaves 1.6 s later without a
-        # word, its entry is removed.  Kept for longer than the entries that may
-        # have lapsed, it got requests 2.2 s after it had left.
+    def test_removal_shortly_after_outage_is_applied_in_time(self) -> None:
+        # A machine is reconnected to the store.  1.6 s later a target leaves without
+        # notice and its entry is removed.  When the entry was kept for longer than
+        # those that may have expired, the target got requests 2.2 s after it had left.
         self.cache.mark_unavailable()
         self.cache.mark_available(20.0)
         self.assertEqual(self.cache.apply([GONE], 9, 21.6), [])
         self.assertEqual(self.cache.release_deferred(22.1), [GONE])
 
-    def test_removal_while_a_single_call_failed_holds_at_once(self) -> None:
-        # One call is refused, the renewals of the lease are answered.  No lease can
-        # have lapsed; a target that left got requests until the next call went well.
+    def test_removal_after_single_failed_call_is_applied_immediately(self) -> None:
+        # One call is refused while lease renewals are answered, so no lease can have
+        # expired.  If the removal were deferred, a target that has left would get
+        # requests until the next successful call.
         self.cache.record_store_success(19.0)
         self.cache.mark_unavailable()
         self.cache.record_store_success(20.0)
         self.assertEqual(self.cache.apply([GONE], 9, 20.1), [GONE])
 
-    def test_outage_that_a_renewal_ends_is_one(self) -> None:
-        # The renewal of the lease is the first call that the store answers again.
-        # Dropped because of that answer, all targets would be gone.
+    def test_removal_is_deferred_if_renewal_ends_outage(self) -> None:
+        # The renewal of the lease is the first call that the store answers again.  If
+        # that answer ended the deferral, all targets would be removed.
         self.cache.record_store_success(15.0)
         self.cache.mark_unavailable()
         self.cache.record_store_success(20.0)
@@ -136,21 +135,21 @@
             self.cache.release_deferred(20.0 + LEASE_EXPIRY_GRACE_S), [GONE]
         )
 
-    def test_lapse_in_an_outage_that_was_noticed_at_its_end_is_kept(self) -> None:
-        # Nothing came back for four seconds, not even a reset.  A renewal is answered
-        # again just before the silent watch breaks.
+    def test_removal_is_deferred_if_outage_is_detected_at_its_end(self) -> None:
+        # The store sends nothing for four seconds, not even a connection reset.  A
+        # renewal is answered again just before the unanswered watch fails.
         self.cache.record_store_success(16.0)
         self.cache.record_store_success(20.0)
         self.cache.mark_unavailable()
         self.cache.mark_available(20.4)
         self.assertEqual(self.cache.apply([GONE], 9, 20.4), [])
 
-    def test_removal_on_a_calm_day_holds_at_once(self) -> None:
+    def test_removal_without_outage_is_applied_immediately(self) -> None:
         self.assertEqual(self.cache.apply([GONE], 9, 1.0), [GONE])
 
-    def test_removals_are_not_kept_where_they_are_meant(self) -> None:
-        # Operators bring a zone back while the store is slow.  Kept out for
-        # longer, it would miss the work that it could do.
+    def test_removal_is_not_deferred_unless_configured(self) -> None:
+        # Operators put a zone back into service just after an outage.  If the removal
+        # were deferred, the zone would get no requests for longer than necessary.
         cache = PrefixCache("op/")
         cache.apply([PUT], 5, 0.0)
         cache.mark_unavailable()
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of hearing from peers what the store does not tell."""
+"""Tests of getting changes from peers that the store does not send."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 
 
 class Daemon:
-    """A daemon's feed and exchange, without its tasks."""
+    """A daemon's feed and exchange without background tasks."""
 
     def __init__(self, name: str, names: list[str]) -> None:
         self.name = name
@@ -51,7 +51,7 @@
             record = DaemonRecord(other, "entry", "a", "r", "10.0.0.1", 1, 2)
             self.view.apply(DaemonChange(other, record))
 
-    def hear_store(self, prefix: str, *entries: WatchedEntry) -> None:
+    def receive_from_store(self, prefix: str, *entries: WatchedEntry) -> None:
         revision = max(entry.revision for entry in entries)
         cache = self.feed.caches[prefix]
         for entry in cache.apply_listing(Listing(entries, revision), 0.0):
@@ -67,115 +67,117 @@
 class ExchangeTest(unittest.TestCase):
     def setUp(self) -> None:
         names = ["e1", "e2", "e3"]
-        self.cut_off = Daemon("e1", names)
+        self.unserved = Daemon("e1", names)
         self.served = Daemon("e2", names)
-        for daemon in (self.cut_off, self.served):
-            daemon.hear_store("zones/", WatchedEntry("zones/a", b"", 5))
-            daemon.hear_store("targets/", WatchedEntry("targets/t1", b"{}", 6))
+        for daemon in (self.unserved, self.served):
+            daemon.receive_from_store("zones/", WatchedEntry("zones/a", b"", 5))
+            daemon.receive_from_store("targets/", WatchedEntry("targets/t1", b"{}", 6))
 
-    def pass_on(self) -> None:
+    def deliver_messages(self) -> None:
         """Deliver questions and answers between the two."""
-        for _, message in self.cut_off.network.sent:
+        for _, message in self.unserved.network.sent:
             self.served.network.deliver("e1", message)
         for _, message in self.served.network.sent:
-            self.cut_off.network.deliver("e2", message)
-
-    def test_asks_one_peer_while_the_store_answers_and_two_while_it_is_away(self):
-        self.cut_off.tick()
-        self.assertEqual(len({peer for peer, _ in self.cut_off.network.sent}), 1)
-        self.cut_off.network.sent.clear()
-        self.cut_off.feed.caches["zones/"].mark_unavailable()
-        self.cut_off.tick()
-        self.assertEqual(len({peer for peer, _ in self.cut_off.network.sent}), 2)
-
-    def test_machine_whose_watch_the_store_has_forgotten_learns_from_a_peer(self):
-        # The store keeps one machine's watch open and never answers it, while it
-        # serves the others.  That machine took itself for up to date, and refused
-        # requests on a route that operators had added two seconds before.
+            self.unserved.network.deliver("e2", message)
+
+    def test_one_peer_is_polled_normally_and_two_during_outage(self):
+        self.unserved.tick()
+        self.assertEqual(len({peer for peer, _ in self.unserved.network.sent}), 1)
+        self.unserved.network.sent.clear()
+        self.unserved.feed.caches["zones/"].mark_unavailable()
+        self.unserved.tick()
+        self.assertEqual(len({peer for peer, _ in self.unserved.network.sent}), 2)
+
+    def test_machine_with_dropped_watch_gets_changes_from_peer(self):
+        # The store keeps one machine's watch open without ever answering it, while it
+        # serves the others.  The machine assumes that it is up to date, and refuses
+        # requests for a route that operators added two seconds before.
         added = [WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)]
-        self.served.hear_store("zones/", *added)
+        self.served.receive_from_store("zones/", *added)
         for _ in range(4):
-            self.cut_off.tick()
-        self.pass_on()
-        self.assertFalse(self.cut_off.feed.is_store_unavailable)
-        self.assertEqual(self.cut_off.view.zones_out, {"a", "b"})
-
-    def test_machine_that_the_store_turns_away_learns_from_a_peer(self) -> None:
-        # The store serves all machines but one.  Operators take a zone out; on that
-        # one machine requests would go on to it.
+            self.unserved.tick()
+        self.deliver_messages()
+        self.assertFalse(self.unserved.feed.is_store_unavailable)
+        self.assertEqual(self.unserved.view.zones_out, {"a", "b"})
+
+    def test_machine_refused_by_store_gets_changes_from_peer(self) -> None:
+        # The store refuses a single machine.  Operators take a zone out of service, and
+        # without the exchange that machine would go on sending requests to it.
         taken_out = [WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)]
-        self.served.hear_store("zones/", *taken_out)
-        self.cut_off.feed.caches["zones/"].mark_unavailable()
-        self.cut_off.tick()
-        asked = self.cut_off.network.sent_of(FleetRequest)
+        self.served.receive_from_store("zones/", *taken_out)
+        self.unserved.feed.caches["zones/"].mark_unavailable()
+        self.unserved.tick()
+        asked = self.unserved.network.sent_of(FleetRequest)
         self.assertEqual(asked[0], FleetRequest("zones/", 5))
-        self.pass_on()
-        self.assertEqual(self.cut_off.view.zones_out, {"a", "b"})
+        self.deliver_messages()
+        self.assertEqual(self.unserved.view.zones_out, {"a", "b"})
 
-    def test_removal_is_passed_on_and_never_undone(self) -> None:
+    def test_removal_is_passed_on_and_not_undone(self) -> None:
         cache = self.served.feed.caches["zones/"]
         cache.apply([WatchedEntry("zones/a", None, 9)], 9, 0.0)
-        self.cut_off.feed.caches["zones/"].mark_unavailable()
-        self.cut_off.tick()
-        self.pass_on()
-        self.assertEqual(self.cut_off.view.zones_out, frozenset())
+        self.unserved.feed.caches["zones/"].mark_unavailable()
+        self.unserved.tick()
+        self.deliver_messages()
+        self.assertEqual(self.unserved.view.zones_out, frozenset())
         late = FleetEntries("zones/", 5, ())
-        self.cut_off.network.deliver("e3", late)
-        self.assertEqual(self.cut_off.view.zones_out, frozenset())
+        self.unserved.network.deliver("e3", late)
+        self.assertEqual(self.unserved.view.zones_out, frozenset())
 
-    def test_version_that_was_heard_late_counts_from_when_a_peer_heard(self) -> None:
-        # A machine's link is busy and the store's news of a version comes three seconds
-        # late.  Counted from then, the older version began requests past its bound.
+    def test_late_version_gets_naming_time_of_peer(self) -> None:
+        # A machine's link is busy, and a new version arrives three seconds late.  If
+        # the time were counted from then, requests would begin on the older version
+        # after its time limit.
         named = WatchedEntry("versions/m", b"2", 9)
-        self.served.hear_store("versions/", named)
+        self.served.receive_from_store("versions/", named)
         for _ in range(6):
             self.served.tick()
-            self.cut_off.tick()
-        self.cut_off.network.sent.clear()
-        self.cut_off.hear_store("versions/", named)
+            self.unserved.tick()
+        self.unserved.network.sent.clear()
+        self.unserved.receive_from_store("versions/", named)
         for _ in range(4):
-            self.cut_off.tick()
+            self.unserved.tick()
             self.served.tick()
-            self.pass_on()
-        version = self.cut_off.view.version_of("m")
+            self.deliver_messages()
+        version = self.unserved.view.version_of("m")
         assert version is not None
         self.assertLess(version.named_at_s, 1.0)
 
-    def test_removal_that_a_peer_holds_for_certain_is_not_kept_back(self) -> None:
-        # The store turns one machine away for nine seconds, and a target leaves.  Its
-        # removal was kept back there until 2 s after the store's return, though the
-        # peer that told of it had been served all the while.
-        self.cut_off.feed.caches["targets/"].mark_unavailable()
-        self.cut_off.clock.advance(LEASE_EXPIRY_MIN_OUTAGE_S)
+    def test_removal_applied_by_peer_is_not_deferred(self) -> None:
+        # The store refuses one machine for nine seconds, and a target leaves.  The
+        # machine must not defer the removal until 2 s after the end of its outage, as
+        # the store has served the peer that reports the removal throughout.
+        self.unserved.feed.caches["targets/"].mark_unavailable()
+        self.unserved.clock.advance(LEASE_EXPIRY_MIN_OUTAGE_S)
         gone = WatchedEntry("targets/t1", None, 9)
         self.served.feed.caches["targets/"].apply([gone], 9, 0.0)
-        self.cut_off.tick()
-        self.pass_on()
-        self.assertIsNone(self.cut_off.view.target("t1"))
-
-    def test_removal_that_a_peer_keeps_back_is_not_passed_on(self) -> None:
-        # The store is away for everyone and the leases lapse.  A peer that hears of it
-        # first must not spread what may be back in a moment.
-        for daemon in (self.cut_off, self.served):
+        self.unserved.tick()
+        self.deliver_messages()
+        self.assertIsNone(self.unserved.view.target("t1"))
+
+    def test_removal_deferred_by_peer_is_not_passed_on(self) -> None:
+        # The store is unavailable for all machines and the leases expire.  The peer
+        # that first learns of a removal must not pass it on, as the entry may be
+        # written again shortly.
+        for daemon in (self.unserved, self.served):
             daemon.feed.caches["targets/"].mark_unavailable()
             daemon.clock.advance(LEASE_EXPIRY_MIN_OUTAGE_S)
         gone = WatchedEntry("targets/t1", None, 9)
         now_s = self.served.clock.now_s()
         self.served.feed.caches["targets/"].apply([gone], 9, now_s)
-        self.cut_off.tick()
-        self.pass_on()
-        self.assertIsNotNone(self.cut_off.view.target("t1"))
-
-    def test_own_watch_goes_on_where_it_stood(self) -> None:
-        # A peer's entries may leave gaps; a watch that went on after them would
-        # never hear what lies between.
-        self.served.hear_store(
+        self.unserved.tick()
+        self.deliver_messages()
+        self.assertIsNotNone(self.unserved.view.target("t1"))
+
+    def test_peer_entries_do_not_advance_own_watch(self) -> None:
+        # A peer's entries may leave gaps.  A watch that continued after them would miss
+        # the changes in between.
+        self.served.receive_from_store(
             "zones/", WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)
         )
-        cache = self.cut_off.feed.caches["zones/"]
+        cache = self.unserved.feed.caches["zones/"]
         cache.mark_unavailable()
-        self.cut_off.tick()
-        self.pass_on()
+        self.unserved.tick()
+        self.deliver_messages()
         self.assertEqual(cache.revision, 5)
         self.assertEqual(cache.latest_revision, 9)
 
--- a/reedspar/fleet/tests/test_feed.py
+++ b/reedspar/fleet/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Tests of following the store."""
+"""Tests of following the store's prefixes."""
 
 import random
 import unittest
@@ -13,8 +13,8 @@
 
 PREFIXES = (FleetPrefix("zones/"), FleetPrefix("targets/", defers_outage_removals=True))
 BATCH_INTERVAL_S = 0.3
-SETTLE_S = 0.1
-POLL_S = 0.2
+PROPAGATION_TIME_S = 0.1
+POLL_INTERVAL_S = 0.2
 
 
 class FeedTest(unittest.TestCase):
@@ -47,48 +47,48 @@
     def ids(self) -> list[str]:
         return [known.record.id for known in self.view.targets("quotes")]
 
-    def test_takes_what_is_there_and_what_changes(self) -> None:
+    def test_initial_entries_and_changes_are_applied(self) -> None:
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             self.assertEqual(self.ids(), ["t1"])
             self.assertEqual(self.view.zones_out, {"b"})
             store.put("targets/t2", b'{"zone": "c"}')
             store.put("zones/b", None)
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(PROPAGATION_TIME_S)
             self.assertEqual(self.ids(), ["t1", "t2"])
             self.assertEqual(self.view.zones_out, frozenset())
 
         self.follow(script)
 
-    def test_document_that_may_wait_is_read_seldom(self) -> None:
-        # A document of a thousand routes changes ten times in a row.  Each daemon that
-        # needs little of it read it ten times, and the links between regions were full
-        # for as long as that took: requests and weights waited behind it.
+    def test_polled_document_is_read_rarely(self) -> None:
+        # A document of a thousand routes changes ten times in succession.  If daemons
+        # that need little of it read each revision, they saturate the links between
+        # regions, and requests and weights are queued behind the document.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             reads = len(store.calls)
             for turn in range(10):
                 store.put("zones/b", f"{turn}".encode())
-                await anyio.sleep(POLL_S / 10)
-            await anyio.sleep(2 * POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S / 10)
+            await anyio.sleep(2 * POLL_INTERVAL_S)
             self.assertEqual(self.view.zones_out, {"b"})
             self.assertLessEqual(len(store.calls) - reads, 6)
             self.assertEqual(feed.shared_caches, [])
 
-        self.follow(script, (FleetPrefix("zones/", poll_interval_s=POLL_S),))
+        self.follow(script, (FleetPrefix("zones/", poll_interval_s=POLL_INTERVAL_S),))
 
-    def test_first_document_is_taken_at_once(self) -> None:
-        # Daemons start before the operator has written anything.  Those that read the
-        # document seldom found nothing, and looked again half a minute later: until
-        # then they knew no origin, and got no weights.
+    def test_first_version_of_polled_document_is_applied_immediately(self) -> None:
+        # Daemons start before operators have written the document.  If those that poll
+        # it read it again only half a minute later, they don't know the origin until
+        # then and get no weights.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             store.put("routes/first", b"{}")
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(PROPAGATION_TIME_S)
             self.assertTrue(feed.caches["routes/"].entries_after(0))
 
         self.follow(script, (FleetPrefix("routes/", poll_interval_s=30.0),))
 
-    def test_changes_that_may_wait_share_a_call(self) -> None:
-        # All daemons start at once.  With a call for each start of each other one,
-        # 24 of them made hundreds of calls, all of which are paid for.
+    def test_successive_changes_are_fetched_by_one_call(self) -> None:
+        # All daemons start at once.  If each of 24 daemons makes a call for each start
+        # of another one, they make hundreds of calls, all of which are paid for.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             before = store.calls.count("watch")
             for i in range(10):
@@ -100,9 +100,9 @@
         prefix = FleetPrefix("daemons/", batch_interval_s=BATCH_INTERVAL_S)
         self.follow(script, [prefix])
 
-    def test_lists_again_once_the_history_is_gone(self) -> None:
-        # The store drops its history while a target leaves.  A watch that went on
-        # from the old place would never tell of it.
+    def test_prefix_is_listed_again_after_history_is_dropped(self) -> None:
+        # The store drops its history while a target leaves.  A watch that continued
+        # from the old revision would never return the removal.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             store.is_unavailable = True
             store.put("targets/t1", None)
@@ -117,27 +117,27 @@
 
         self.follow(script)
 
-    def test_removal_after_a_watch_was_cut_holds_at_once(self) -> None:
-        # The store cuts a watch and answers the next call.  A target leaves at that
-        # moment without a word.  Kept as if its lease might have lapsed, it got
-        # requests up to 2.8 s after its removal.
+    def test_removal_after_interrupted_watch_is_applied_immediately(self) -> None:
+        # The store interrupts a watch and answers the next call, while a target leaves
+        # without notice.  When its entry was kept as if its lease might have expired,
+        # it got requests up to 2.8 s after its removal.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
-            store.cut_watches()
+            store.interrupt_watches()
             store.put("targets/t1", None)
-            await anyio.sleep(RETRY_DELAY_MAX_S + SETTLE_S)
+            await anyio.sleep(RETRY_DELAY_MAX_S + PROPAGATION_TIME_S)
             self.clock.advance(RETRY_DELAY_MAX_S + DEFERRED_CHECK_INTERVAL_S)
             self.timers.run_due()
             self.assertEqual(self.ids(), [])
 
         self.follow(script)
 
-    def test_prefix_that_is_left_to_peers_holds_up_no_other(self) -> None:
-        # A daemon asked the store for all its prefixes by that of a document when it
-        # was no longer its turn to read it.  The others waited for good.
+    def test_unwatched_prefix_does_not_block_others(self) -> None:
+        # During an outage one prefix retries for all others.  If it is then no longer
+        # watched, another one has to retry, or the others wait forever.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             store.is_unavailable = True
             store.put("zones/c", b"{}")
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(PROPAGATION_TIME_S)
             self.assertIs(feed._retrying_cache, feed.caches["zones/"])
             feed.set_watched("zones/", False)
             store.is_unavailable = False
@@ -147,14 +147,15 @@
             self.assertEqual(self.view.zones_out, {"b"})
             self.assertFalse(feed.is_store_unavailable)
             feed.set_watched("zones/", True)
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(PROPAGATION_TIME_S)
             self.assertEqual(self.view.zones_out, {"b", "c"})
 
         self.follow(script)
 
-    def test_start_asks_peers_again_after_the_store_has_failed(self) -> None:
-        # After a loss of power the link was full, and reads of a document were given up
-        # and begun again for ten seconds, though peers had it since the third.
+    def test_initial_read_asks_peers_again_after_store_failure(self) -> None:
+        # After a power failure the link is saturated, and reads of a document time out.
+        # They were retried for ten seconds, though peers had the document since the
+        # third second.
         async def run() -> None:
             store = FakeStore()
             store.is_unavailable = True
@@ -176,7 +177,7 @@
                 tasks.start_soon(feed.run)
                 with anyio.fail_after(2 * RETRY_DELAY_MAX_S):
                     await feed.wait_initialized()
-                # Else no other prefix asked the store again.
+                # Otherwise no other prefix would call the store again.
                 self.assertIsNone(feed._retrying_cache)
                 self.assertFalse(feed.is_store_unavailable)
                 tasks.cancel_scope.cancel()
@@ -184,12 +185,12 @@
 
         anyio.run(run)
 
-    def test_goes_on_by_what_is_known_while_the_store_is_away(self) -> None:
-        # The store is down.  Requests go on to the targets that are known.
+    def test_known_entries_remain_during_outage(self) -> None:
+        # The store is down, and requests are still sent to the known targets.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             store.is_unavailable = True
             store.put("targets/t2", b"{}")
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(PROPAGATION_TIME_S)
             self.assertEqual(self.ids(), ["t1"])
             self.assertTrue(feed.is_store_unavailable)
             store.is_unavailable = False
@@ -199,7 +200,7 @@
 
         self.follow(script)
 
-    def test_calm_store_is_asked_once_for_each_prefix(self) -> None:
+    def test_each_prefix_takes_one_listing_and_one_watch(self) -> None:
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             await anyio.sleep(0.5)
             self.assertEqual(store.calls.count("list"), 2)
--- a/reedspar/fleet/tests/test_gate.py
+++ b/reedspar/fleet/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of a watch that is broken off and taken up again."""
+"""Tests of a gate that cancels and resumes calls."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class GateTest(unittest.TestCase):
-    def test_call_is_broken_off_and_waits_until_the_gate_opens(self) -> None:
+    def test_closing_gate_cancels_call_until_reopened(self) -> None:
         run_virtual(self._check)
 
     async def _check(self) -> None:
--- a/reedspar/fleet/tests/test_reader_selection.py
+++ b/reedspar/fleet/tests/test_reader_selection.py
@@ -1,4 +1,4 @@
-"""Tests of who reads a document for a region."""
+"""Tests of the selection of a region's readers."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 )
 
 KEY = "doc"
-MANY = [f"e{i}" for i in range(15)]
-LONG_S = 60.0
+ENTRY_NAMES = [f"e{i}" for i in range(15)]
+AFTER_ALL_TIMEOUTS_S = 60.0
 
 
 def make_selections(names: list[str]) -> dict[str, ReaderSelection]:
@@ -25,42 +25,42 @@
 
 class ReaderSelectionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.selections = make_selections(MANY)
-        order = sorted(MANY, key=lambda name: self.selections[name]._rank)
+        self.selections = make_selections(ENTRY_NAMES)
+        order = sorted(ENTRY_NAMES, key=lambda name: self.selections[name]._rank)
         self.ranked = [self.selections[name] for name in order]
         self.order = order
 
     def reading(self, now_s: float) -> list[str]:
         return [name for name in self.order if self.selections[name].is_reading(now_s)]
 
-    def test_few_read_and_tell_all_others(self) -> None:
+    def test_few_daemons_read_and_report_to_all_others(self) -> None:
         self.assertEqual(
             self.reading(REPORT_INTERVAL_S), self.order[:READERS_PER_REGION]
         )
         self.assertEqual(self.ranked[0].listeners, self.order[READERS_PER_REGION:])
 
-    def test_each_reads_in_a_small_region(self) -> None:
-        selections = make_selections(MANY[:SMALL_REGION_MAX_ENTRIES])
+    def test_every_entry_reads_in_small_region(self) -> None:
+        selections = make_selections(ENTRY_NAMES[:SMALL_REGION_MAX_ENTRIES])
         self.assertTrue(
             all(selection.is_reading(0.0) for selection in selections.values())
         )
         self.assertEqual(selections["e0"].listeners, [])
 
-    def test_first_to_stand_in_are_the_next_in_rank(self) -> None:
+    def test_first_standbys_are_next_in_rank(self) -> None:
         is_first_standby = [
             selection.is_first_standby
             for selection in self.ranked[: 2 * READERS_PER_REGION + 1]
         ]
         self.assertEqual(is_first_standby, [False, False, True, True, False])
 
-    def test_daemon_that_knows_no_other_reads(self) -> None:
+    def test_daemon_without_known_peers_reads(self) -> None:
         selection = ReaderSelection(KEY, 0.0)
         selection.update_members("new", ["new"])
         self.assertTrue(selection.is_reading(0.0))
 
-    def test_others_stand_in_group_by_group_while_no_reader_is_heard(self) -> None:
-        # All readers of a region died.  Read by each of the others at once, the
-        # document would fill the link to the store for as long as it did before.
+    def test_groups_take_over_in_turn_without_reports(self) -> None:
+        # All readers of a region have died.  If all other daemons read the document at
+        # once, they would saturate the link to the store.
         self.assertEqual(
             self.reading(READER_TIMEOUT_S), self.order[: 2 * READERS_PER_REGION]
         )
@@ -69,40 +69,41 @@
             self.order[: 3 * READERS_PER_REGION],
         )
 
-    def test_stand_ins_do_not_send_each_other_back(self) -> None:
-        # Two stood in for readers that had died, each heard of the other, and both
-        # stopped reading: the document came past its bound.
+    def test_standbys_of_same_group_keep_reading(self) -> None:
+        # Two daemons take over from dead readers.  If each stopped reading because of
+        # the other's reports, the document would arrive after its time limit.
         first, second = self.ranked[READERS_PER_REGION : 2 * READERS_PER_REGION]
         first.record_report(READER_TIMEOUT_S, self.order[READERS_PER_REGION + 1], True)
         second.record_report(READER_TIMEOUT_S, self.order[READERS_PER_REGION], True)
         self.assertTrue(first.is_reading(READER_TIMEOUT_S))
         self.assertTrue(second.is_reading(READER_TIMEOUT_S))
 
-    def test_later_groups_wait_for_a_stand_in(self) -> None:
+    def test_later_groups_wait_while_standby_reads(self) -> None:
         last = self.ranked[-1]
         last.record_report(READER_TIMEOUT_S, self.order[READERS_PER_REGION], True)
         self.assertFalse(last.is_reading(2 * READER_TIMEOUT_S))
 
-    def test_reader_that_the_store_turns_away_does_not_count(self) -> None:
-        # The store refuses the readers and serves the others of their region.
+    def test_reader_refused_by_store_is_replaced(self) -> None:
+        # The store refuses the readers and serves the other daemons of their region.
         selection = self.ranked[READERS_PER_REGION]
-        selection.record_report(LONG_S, self.order[0], False)
-        self.assertTrue(selection.is_reading(LONG_S))
-        selection.record_report(LONG_S, self.order[0], True)
-        self.assertFalse(selection.is_reading(LONG_S))
-
-    def test_daemon_that_the_store_turns_away_does_not_stand_in(self) -> None:
-        # The store is back after it turned a whole region away.  Had each daemon stood
-        # in meanwhile, all would read the document at that moment.
+        selection.record_report(AFTER_ALL_TIMEOUTS_S, self.order[0], False)
+        self.assertTrue(selection.is_reading(AFTER_ALL_TIMEOUTS_S))
+        selection.record_report(AFTER_ALL_TIMEOUTS_S, self.order[0], True)
+        self.assertFalse(selection.is_reading(AFTER_ALL_TIMEOUTS_S))
+
+    def test_daemon_refused_by_store_does_not_take_over(self) -> None:
+        # The store serves a region again after it refused all its daemons.  If each of
+        # them had taken over meanwhile, all would read the document at that moment.
         selection = self.ranked[READERS_PER_REGION]
-        selection.record_store_unavailable(LONG_S)
-        self.assertFalse(selection.is_reading(LONG_S))
-        self.assertTrue(selection.is_polling_peers(LONG_S))
-        selection.record_report(LONG_S, self.order[0], False)
-        self.assertFalse(selection.is_polling_peers(LONG_S))
-
-    def test_unranked_daemon_counts_as_last(self) -> None:
-        # An answer from a daemon that registered after the ranking raised ValueError.
+        selection.record_store_unavailable(AFTER_ALL_TIMEOUTS_S)
+        self.assertFalse(selection.is_reading(AFTER_ALL_TIMEOUTS_S))
+        self.assertTrue(selection.is_polling_peers(AFTER_ALL_TIMEOUTS_S))
+        selection.record_report(AFTER_ALL_TIMEOUTS_S, self.order[0], False)
+        self.assertFalse(selection.is_polling_peers(AFTER_ALL_TIMEOUTS_S))
+
+    def test_unranked_daemon_is_in_last_group(self) -> None:
+        # Guards against a ValueError on an answer from a daemon that registered after
+        # the ranking.
         selection = self.ranked[0]
         self.assertGreaterEqual(selection.group_of("new"), self.ranked[-1].group)
 
--- a/reedspar/fleet/tests/test_registration.py
+++ b/reedspar/fleet/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon's own entry in the store."""
+"""Tests of a daemon's registration in the store."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -13,10 +13,10 @@
 
 
 class RegistrationTest(unittest.TestCase):
-    served = 0
+    success_count = 0
 
     def record_store_success(self) -> None:
-        self.served += 1
+        self.success_count += 1
 
     def run_with(
         self, script: Callable[[FakeStore, Registration], Awaitable[None]]
@@ -36,7 +36,7 @@
 
         anyio.run(run)
 
-    def test_entry_stands_under_a_lease(self) -> None:
+    def test_entry_is_written_under_lease(self) -> None:
         async def script(store: FakeStore, registration: Registration) -> None:
             self.assertEqual(store.current[KEY].value, b"me")
             self.assertTrue(registration.is_registered)
@@ -44,20 +44,20 @@
 
         self.run_with(script)
 
-    def test_entry_is_written_again_once_its_lease_has_ended(self) -> None:
-        # The process was stopped for longer than its lease lasts.  Without the
-        # entry no caller is told of it any more.
+    def test_entry_is_rewritten_after_lease_expiry(self) -> None:
+        # A process is paused for longer than its lease lasts.  Without the entry,
+        # callers are no longer given its address.
         async def script(store: FakeStore, registration: Registration) -> None:
-            store.lapse(next(iter(store.leases)))
+            store.expire_lease(next(iter(store.leases)))
             self.assertNotIn(KEY, store.current)
             await anyio.sleep(1.5)
             self.assertIn(KEY, store.current)
 
         self.run_with(script)
 
-    def test_entry_of_a_predecessor_is_taken_over(self) -> None:
-        # A daemon was killed and comes back within the old lease.  When that ends,
-        # the new entry must stay.
+    def test_entry_of_previous_daemon_is_replaced(self) -> None:
+        # A daemon is killed and restarts before its old lease ends.  The new entry must
+        # remain when it does.
         async def script(store: FakeStore, registration: Registration) -> None:
             other = create_registration(
                 KEY, b"new", store, TimerService(VirtualClock())
@@ -70,8 +70,8 @@
 
         self.run_with(script)
 
-    def test_registration_does_not_read_a_known_revision(self) -> None:
-        # Guards against an unneeded call to the store at each start of a daemon.
+    def test_known_revision_is_not_read(self) -> None:
+        # Guards against an unnecessary call to the store at each start of a daemon.
         async def script(store: FakeStore, registration: Registration) -> None:
             self.assertNotIn("get", store.calls)
             known_revision = store.current[KEY].revision
@@ -91,7 +91,7 @@
 
         self.run_with(script)
 
-    def test_withdrawn_entry_is_gone_and_stays_gone(self) -> None:
+    def test_withdrawn_entry_is_not_rewritten(self) -> None:
         async def script(store: FakeStore, registration: Registration) -> None:
             await registration.withdraw()
             self.assertNotIn(KEY, store.current)
@@ -100,23 +100,23 @@
 
         self.run_with(script)
 
-    def test_answers_of_the_store_are_told(self) -> None:
-        # What else this daemon knows of outages is a watch that may wait for 25 s.
+    def test_successful_calls_are_recorded(self) -> None:
+        # The only other sign of an outage is a watch, which may take 25 s.
         async def script(store: FakeStore, registration: Registration) -> None:
-            self.assertEqual(self.served, 1)
+            self.assertEqual(self.success_count, 1)
             store.is_unavailable = True
             await anyio.sleep(1.2)
-            self.assertEqual(self.served, 1)
+            self.assertEqual(self.success_count, 1)
             store.is_unavailable = False
             await anyio.sleep(0.6)
-            self.assertEqual(self.served, 2)
+            self.assertEqual(self.success_count, 2)
 
         self.run_with(script)
 
-    def test_outage_delays_the_entry(self) -> None:
+    def test_entry_is_rewritten_after_outage(self) -> None:
         async def script(store: FakeStore, registration: Registration) -> None:
             store.is_unavailable = True
-            store.lapse(next(iter(store.leases)))
+            store.expire_lease(next(iter(store.leases)))
             await anyio.sleep(1.1)
             store.is_unavailable = False
             await anyio.sleep(1.5)
--- a/reedspar/fleet/tests/test_relay.py
+++ b/reedspar/fleet/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of passing a document on within a region."""
+"""Tests of relaying entries within a region."""
 
 import random
 import unittest
@@ -31,8 +31,8 @@
 from reedspar.timers import TimerService, VirtualClock
 
 PREFIX = "versions/"
-NEAR = [f"e{i}" for i in range(5)]
-FAR = "f0"
+LOCAL_ENTRIES = [f"e{i}" for i in range(5)]
+REMOTE_ENTRY = "f0"
 TICK_S = 0.1
 
 
@@ -42,10 +42,10 @@
     prefix = FleetPrefix(PREFIX, is_relayed=True)
 
     def setUp(self) -> None:
-        turn = ReaderSelection(READERS_KEY, 0.0)
-        turn.update_members(NEAR[0], NEAR)
-        self.listeners = turn.listeners
-        self.readers = [name for name in NEAR if name not in self.listeners]
+        selection = ReaderSelection(READERS_KEY, 0.0)
+        selection.update_members(LOCAL_ENTRIES[0], LOCAL_ENTRIES)
+        self.listeners = selection.listeners
+        self.readers = [name for name in LOCAL_ENTRIES if name not in self.listeners]
 
     def create(self, name: str) -> None:
         self.clock = VirtualClock()
@@ -71,8 +71,8 @@
             rng,
             "r",
         )
-        for other in [*NEAR, FAR]:
-            region = "r" if other in NEAR else "s"
+        for other in [*LOCAL_ENTRIES, REMOTE_ENTRY]:
+            region = "r" if other in LOCAL_ENTRIES else "s"
             record = DaemonRecord(other, "entry", "a", region, "10.0.0.1", 1, 2)
             view.apply(DaemonChange(other, record))
         cache = self.feed.caches[PREFIX]
@@ -84,70 +84,71 @@
         self.clock.advance(TICK_S)
         self.timers.run_due()
 
-    def hear(self, revision: int, sender: str = "") -> None:
+    def receive_report(self, revision: int, sender: str = "") -> None:
         news = FleetNews((PrefixState(PREFIX, revision, revision, 0),), True)
         self.network.deliver(sender or self.readers[0], news)
 
-    def asked(self) -> list[str]:
+    def requested_peers(self) -> list[str]:
         return [p for p, m in self.network.sent if isinstance(m, FleetRequest)]
 
 
 class RelayTest(RelayTestCase):
-    def test_reader_tells_the_others_of_a_change_at_once(self) -> None:
+    def test_reader_reports_change_to_all_listeners_immediately(self) -> None:
         self.create(self.readers[0])
         self.feed.apply_from_peer(PREFIX, [WatchedEntry("versions/m", b"2", 8)])
-        told = [p for p, m in self.network.sent if isinstance(m, FleetNews)]
-        self.assertEqual(told, self.listeners)
+        recipients = [p for p, m in self.network.sent if isinstance(m, FleetNews)]
+        self.assertEqual(recipients, self.listeners)
         self.assertEqual(len(self.readers), READERS_PER_REGION)
 
-    def test_listener_asks_the_one_that_told_it(self) -> None:
+    def test_listener_requests_change_from_first_reporting_reader(self) -> None:
         self.create(self.listeners[0])
-        self.hear(8)
-        self.hear(8, self.readers[1])
-        self.assertEqual(self.asked(), [self.readers[0]])
+        self.receive_report(8)
+        self.receive_report(8, self.readers[1])
+        self.assertEqual(self.requested_peers(), [self.readers[0]])
 
-    def test_listener_asks_another_if_no_answer_comes(self) -> None:
-        # A reader froze after it had told of a change.
+    def test_listener_asks_another_reader_without_answer(self) -> None:
+        # A reader hangs after it has reported a change.
         self.create(self.listeners[0])
-        self.hear(8)
+        self.receive_report(8)
         for _ in range(round(ANSWER_TIMEOUT_S / TICK_S) + 1):
             self.tick()
-        self.hear(8, self.readers[1])
-        self.assertEqual(self.asked(), self.readers[:2])
+        self.receive_report(8, self.readers[1])
+        self.assertEqual(self.requested_peers(), self.readers[:2])
 
-    def test_listener_asks_for_the_next_change_at_once(self) -> None:
-        # Configurations come in a row, and the answer about the first is on its way.
+    def test_listener_requests_next_change_immediately(self) -> None:
+        # Two changes follow each other, and the answer for the first is still pending.
         self.create(self.listeners[0])
-        self.hear(8)
-        self.hear(9)
-        self.assertEqual(len(self.asked()), 2)
+        self.receive_report(8)
+        self.receive_report(9)
+        self.assertEqual(len(self.requested_peers()), 2)
 
-    def test_listener_asks_nobody_unprompted_while_readers_are_heard(self) -> None:
+    def test_listener_does_not_poll_while_readers_report(self) -> None:
         self.create(self.listeners[-1])
         for _ in range(50):
             self.tick()
-            self.hear(5)
-        self.assertEqual(self.asked(), [])
+            self.receive_report(5)
+        self.assertEqual(self.requested_peers(), [])
         self.assertEqual(self.feed.caches[PREFIX].revision, 5)
 
-    def test_next_in_rank_asks_none_but_other_regions_unprompted(self) -> None:
-        # Readers whose links are slow go on telling that the store serves them.
+    def test_first_standby_polls_only_other_regions(self) -> None:
+        # Readers with slow links continue to report that the store serves them.
         self.create(self.listeners[0])
         for _ in range(50):
             self.tick()
-            self.hear(5)
-        self.assertEqual(set(self.asked()), {FAR})
+            self.receive_report(5)
+        self.assertEqual(set(self.requested_peers()), {REMOTE_ENTRY})
         self.assertEqual(self.feed.caches[PREFIX].revision, 5)
 
-    def test_reader_asks_other_regions_too(self) -> None:
-        # The store leaves the watches of a region's readers without any answer.
+    def test_reader_polls_other_regions(self) -> None:
+        # The store does not answer the watches of a region's readers.
         self.create(self.readers[0])
         for _ in range(50):
             self.tick()
-        self.assertIn(FAR, self.asked())
+        self.assertIn(REMOTE_ENTRY, self.requested_peers())
 
-    def test_answer_moves_the_own_watch_on(self) -> None:
-        # Went it on from before, the store would send the document once more.
+    def test_answer_advances_own_watch(self) -> None:
+        # If the watch continued from the older revision, the store would send the
+        # document again.
         self.create(self.listeners[0])
         entry = FleetEntry("versions/m", b"2", 8, False)
         self.network.deliver(self.readers[0], FleetEntries(PREFIX, 12, (entry,)))
@@ -155,35 +156,38 @@
 
 
 class PushTest(RelayTestCase):
-    """Tests of a prefix whose changes readers send without a request."""
+    """Tests of a prefix whose changes readers push."""
 
     prefix = FleetPrefix(PREFIX, is_relayed=True, is_pushed=True)
 
     def recipients(self, name: str) -> list[str]:
-        """Return the daemons that a daemon sends a change to."""
+        """Return the daemons that the named daemon pushes a change to."""
         self.create(name)
         self.feed.apply_from_peer(PREFIX, [WatchedEntry("versions/m", b"2", 8)])
         return [p for p, m in self.network.sent if isinstance(m, FleetEntries)]
 
-    def test_reader_sends_a_change_and_a_listener_does_not(self) -> None:
+    def test_only_reader_pushes_change(self) -> None:
         self.assertEqual(self.recipients(self.readers[0]), self.listeners)
         self.assertEqual(self.recipients(self.listeners[-1]), [])
 
-    def test_listener_that_has_missed_a_change_asks_for_all_entries(self) -> None:
+    def test_listener_with_different_digest_requests_all_entries(self) -> None:
         # Guards against a lost change going unnoticed once a newer one has arrived.
         self.create(self.listeners[-1])
         digest = self.feed.caches[PREFIX].digest
-        for known, asked in ((digest, []), (digest + 1, [FleetRequest(PREFIX, 0)])):
+        for known, requested_peers in (
+            (digest, []),
+            (digest + 1, [FleetRequest(PREFIX, 0)]),
+        ):
             state = PrefixState(PREFIX, 5, 7, known)
             self.network.deliver(self.readers[0], FleetNews((state,), True))
             requests = [m for _, m in self.network.sent if isinstance(m, FleetRequest)]
-            self.assertEqual(requests, asked)
+            self.assertEqual(requests, requested_peers)
 
-    def test_reader_that_lags_is_not_asked(self) -> None:
+    def test_lagging_reader_is_not_asked(self) -> None:
         self.create(self.listeners[-1])
         state = PrefixState(PREFIX, 3, 4, 1)
         self.network.deliver(self.readers[0], FleetNews((state,), True))
-        self.assertEqual(self.asked(), [])
+        self.assertEqual(self.requested_peers(), [])
 
 
 if __name__ == "__main__":
--- a/reedspar/fleet/tests/test_relay_pause.py
+++ b/reedspar/fleet/tests/test_relay_pause.py
@@ -1,4 +1,4 @@
-"""Tests of when a daemon takes up the reading of a document."""
+"""Tests of the reader selection after a process pause."""
 
 import random
 import unittest
@@ -20,8 +20,8 @@
 from reedspar.utils import rank_by_rendezvous
 
 KEY = "doc"
-NEAR = [f"e{i}" for i in range(9)]
-FROZEN_S = 5.0
+LOCAL_ENTRIES = [f"e{i}" for i in range(9)]
+PAUSE_S = 5.0
 
 
 class RelayPauseTest(unittest.TestCase):
@@ -29,10 +29,10 @@
         self.clock = VirtualClock(100.0)
         self.timers = TimerService(self.clock)
         self.view = FleetView(self.timers)
-        for name, region in [*((name, "ra") for name in NEAR), ("far", "rb")]:
+        for name, region in [*((name, "ra") for name in LOCAL_ENTRIES), ("far", "rb")]:
             record = DaemonRecord(name, "entry", "a", region, "10.0.0.1", 1, 2)
             self.view.apply(DaemonChange(name, record))
-        ranked = rank_by_rendezvous(READERS_KEY, NEAR)
+        ranked = rank_by_rendezvous(READERS_KEY, LOCAL_ENTRIES)
         self.reader, self.name = ranked[0], ranked[-1]
         feed = create_fleet_feed(
             FakeStore(),
@@ -60,12 +60,12 @@
             self.network.deliver(self.reader, news)
             self.timers.run_due()
 
-    def test_daemon_that_was_frozen_hears_the_readers_before_it_reads(self) -> None:
-        # Many daemons wake at once, and the news of their readers wait in their
-        # sockets.  Each read the whole document at the store.
+    def test_resumed_daemon_waits_for_reports_before_reading(self) -> None:
+        # Many daemons resume at once while the reports of their readers are unread in
+        # their sockets.  They must not all read the whole document from the store.
         self.tick(20)
         self.assertFalse(self.relay.is_polling_peers)
-        self.clock.advance(FROZEN_S)
+        self.clock.advance(PAUSE_S)
         with self.assertNoLogs("reedspar.fleet.feed", "INFO"):
             self.timers.run_due()
             self.tick(20)
--- a/reedspar/fleet/tests/test_view.py
+++ b/reedspar/fleet/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet as a daemon believes it to be."""
+"""Tests of a daemon's view of the fleet."""
 
 import unittest
 
@@ -29,14 +29,14 @@
         assert known is not None
         return known.is_cold(self.clock.now_s())
 
-    def test_routes_never_go_back(self) -> None:
-        # A peer brings an older table.  A key that was taken away would work again.
+    def test_older_route_table_is_ignored(self) -> None:
+        # A peer sends an older table, with which a revoked key would work again.
         self.view.apply(RoutesChange(RouteTable(1)))
         self.assertIs(self.view.routes, TABLE)
 
-    def test_target_that_has_just_started_is_cold_before_it_says_so(self) -> None:
-        # A target's first record says nothing of a cold start.  Given its full
-        # share at once it would crash.
+    def test_new_target_is_assumed_cold(self) -> None:
+        # A target's first record does not report its cold start.  A full share of
+        # requests would overload and crash it.
         self.view.apply(TargetChange("t1", make_target("t1")))
         self.assertFalse(self.is_cold("t1"))
         self.view.mark_initialized()
@@ -47,34 +47,34 @@
         self.clock.advance(3.1)
         self.assertFalse(self.is_cold("t2"))
 
-    def test_restart_under_the_same_id_is_a_cold_start(self) -> None:
-        # A target crashes and comes back under its id, empty and cold.
+    def test_restart_with_same_id_is_cold_start(self) -> None:
+        # A target crashes and restarts empty and cold with the same id.
         self.view.apply(TargetChange("t1", make_target("t1", started_ms=1)))
         self.view.mark_initialized()
         self.view.apply(TargetChange("t1", make_target("t1", started_ms=2)))
         self.assertTrue(self.is_cold("t1"))
 
-    def test_target_that_turns_cold_again_is_cold_as_long_as_it_says(self) -> None:
+    def test_target_is_cold_for_reported_time(self) -> None:
         self.view.apply(TargetChange("t1", make_target("t1")))
         self.view.apply(TargetChange("t1", make_target("t1", cold_left_s=1.0)))
         self.assertTrue(self.is_cold("t1"))
         self.clock.advance(1.1)
         self.assertFalse(self.is_cold("t1"))
 
-    def test_target_moves_to_another_pool(self) -> None:
-        # An address and id are used again by another service.
+    def test_target_can_move_to_another_pool(self) -> None:
+        # Another service reuses the address and id of a target.
         self.view.apply(TargetChange("t1", make_target("t1")))
         self.view.apply(TargetChange("t1", make_target("t1", pool="orders")))
         self.assertEqual(list(self.view.targets("quotes")), [])
         self.assertEqual(len(list(self.view.targets("orders"))), 1)
 
-    def test_versions_only_go_up(self) -> None:
+    def test_older_versions_are_ignored(self) -> None:
         for version in (2, 1, 2, 3):
             self.view.apply(WeightsChange("m", version))
         named = [item.version for item in self.view.versions_of("m")]
         self.assertEqual(named, [2, 3])
 
-    def test_listeners_hear_of_news_alone(self) -> None:
+    def test_listeners_are_notified_of_effective_changes_only(self) -> None:
         heard = []
         self.view.on_change(heard.append)
         record = DaemonRecord("e1", "entry", "a", "r", "10.0.0.1", 1, 2)
