--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -74,7 +74,7 @@
         self.tasks.start_soon(self.timers.run)
         await self.tasks.start(self.transport.run)
         self.network.on_link_event(self._note_link)
-        self.network.on_sender(self.membership.note_sender)
+        self.network.on_sender(self.membership.handle_sender)
         self.network.on_sender(self.configuration.handle_sender)
         self.timers.on_pause(self._note_pause)
         self.timers.call_every(WANT_INTERVAL_S, self._want_links)
@@ -92,12 +92,12 @@
 
     def _note_link(self, event: LinkEvent) -> None:
         if event.change is LinkChange.DOWN:
-            self.membership.note_link_down(event.peer)
+            self.membership.handle_link_down(event.peer)
         if event.reason is Reason.UNAVAILABLE:
-            self.membership.note_refused_dial(event.peer)
+            self.membership.handle_refused_dial(event.peer)
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
             return
-        self.membership.note_link_up(event.peer, event.incarnation)
+        self.membership.handle_link_up(event.peer, event.incarnation)
 
     def _observe(self) -> None:
         """Turn what the node learns into events and metrics."""
--- a/reedspar/membership/polling.py
+++ b/reedspar/membership/polling.py
@@ -8,13 +8,13 @@
 
 from .messages import MemberNotice, NoticeKind, make_notice
 
-__all__ = ["ListDifferences", "is_poller", "poll_interval_s"]
+__all__ = ["InstanceListTracker", "is_poller", "poll_interval_s"]
 
 RECORD_SIZE_BYTES = 200
 POLLERS_PER_ZONE = 2
 POLLER_BYTES_PER_S = 4000
 """What reading the list may cost a poller; it tells the others what changed."""
-OTHER_BYTES_PER_S = 1000
+NON_POLLER_BYTES_PER_S = 1000
 """What it may cost anybody else, to heal what news has missed."""
 
 
@@ -24,18 +24,20 @@
     return own.name in ranked[:POLLERS_PER_ZONE]
 
 
-def poll_interval_s(least_s: float, record_count: int, is_polling: bool) -> float:
+def poll_interval_s(
+    min_interval_s: float, record_count: int, is_polling: bool
+) -> float:
     """Return the time between two reads, so that their bytes stay bounded.
 
     The whole list comes with each read, so its cost grows with the fleet while
     a daemon's allowance does not.
     """
-    budget = POLLER_BYTES_PER_S if is_polling else OTHER_BYTES_PER_S
-    return max(least_s, record_count * RECORD_SIZE_BYTES / budget)
+    budget = POLLER_BYTES_PER_S if is_polling else NON_POLLER_BYTES_PER_S
+    return max(min_interval_s, record_count * RECORD_SIZE_BYTES / budget)
 
 
 @dataclass(slots=True)
-class ListDifferences:
+class InstanceListTracker:
     """Compares each read with the one before, not with the view.
 
     Pollers' lists lag differently.  Against the view, a poller with an older
@@ -45,7 +47,7 @@
     _previous: dict[str, InstanceRecord] = field(default_factory=dict)
     _has_read: bool = False
 
-    def note_list(
+    def update(
         self, records: Iterable[InstanceRecord], observed_ms: int
     ) -> list[MemberNotice]:
         """Return news of what changed since the last read; none on the first."""
--- a/reedspar/membership/subsets.py
+++ b/reedspar/membership/subsets.py
@@ -15,10 +15,10 @@
 
 __all__ = ["choose_agents", "choose_entries", "choose_neighbours"]
 
-ENTRIES_PER_AGENT = 4
-AGENTS_PER_POOL = 8
+ENTRY_LINKS_PER_AGENT = 4
+AGENT_LINKS_PER_POOL = 8
 """Agents that an entry dials in each pool, spread over the zones."""
-NEIGHBOURS = 2
+NEIGHBOUR_COUNT = 2
 
 
 def choose_entries(
@@ -27,10 +27,10 @@
     """Return the entries that an agent dials: of its zone, or else of any."""
     records = list(entries)
     near = [record for record in records if record.zone == own.zone]
-    chosen = _rank(own, near)[:ENTRIES_PER_AGENT]
-    if len(chosen) < ENTRIES_PER_AGENT:
+    chosen = _rank(own, near)[:ENTRY_LINKS_PER_AGENT]
+    if len(chosen) < ENTRY_LINKS_PER_AGENT:
         far = [record for record in records if record.zone != own.zone]
-        chosen += _rank(own, far)[: ENTRIES_PER_AGENT - len(chosen)]
+        chosen += _rank(own, far)[: ENTRY_LINKS_PER_AGENT - len(chosen)]
     return chosen
 
 
@@ -38,12 +38,12 @@
     own: InstanceRecord, agents: Iterable[InstanceRecord]
 ) -> list[InstanceRecord]:
     """Return the agents that an entry dials, for each pool a few in each zone."""
-    by_place: dict[str, dict[str, list[InstanceRecord]]] = defaultdict(dict)
+    by_pool: dict[str, dict[str, list[InstanceRecord]]] = defaultdict(dict)
     for record in agents:
-        by_place[record.pool].setdefault(record.zone, []).append(record)
+        by_pool[record.pool].setdefault(record.zone, []).append(record)
     chosen = []
-    for zones in by_place.values():
-        per_zone = max(1, -(-AGENTS_PER_POOL // len(zones)))
+    for zones in by_pool.values():
+        per_zone = max(1, -(-AGENT_LINKS_PER_POOL // len(zones)))
         for records in zones.values():
             chosen += _rank(own, records)[:per_zone]
     return chosen
@@ -54,7 +54,7 @@
 ) -> list[InstanceRecord]:
     """Return the other entries that an entry dials, so that news gets around."""
     others = [record for record in entries if record.name != own.name]
-    return _rank(own, others)[:NEIGHBOURS]
+    return _rank(own, others)[:NEIGHBOUR_COUNT]
 
 
 def _rank(
--- a/reedspar/membership/tests/test_view.py
+++ b/reedspar/membership/tests/test_view.py
@@ -10,7 +10,7 @@
 
 from reedspar.membership import MembershipView, NoticeKind
 from reedspar.membership.messages import make_notice
-from reedspar.membership.polling import ListDifferences, poll_interval_s
+from reedspar.membership.polling import InstanceListTracker, poll_interval_s
 from reedspar.membership.subsets import choose_agents, choose_entries
 from reedspar.platform import InstanceRecord, InstanceState
 
@@ -32,64 +32,64 @@
 class ViewTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = MembershipView(OWN)
-        self.view.note_list([OWN, AGENT, OTHER], 0.0)
+        self.view.apply_list([OWN, AGENT, OTHER], 0.0)
 
     def chosen(self, now_s: float = 0.0) -> list[str]:
-        return [each.name for each in self.view.choosable("agent", now_s)]
+        return [each.name for each in self.view.list_eligible("agent", now_s)]
 
     def test_silent_link_is_no_evidence(self) -> None:
         # A process is stopped for some seconds, and its link goes silent.  Were
         # it taken for dead, its work would move away just before it goes on.
-        self.view.note_link_up("quotes-0", 5)
-        self.view.note_link_down("quotes-0", 1.0)
+        self.view.record_link_up("quotes-0", 5)
+        self.view.record_link_down("quotes-0", 1.0)
         self.assertEqual(self.chosen(1.0), ["quotes-0", "quotes-1"])
 
     def test_refused_dial_goes_before_the_list_until_it_shows_itself(self) -> None:
         # The process has died, and the instance list will name it for a while.
-        self.view.note_refused_dial("quotes-0", 1.0)
+        self.view.record_refused_dial("quotes-0", 1.0)
         self.assertEqual(self.chosen(2.0), ["quotes-1"])
-        self.view.note_list([OWN, AGENT, OTHER], 3.0)
+        self.view.apply_list([OWN, AGENT, OTHER], 3.0)
         self.assertEqual(self.chosen(3.0), ["quotes-1"])
-        self.view.note_link_up("quotes-0", 6)
+        self.view.record_link_up("quotes-0", 6)
         self.assertEqual(self.chosen(4.0), ["quotes-0", "quotes-1"])
 
     def test_leaving_holds_for_its_incarnation_only(self) -> None:
         # A machine is replaced under the same name.  Late news of the old
         # process must not keep work from the new one.
-        self.view.note_link_up("quotes-0", 5)
-        self.assertTrue(self.view.note_notice(notice(NoticeKind.LEAVING, 5), 1.0))
-        self.assertFalse(self.view.note_notice(notice(NoticeKind.LEAVING, 5), 1.0))
-        self.view.note_list([OWN, AGENT, OTHER], 1.0)
+        self.view.record_link_up("quotes-0", 5)
+        self.assertTrue(self.view.apply_notice(notice(NoticeKind.LEAVING, 5), 1.0))
+        self.assertFalse(self.view.apply_notice(notice(NoticeKind.LEAVING, 5), 1.0))
+        self.view.apply_list([OWN, AGENT, OTHER], 1.0)
         self.assertEqual(self.chosen(), ["quotes-1"])
-        self.view.note_incarnation("quotes-0", 6)
-        self.assertFalse(self.view.note_notice(notice(NoticeKind.LEAVING, 5), 2.0))
+        self.view.record_incarnation("quotes-0", 6)
+        self.assertFalse(self.view.apply_notice(notice(NoticeKind.LEAVING, 5), 2.0))
         self.assertEqual(self.chosen(), ["quotes-0", "quotes-1"])
 
     def test_removed_instance_stays_while_its_link_does(self) -> None:
-        self.view.note_link_up("quotes-0", 5)
-        self.view.note_list([OWN, OTHER], 1.0)
+        self.view.record_link_up("quotes-0", 5)
+        self.view.apply_list([OWN, OTHER], 1.0)
         self.assertEqual(self.chosen(1.0), ["quotes-0", "quotes-1"])
-        self.view.note_link_down("quotes-0", 2.0)
+        self.view.record_link_down("quotes-0", 2.0)
         self.assertIsNone(self.view.member("quotes-0"))
 
     def test_own_word_of_joining_goes_before_a_lagging_list(self) -> None:
         view = MembershipView(OWN)
-        self.assertTrue(view.note_notice(notice(NoticeKind.JOINED, 3), 0.0))
-        view.note_list([OWN], 1.0)
+        self.assertTrue(view.apply_notice(notice(NoticeKind.JOINED, 3), 0.0))
+        view.apply_list([OWN], 1.0)
         self.assertIsNotNone(view.member("quotes-0"))
-        view.note_list([OWN], 500.0)
+        view.apply_list([OWN], 500.0)
         self.assertIsNone(view.member("quotes-0"))
 
     def test_listed_daemons_that_start_are_no_news(self) -> None:
         # The whole fleet starts at once.  Passing on every start to everybody
         # would fill the links just when they are needed.
-        self.assertFalse(self.view.note_notice(notice(NoticeKind.JOINED, 3), 0.0))
+        self.assertFalse(self.view.apply_notice(notice(NoticeKind.JOINED, 3), 0.0))
 
     def test_leaving_in_the_list_ends_with_it(self) -> None:
         leaving = replace(AGENT, state=InstanceState.LEAVING)
-        self.view.note_list([OWN, leaving, OTHER], 1.0)
+        self.view.apply_list([OWN, leaving, OTHER], 1.0)
         self.assertEqual(self.chosen(), ["quotes-1"])
-        self.view.note_list([OWN, AGENT, OTHER], 2.0)
+        self.view.apply_list([OWN, AGENT, OTHER], 2.0)
         self.assertEqual(self.chosen(), ["quotes-0", "quotes-1"])
 
     @settings(derandomize=True, max_examples=200, deadline=None)
@@ -98,7 +98,7 @@
         # News travels many ways and arrives in any order, more than once.
         rng = random.Random(seed)
         view = MembershipView(OWN)
-        view.note_list([OWN, AGENT], 0.0)
+        view.apply_list([OWN, AGENT], 0.0)
         words = [
             notice(kind, incarnation, rng.randrange(9))
             for incarnation in (1, 2, 3)
@@ -108,7 +108,7 @@
         is_leaving = words[-1].kind is NoticeKind.LEAVING
         rng.shuffle(words)
         for word in words + rng.sample(words, len(words) // 2):
-            view.note_notice(word, 0.0)
+            view.apply_notice(word, 0.0)
         member = view.member("quotes-0")
         assert member is not None
         self.assertEqual((member.incarnation, member.is_leaving), (newest, is_leaving))
@@ -116,10 +116,10 @@
 
 class PollingTest(unittest.TestCase):
     def test_differences_are_to_the_own_last_read(self) -> None:
-        differences = ListDifferences()
-        self.assertEqual(differences.note_list([OWN, AGENT], 1), [])
+        differences = InstanceListTracker()
+        self.assertEqual(differences.update([OWN, AGENT], 1), [])
         leaving = replace(AGENT, state=InstanceState.LEAVING)
-        news = differences.note_list([leaving, OTHER], 2)
+        news = differences.update([leaving, OTHER], 2)
         self.assertEqual(
             sorted((each.kind.value, each.name) for each in news),
             [("joined", "quotes-1"), ("leaving", "quotes-0"), ("removed", "entry-0")],
--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -14,9 +14,9 @@
 
 __all__ = ["Member", "MembershipView"]
 
-REFUSED_TTL_S = 15.0
+REFUSED_DIAL_TTL_S = 15.0
 """A refused dial keeps a daemon out of choice this long, unless it shows itself."""
-LIST_OVERRIDE_S = 120.0
+JOIN_PRECEDENCE_S = 120.0
 """How long a daemon's own word of joining goes before a list that lacks it."""
 MAX_MEMBERS = 10_000
 
@@ -67,17 +67,17 @@
         """Return every daemon that may be alive, this one included."""
         return tuple(self._members.values())
 
-    def choosable(self, role: str, now_s: float) -> tuple[InstanceRecord, ...]:
+    def list_eligible(self, role: str, now_s: float) -> tuple[InstanceRecord, ...]:
         """Return the daemons of a role that may be given something new, by name."""
         return tuple(
             member.record
             for _, member in sorted(self._members.items())
             if member.record.role == role
             and not member.is_leaving
-            and (member.has_link or now_s - member.refused_s > REFUSED_TTL_S)
+            and (member.has_link or now_s - member.refused_s > REFUSED_DIAL_TTL_S)
         )
 
-    def dialable(self, role: str) -> tuple[InstanceRecord, ...]:
+    def list_dialable(self, role: str) -> tuple[InstanceRecord, ...]:
         """Return the daemons of a role that are worth a dial, refused ones too."""
         return tuple(
             member.record
@@ -97,22 +97,22 @@
             if member.record.zone == zone and not member.is_leaving
         )
 
-    def note_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
+    def apply_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
         """Take in the instance list."""
         listed = {record.name: record for record in records}
         is_changed = not self.is_initialized
         self.is_initialized = True
         for name, record in listed.items():
             if name != self.own.name:
-                is_changed |= self._note_listed(record)
+                is_changed |= self._apply_listed(record)
         for name in self._members.keys() - listed.keys() - {self.own.name}:
             member = self._members[name]
             is_changed |= member.is_listed
             member.is_listed = False
             is_changed |= self._drop_if_gone(name, now_s)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_notice(self, notice: MemberNotice, now_s: float) -> bool:
+    def apply_notice(self, notice: MemberNotice, now_s: float) -> bool:
         """Take in news; tell whether it was news and should be passed on."""
         if notice.name == self.own.name:
             return False
@@ -120,21 +120,21 @@
         if member is not None and self._is_stale(member, notice):
             return False
         if notice.kind is NoticeKind.REMOVED:
-            is_changed = self._note_removed(member, notice, now_s)
+            is_changed = self._apply_removed(member, notice, now_s)
         elif notice.kind is NoticeKind.LEAVING:
-            is_changed = self._note_leaving(member, notice)
+            is_changed = self._apply_leaving(member, notice)
         else:
-            is_changed = self._note_joined(member, notice, now_s)
-        self._tell(is_changed)
+            is_changed = self._apply_joined(member, notice, now_s)
+        self._notify_listeners(is_changed)
         return is_changed
 
-    def note_own_leaving(self, incarnation: int) -> None:
+    def mark_own_leaving(self, incarnation: int) -> None:
         """Take in that this daemon stops soon, so that it is named no more."""
         member = self._members[self.own.name]
         member.incarnation = member.leaving_incarnation = incarnation
-        self._tell(True)
+        self._notify_listeners(True)
 
-    def note_link_up(self, name: str, incarnation: int) -> None:
+    def record_link_up(self, name: str, incarnation: int) -> None:
         """Take in that a link to a daemon is open."""
         member = self._members.get(name)
         if member is None or name == self.own.name:
@@ -143,38 +143,38 @@
         member.has_link = True
         member.refused_s = float("-inf")
         member.incarnation = max(member.incarnation, incarnation)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_link_down(self, name: str, now_s: float) -> None:
+    def record_link_down(self, name: str, now_s: float) -> None:
         """Take in that the last link to a daemon has closed or gone silent."""
         member = self._members.get(name)
         if member is None or name == self.own.name or not member.has_link:
             return
         member.has_link = False
         self._drop_if_gone(name, now_s)
-        self._tell(True)
+        self._notify_listeners(True)
 
-    def note_refused_dial(self, name: str, now_s: float) -> None:
+    def record_refused_dial(self, name: str, now_s: float) -> None:
         """Take in that the daemon's machine answered that nothing listens there."""
         member = self._members.get(name)
         if member is None or name == self.own.name or member.has_link:
             return
-        is_changed = now_s - member.refused_s > REFUSED_TTL_S
+        is_changed = now_s - member.refused_s > REFUSED_DIAL_TTL_S
         member.refused_s = now_s
         member.joined_s = float("-inf")
         is_changed |= self._drop_if_gone(name, now_s)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_incarnation(self, name: str, incarnation: int) -> None:
+    def record_incarnation(self, name: str, incarnation: int) -> None:
         """Take in the incarnation that a frame has shown."""
         member = self._members.get(name)
         if member is None or incarnation <= member.incarnation:
             return
         was_leaving = member.is_leaving
         member.incarnation = incarnation
-        self._tell(was_leaving != member.is_leaving)
+        self._notify_listeners(was_leaving != member.is_leaving)
 
-    def _note_listed(self, record: InstanceRecord) -> bool:
+    def _apply_listed(self, record: InstanceRecord) -> bool:
         member = self._members.get(record.name)
         if member is None:
             if len(self._members) >= MAX_MEMBERS:
@@ -201,7 +201,7 @@
             return notice.incarnation < member.incarnation
         return notice.observed_ms <= member.observed_ms
 
-    def _note_removed(
+    def _apply_removed(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
         if member is None:
@@ -211,7 +211,7 @@
         member.is_listed = False
         return self._drop_if_gone(notice.name, now_s) or was_listed
 
-    def _note_leaving(self, member: Member | None, notice: MemberNotice) -> bool:
+    def _apply_leaving(self, member: Member | None, notice: MemberNotice) -> bool:
         if member is None:
             return False
         was_leaving = member.is_leaving
@@ -223,7 +223,7 @@
             member.is_list_leaving = True
         return member.is_leaving and not was_leaving
 
-    def _note_joined(
+    def _apply_joined(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
         """Take in a start; that a listed daemon runs as listed is no news.
@@ -235,7 +235,7 @@
             member is None
             or member.is_leaving
             or not (member.is_listed or member.has_link)
-            or now_s - member.refused_s <= REFUSED_TTL_S
+            or now_s - member.refused_s <= REFUSED_DIAL_TTL_S
         )
         if member is None:
             if len(self._members) >= MAX_MEMBERS:
@@ -258,12 +258,12 @@
         member = self._members[name]
         if member.is_listed or member.has_link:
             return False
-        if now_s - member.joined_s < LIST_OVERRIDE_S:
+        if now_s - member.joined_s < JOIN_PRECEDENCE_S:
             return False
         del self._members[name]
         return True
 
-    def _tell(self, is_changed: bool) -> None:
+    def _notify_listeners(self, is_changed: bool) -> None:
         if is_changed:
             for listener in self._listeners:
                 listener()
