--- a/reedspar/membership/__init__.py
+++ b/reedspar/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The view of all daemons, and the links that each one opens."""
+"""The view of all daemons, and the links that each daemon opens."""
 
 from .controller import Membership, create_membership
 from .messages import MemberNews, MemberNotice, NoticeKind, register_messages
--- a/reedspar/membership/controller.py
+++ b/reedspar/membership/controller.py
@@ -1,4 +1,7 @@
-"""Keep the view of daemons: read the instance list, pass news on, tell who to dial."""
+"""Maintains the view of daemons from the instance list and a gossip protocol.
+
+It also decides which links this daemon opens.
+"""
 
 import random
 import time
@@ -24,12 +27,12 @@
 GOSSIP_INTERVAL_S = 0.25
 GOSSIP_FANOUT = 3
 GOSSIP_ROUNDS_PER_NOTICE = 3
-"""Ticks in which a notice is passed on; each goes to other random peers."""
+"""Intervals in which a notice is sent, each time to newly chosen random peers."""
 MAX_NOTICES_PER_MESSAGE = 8
-"""Bounds the bytes a second while a whole zone comes or goes."""
+"""Bounds the bytes per second while all daemons of a zone start or stop."""
 MAX_QUEUED_NOTICES = 4096
 INITIAL_RETRY_DELAY_S = 1.0
-POLL_JITTER = 0.25
+POLL_JITTER_RATIO = 0.25
 
 Spawn = Callable[..., Any]
 
@@ -41,7 +44,7 @@
 
 
 class Membership:
-    """The view of daemons, and its shell."""
+    """The view of daemons, with its input and output."""
 
     def __init__(
         self,
@@ -81,33 +84,33 @@
 
     @property
     def is_initialized(self) -> bool:
-        """Tell whether the instance list was ever read."""
+        """Return whether the instance list was ever read."""
         return self._view.is_initialized
 
     @property
     def own(self) -> InstanceRecord:
-        """Return this daemon as the others should know it."""
+        """Return this daemon's record."""
         return self._own
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of who is there."""
+        """Call `listener` after each change of the known daemons."""
         self._view.on_change(listener)
 
     def start(self) -> None:
-        """Subscribe, read the instance list, and tell of this start."""
+        """Subscribe, start reading the instance list, and announce this daemon."""
         self._network.subscribe(MemberNews, self._handle_notices)
         self._timers.call_every(GOSSIP_INTERVAL_S, self._send_notices)
         self._queue_notice(self._make_own_notice(NoticeKind.JOINED))
         self._poll()
 
     def announce_leaving(self) -> None:
-        """Tell the others that this daemon takes no new work and stops soon."""
+        """Announce that this daemon accepts no new work and stops soon."""
         self._view.mark_own_leaving(self._incarnation)
         self._queue_notice(self._make_own_notice(NoticeKind.LEAVING))
         self._send_notices()
 
     def member(self, name: str) -> Member | None:
-        """Return what is known of a daemon."""
+        """Return a daemon, None if it is unknown."""
         return self._view.member(name)
 
     def members(self) -> tuple[Member, ...]:
@@ -115,11 +118,11 @@
         return self._view.members()
 
     def entries(self) -> tuple[InstanceRecord, ...]:
-        """Return the entries that may be named to callers, by name."""
+        """Return the entries whose addresses callers may be given, sorted by name."""
         return self._view.list_eligible(Role.ENTRY.value, self._timers.now_s())
 
     def agents(self, pool: str = "") -> tuple[InstanceRecord, ...]:
-        """Return the agents (of a pool) that may be given work, by name."""
+        """Return the agents (of a pool) that may be given work, sorted by name."""
         agents = self._view.list_eligible(Role.AGENT.value, self._timers.now_s())
         return tuple(record for record in agents if pool in ("", record.pool))
 
@@ -132,17 +135,17 @@
         return self._view.zone_members(zone)
 
     def desired_links(self) -> tuple[InstanceRecord, ...]:
-        """Return the daemons that this one should keep a link dialled to.
+        """Return the daemons that this daemon should keep a dialled link to.
 
-        Others dial this one, too; a link that is no longer wanted stays open
+        Other daemons also dial this one.  A link that is no longer desired stays open
         while attempts are in flight on it.
         """
         if self._desired_links is None:
             chosen = self._choose_links(self.entries(), self.agents())
-            # A daemon that starts again at its address tells but a few of the
-            # others.  Were those that it refused once to dial no more, callers
-            # would hear for many seconds that there is no target.  The link's
-            # own back-off bounds what the further dials cost.
+            # A daemon that restarts at its address announces itself to only a few
+            # others.  If daemons with a refused dial stopped dialling it, callers would
+            # be told for many seconds that there is no target.  The link's back-off
+            # limits the cost of further dials.
             chosen += self._choose_links(
                 self._view.list_dialable(Role.ENTRY.value),
                 self._view.list_dialable(Role.AGENT.value),
@@ -160,19 +163,19 @@
         return chosen + choose_neighbours(self._own, entries)
 
     def handle_sender(self, sender: Sender) -> None:
-        """Take in the incarnation that a frame has shown."""
+        """Record the incarnation in the sender header of a frame."""
         self._view.record_incarnation(sender.name, sender.incarnation)
 
     def handle_link_up(self, peer: str, incarnation: int) -> None:
-        """Take in that a link to a daemon is open."""
+        """Record that a link to a daemon is open."""
         self._view.record_link_up(peer, incarnation)
 
     def handle_link_down(self, peer: str) -> None:
-        """Take in that the last link to a daemon has closed or gone silent."""
+        """Record that the last link to a daemon was closed or has timed out."""
         self._view.record_link_down(peer, self._timers.now_s())
 
     def handle_refused_dial(self, peer: str) -> None:
-        """Take in that the daemon's machine answered that nothing listens there."""
+        """Record that a daemon's machine has refused a connection."""
         self._view.record_refused_dial(peer, self._timers.now_s())
 
     def _invalidate_desired_links(self) -> None:
@@ -185,7 +188,7 @@
         return int(self._wall_clock_s() * 1000)
 
     def _poll(self) -> None:
-        # A dial that was refused a while ago may be tried again by now.
+        # A daemon whose dial was refused some time ago may be dialled again.
         self._invalidate_desired_links()
         self._spawn(self._read_list)
 
@@ -205,8 +208,8 @@
 
     def _apply_list(self, records: tuple[InstanceRecord, ...]) -> None:
         if not records and len(self._view.members()) > 1:
-            # An instance list that lost its state names nobody.  Believed, it
-            # would empty every address answer; the daemons are still there.
+            # An instance list that has lost its state is empty, though the daemons are
+            # alive.  If it were applied, callers would be given no addresses.
             return
         notices = self._list_changes.update(records, self._observed_ms())
         self._view.apply_list(records, self._timers.now_s())
@@ -215,7 +218,7 @@
                 self._queue_notice(notice)
 
     def _jitter(self, interval_s: float) -> float:
-        return interval_s * (1 + POLL_JITTER * (2 * self._rng.random() - 1))
+        return interval_s * (1 + POLL_JITTER_RATIO * (2 * self._rng.random() - 1))
 
     def _queue_notice(self, notice: MemberNotice) -> None:
         self._queued_notices.append(_QueuedNotice(notice))
@@ -253,10 +256,10 @@
     rng: random.Random | None = None,
     wall_clock_s: Callable[[], float] = time.time,
 ) -> Membership:
-    """Make the view of daemons; `spawn` is a task group's `start_soon`.
+    """Create the view of daemons; `spawn` is a task group's `start_soon`.
 
-    Call `start` once, `handle_sender` with every frame's sender, and the other
-    `note_` methods as links open, close and are refused.
+    Call `start` once, `handle_sender` with the sender of every frame, and the other
+    `handle_` methods when links open or close or dials are refused.
     """
     return Membership(
         settings,
--- a/reedspar/membership/membership.capnp
+++ b/reedspar/membership/membership.capnp
@@ -1,13 +1,13 @@
 @0xe2b7409d5c61fa38;
-# News of daemons, passed on by whoever it was news to.
+# Notices about daemons; each daemon passes on those that are new to it.
 
 struct MemberNotice {
   kind @0 :Text;
   name @1 :Text;
   incarnation @2 :UInt64;
-  # 0: seen in the instance list, which knows no incarnations.
+  # 0 for a notice from the instance list, which has no incarnations.
   observedMs @3 :UInt64;
-  # Wall clock of the observer; the later one of two notices wins.
+  # Wall clock of the observer; the later of two notices takes precedence.
   role @4 :Text;
   zone @5 :Text;
   region @6 :Text;
--- a/reedspar/membership/messages.py
+++ b/reedspar/membership/messages.py
@@ -1,4 +1,4 @@
-"""The message by which news of daemons spreads."""
+"""The gossip message that carries notices about daemons."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,19 +16,19 @@
 
 
 class NoticeKind(Enum):
-    """What happened to a daemon."""
+    """Change of a daemon's state."""
 
     JOINED = "joined"
-    """It started, or the instance list named it first."""
+    """The daemon has started, or is new in the instance list."""
     LEAVING = "leaving"
-    """It takes no new work and stops soon."""
+    """The daemon accepts no new work and stops soon."""
     REMOVED = "removed"
-    """The instance list no longer names it."""
+    """The daemon is no longer in the instance list."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberNotice:
-    """News of one daemon, with all that is needed to reach it."""
+    """A change of one daemon, with all data needed to connect to it."""
 
     kind: NoticeKind
     name: str
@@ -44,7 +44,7 @@
 
     @property
     def record(self) -> InstanceRecord:
-        """Return the daemon as the instance list would name it."""
+        """Return the daemon in the form of an instance list record."""
         return InstanceRecord(
             self.name,
             self.role,
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """Several notices in one frame."""
+    """Several notices in one message."""
 
     notices: tuple[MemberNotice, ...]
 
@@ -67,7 +67,7 @@
 def make_notice(
     kind: NoticeKind, record: InstanceRecord, incarnation: int, observed_ms: int
 ) -> MemberNotice:
-    """Return the news that `kind` happened to the daemon of `record`."""
+    """Return a notice of `kind` about the daemon of `record`."""
     return MemberNotice(
         kind,
         record.name,
--- a/reedspar/membership/polling.py
+++ b/reedspar/membership/polling.py
@@ -1,4 +1,4 @@
-"""How often to read the instance list, and what changed between two reads."""
+"""Poll interval of the instance list, and the changes between two reads."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -13,13 +13,13 @@
 RECORD_SIZE_BYTES = 200
 POLLERS_PER_ZONE = 2
 POLLER_BYTES_PER_S = 4000
-"""What reading the list may cost a poller; it tells the others what changed."""
+"""Limit of a poller's traffic for reading the list; pollers gossip its changes."""
 NON_POLLER_BYTES_PER_S = 1000
-"""What it may cost anybody else, to heal what news has missed."""
+"""The same limit for other daemons, whose reads repair the effect of lost notices."""
 
 
 def is_poller(own: InstanceRecord, zone_members: Iterable[str]) -> bool:
-    """Tell whether this daemon is one of its zone's pollers."""
+    """Return whether this daemon is one of its zone's pollers."""
     ranked = rank_by_rendezvous(f"membership/poll/{own.zone}", zone_members)
     return own.name in ranked[:POLLERS_PER_ZONE]
 
@@ -27,10 +27,10 @@
 def poll_interval_s(
     min_interval_s: float, record_count: int, is_polling: bool
 ) -> float:
-    """Return the time between two reads, so that their bytes stay bounded.
+    """Return the interval between two reads that keeps within the traffic limit.
 
-    The whole list comes with each read, so its cost grows with the fleet while
-    a daemon's allowance does not.
+    Each read transfers the whole list, so its size grows with the fleet while the limit
+    of a daemon does not.
     """
     budget = POLLER_BYTES_PER_S if is_polling else NON_POLLER_BYTES_PER_S
     return max(min_interval_s, record_count * RECORD_SIZE_BYTES / budget)
@@ -38,10 +38,11 @@
 
 @dataclass(slots=True)
 class InstanceListTracker:
-    """Compares each read with the one before, not with the view.
+    """Compares each read of the list with the previous one, not with the view.
 
-    Pollers' lists lag differently.  Against the view, a poller with an older
-    list would bring back what another has seen removed, and the view would flap.
+    The lists of pollers lag differently.  If they were compared with the view, a poller
+    with an older list would restore daemons that another has seen removed, and the view
+    would flap.
     """
 
     _previous: dict[str, InstanceRecord] = field(default_factory=dict)
@@ -50,7 +51,7 @@
     def update(
         self, records: Iterable[InstanceRecord], observed_ms: int
     ) -> list[MemberNotice]:
-        """Return news of what changed since the last read; none on the first."""
+        """Return notices of the changes since the last read; none on the first."""
         listed = {record.name: record for record in records}
         previous, self._previous = self._previous, listed
         if not self._has_read:
--- a/reedspar/membership/subsets.py
+++ b/reedspar/membership/subsets.py
@@ -1,10 +1,10 @@
-"""Which links a daemon opens, so that load is even and every zone is covered.
+"""Deterministic subsetting: chooses which links a daemon opens.
 
-An agent dials a few entries of its own zone: so each agent has equally many
-links, whatever the sizes of the fleets.  An entry dials a few agents of each
-pool in each other zone: so no zone is out of its reach.  Both choose by
-rendezvous hashing, so one daemon that comes or goes moves only its own links.
-Costs and the ways ruled out are in docs/design/membership.md.
+An agent dials a few entries of its own zone, so that every agent has the same number of
+links, whatever the sizes of the fleets.  An entry dials a few agents of each pool in
+each zone, so that it can reach every zone.  Both choose by rendezvous hashing, so that
+a daemon that starts or stops changes only its own links.  Costs and rejected
+alternatives are described in docs/design/membership.md.
 """
 
 from collections import defaultdict
@@ -17,14 +17,14 @@
 
 ENTRY_LINKS_PER_AGENT = 4
 AGENT_LINKS_PER_POOL = 8
-"""Agents that an entry dials in each pool, spread over the zones."""
+"""Number of agents that an entry dials in each pool, spread over the zones."""
 NEIGHBOUR_COUNT = 2
 
 
 def choose_entries(
     own: InstanceRecord, entries: Iterable[InstanceRecord]
 ) -> list[InstanceRecord]:
-    """Return the entries that an agent dials: of its zone, or else of any."""
+    """Return the entries that an agent dials, preferring those of its zone."""
     records = list(entries)
     near = [record for record in records if record.zone == own.zone]
     chosen = _rank(own, near)[:ENTRY_LINKS_PER_AGENT]
@@ -37,7 +37,7 @@
 def choose_agents(
     own: InstanceRecord, agents: Iterable[InstanceRecord]
 ) -> list[InstanceRecord]:
-    """Return the agents that an entry dials, for each pool a few in each zone."""
+    """Return the agents that an entry dials: a few of each pool in each zone."""
     by_pool: dict[str, dict[str, list[InstanceRecord]]] = defaultdict(dict)
     for record in agents:
         by_pool[record.pool].setdefault(record.zone, []).append(record)
@@ -52,7 +52,7 @@
 def choose_neighbours(
     own: InstanceRecord, entries: Iterable[InstanceRecord]
 ) -> list[InstanceRecord]:
-    """Return the other entries that an entry dials, so that news gets around."""
+    """Return the other entries that an entry dials, which connects the gossip."""
     others = [record for record in entries if record.name != own.name]
     return _rank(own, others)[:NEIGHBOUR_COUNT]
 
--- a/reedspar/membership/tests/test_controller.py
+++ b/reedspar/membership/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of which links the membership wants."""
+"""Tests of the links that the membership desires."""
 
 import unittest
 from unittest import mock
@@ -31,22 +31,22 @@
 )
 
 
-class ListOfTwo:
+class FakeInstanceList:
     async def fetch(self) -> tuple[InstanceRecord, ...]:
         return OWN, AGENT
 
 
-class WantedLinksTest(unittest.TestCase):
-    def test_refused_daemon_is_dialled_on_though_not_chosen(self) -> None:
-        # An agent dies and starts again a second later at the same address.
-        # It tells a few entries; the others were refused once, and unless they
-        # dial on, callers are told for many seconds that there is no target.
+class DesiredLinksTest(unittest.TestCase):
+    def test_refused_daemon_is_still_dialled_but_not_eligible(self) -> None:
+        # An agent dies and restarts a second later at the same address.  It announces
+        # itself to a few entries.  The others had a dial refused, and if they stopped
+        # dialling, callers would be told for many seconds that there is no target.
         clock = VirtualClock()
         membership = create_membership(
             SETTINGS,
             mock.Mock(),
             create_timer_service(clock),
-            ListOfTwo(),
+            FakeInstanceList(),
             anyio.run,
             incarnation=1,
         )
--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -1,8 +1,8 @@
-"""Which daemons there are: the lagging instance list, overridden by direct evidence.
+"""View of the known daemons: the lagging instance list, overridden by direct evidence.
 
-Precedence, strongest first: a link that is open; a daemon's own notice, or a
-newer incarnation of it; a refused dial; the instance list.  A silent link is
-no evidence at all: the process may be stopped and will go on.
+Precedence of evidence, strongest first: an open link; a daemon's own notice or newer
+incarnation; a refused dial; the instance list.  A silent link is no evidence, as the
+process may be paused and resume later.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,15 +15,15 @@
 __all__ = ["Member", "MembershipView"]
 
 REFUSED_DIAL_TTL_S = 15.0
-"""A refused dial keeps a daemon out of choice this long, unless it shows itself."""
+"""How long a refused dial makes a daemon ineligible, unless it connects or joins."""
 JOIN_PRECEDENCE_S = 120.0
-"""How long a daemon's own word of joining goes before a list that lacks it."""
+"""How long a daemon's join takes precedence over an instance list that lacks it."""
 MAX_MEMBERS = 10_000
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one daemon."""
+    """A known daemon and the evidence about its state."""
 
     record: InstanceRecord
     is_listed: bool = False
@@ -37,7 +37,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this incarnation has said, or is listed, to be leaving."""
+        """Return whether this incarnation has announced or is listed as leaving."""
         if self.leaving_incarnation >= 0:
             return self.leaving_incarnation >= self.incarnation
         return self.is_list_leaving
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class MembershipView:
-    """Takes in evidence and answers who may be alive and who may be chosen."""
+    """Combines evidence to decide which daemons may be alive and which are eligible."""
 
     own: InstanceRecord
     is_initialized: bool = False
@@ -56,11 +56,11 @@
         self._members[self.own.name] = Member(self.own, is_listed=True, has_link=True)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of who is there."""
+        """Call `listener` after each change of the known daemons."""
         self._listeners.append(listener)
 
     def member(self, name: str) -> Member | None:
-        """Return what is known of a daemon."""
+        """Return a daemon, None if it is unknown."""
         return self._members.get(name)
 
     def members(self) -> tuple[Member, ...]:
@@ -68,7 +68,7 @@
         return tuple(self._members.values())
 
     def list_eligible(self, role: str, now_s: float) -> tuple[InstanceRecord, ...]:
-        """Return the daemons of a role that may be given something new, by name."""
+        """Return the daemons of a role that may be given work, sorted by name."""
         return tuple(
             member.record
             for _, member in sorted(self._members.items())
@@ -78,7 +78,7 @@
         )
 
     def list_dialable(self, role: str) -> tuple[InstanceRecord, ...]:
-        """Return the daemons of a role that are worth a dial, refused ones too."""
+        """Return the daemons of a role that may be dialled, even if they refused."""
         return tuple(
             member.record
             for _, member in sorted(self._members.items())
@@ -98,7 +98,7 @@
         )
 
     def apply_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
-        """Take in the instance list."""
+        """Apply the instance list."""
         listed = {record.name: record for record in records}
         is_changed = not self.is_initialized
         self.is_initialized = True
@@ -113,7 +113,7 @@
         self._notify_listeners(is_changed)
 
     def apply_notice(self, notice: MemberNotice, now_s: float) -> bool:
-        """Take in news; tell whether it was news and should be passed on."""
+        """Apply a notice; return whether it was new and should be passed on."""
         if notice.name == self.own.name:
             return False
         member = self._members.get(notice.name)
@@ -129,13 +129,13 @@
         return is_changed
 
     def mark_own_leaving(self, incarnation: int) -> None:
-        """Take in that this daemon stops soon, so that it is named no more."""
+        """Record that this daemon stops soon, so that it is no longer eligible."""
         member = self._members[self.own.name]
         member.incarnation = member.leaving_incarnation = incarnation
         self._notify_listeners(True)
 
     def record_link_up(self, name: str, incarnation: int) -> None:
-        """Take in that a link to a daemon is open."""
+        """Record that a link to a daemon is open."""
         member = self._members.get(name)
         if member is None or name == self.own.name:
             return
@@ -146,7 +146,7 @@
         self._notify_listeners(is_changed)
 
     def record_link_down(self, name: str, now_s: float) -> None:
-        """Take in that the last link to a daemon has closed or gone silent."""
+        """Record that the last link to a daemon was closed or has timed out."""
         member = self._members.get(name)
         if member is None or name == self.own.name or not member.has_link:
             return
@@ -155,7 +155,7 @@
         self._notify_listeners(True)
 
     def record_refused_dial(self, name: str, now_s: float) -> None:
-        """Take in that the daemon's machine answered that nothing listens there."""
+        """Record that a daemon's machine has refused a connection."""
         member = self._members.get(name)
         if member is None or name == self.own.name or member.has_link:
             return
@@ -166,7 +166,7 @@
         self._notify_listeners(is_changed)
 
     def record_incarnation(self, name: str, incarnation: int) -> None:
-        """Take in the incarnation that a frame has shown."""
+        """Record the incarnation in the sender header of a frame."""
         member = self._members.get(name)
         if member is None or incarnation <= member.incarnation:
             return
@@ -192,10 +192,10 @@
         return is_changed
 
     def _is_stale(self, member: Member, notice: MemberNotice) -> bool:
-        """Tell whether newer evidence of the same sort is known.
+        """Return whether newer evidence of the same kind is known.
 
-        Wall clocks order what observers read from the instance list; a
-        daemon's own word is ordered by its incarnation, whatever its clock.
+        Notices from the instance list are ordered by the observers' wall clocks, a
+        daemon's own notices by its incarnation, independent of its clock.
         """
         if notice.incarnation:
             return notice.incarnation < member.incarnation
@@ -226,12 +226,12 @@
     def _apply_joined(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
-        """Take in a start; that a listed daemon runs as listed is no news.
+        """Apply a start; the start of a daemon that is listed as running is not new.
 
-        Otherwise a start of the whole fleet would send word of every daemon
-        to every daemon.
+        Otherwise a start of the whole fleet would send a notice about every daemon to
+        every daemon.
         """
-        is_news = (
+        is_new = (
             member is None
             or member.is_leaving
             or not (member.is_listed or member.has_link)
@@ -242,17 +242,17 @@
                 return False
             member = self._members[notice.name] = Member(notice.record)
         if notice.incarnation:
-            is_news &= notice.incarnation > member.incarnation
+            is_new &= notice.incarnation > member.incarnation
             member.incarnation = notice.incarnation
             member.refused_s = float("-inf")
         else:
             member.observed_ms = notice.observed_ms
             member.is_listed = True
             member.is_list_leaving = False
-        if is_news:
+        if is_new:
             member.record = notice.record
             member.joined_s = now_s
-        return is_news
+        return is_new
 
     def _drop_if_gone(self, name: str, now_s: float) -> bool:
         member = self._members[name]
