--- a/reedspar/fleet/entries.py
+++ b/reedspar/fleet/entries.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Entries below one prefix of the store, and the state of the store."""
+    """Caches the entries below one prefix and tracks whether the store answers."""
 
     prefix: str
     defers_outage_removals: bool = False
@@ -35,6 +35,7 @@
 
     Leases of live processes may have expired because they could not be renewed."""
     revision: int = 0
+    """No change up to this revision was missed; a watch continues from it."""
     _entries: dict[str, WatchedEntry] = field(default_factory=dict)
     _deferred: dict[str, WatchedEntry] = field(default_factory=dict)
     _newest_revision: int = 0
@@ -58,8 +59,8 @@
         return self._newest_revision
 
     @property
-    def latest_revision(self) -> int:
-        """Return the newest known revision, from the store or from peers."""
+    def max_known_revision(self) -> int:
+        """Return the highest revision known from the store or from peers."""
         return max(self._newest_revision, self.revision)
 
     @property
@@ -74,7 +75,7 @@
 
     def entries_after(self, revision: int) -> list[WatchedEntry]:
         """Return the entries and removals newer than a revision, oldest first."""
-        # Peers poll for changes often, and mostly there are none.
+        # Peers poll often, and usually nothing is newer.
         if revision >= self._newest_revision:
             return []
         newer = [e for e in self._entries.values() if e.revision > revision]
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -91,7 +91,7 @@
         for peer in peers:
             for cache in caches:
                 self._network.send(
-                    peer, FleetRequest(cache.prefix, cache.latest_revision)
+                    peer, FleetRequest(cache.prefix, cache.max_known_revision)
                 )
         self._ages.request_ages(peers)
 
@@ -99,7 +99,7 @@
         return not self._relay.is_relayed(cache.prefix) or self._relay.is_polling_peers
 
     def _choose_peers(self) -> list[str]:
-        # Agents follow fewer prefixes than entries.
+        # Agents are not asked, as they follow fewer prefixes than entries.
         entries = self._view.daemons(Role.ENTRY.value)
         names = [e.name for e in entries if e.name != self._name]
         if self._feed.is_store_unavailable:
@@ -133,9 +133,9 @@
         """Send newer entries; the peer's prefix may be narrower than the cached one."""
         cache = next(
             (
-                b
-                for b in self._feed.shared_caches
-                if request.prefix.startswith(b.prefix)
+                cache
+                for cache in self._feed.shared_caches
+                if request.prefix.startswith(cache.prefix)
             ),
             None,
         )
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -135,12 +135,12 @@
     @property
     def relayed_caches(self) -> list[PrefixCache]:
         """Return the caches of the prefixes that a few daemons of a region watch."""
-        return [b for p, b in self._caches.items() if self._prefixes[p].is_relayed]
+        return [c for p, c in self._caches.items() if self._prefixes[p].is_relayed]
 
     @property
     def pushed_caches(self) -> list[PrefixCache]:
         """Return the caches of the prefixes whose changes readers push."""
-        return [b for p, b in self._caches.items() if self._prefixes[p].is_pushed]
+        return [c for p, c in self._caches.items() if self._prefixes[p].is_pushed]
 
     @property
     def polled_caches(self) -> list[PrefixCache]:
@@ -321,7 +321,7 @@
     async def _watch(self, cache: PrefixCache) -> WatchedChanges | Failure:
         wait_s = RECOVERY_WATCH_TIMEOUT_S if cache.is_unavailable else WATCH_TIMEOUT_S
         is_single = self._is_single_document(cache.prefix)
-        after = cache.latest_revision if is_single else cache.revision
+        after = cache.max_known_revision if is_single else cache.revision
         return await self._store.watch_entries(cache.prefix, after, wait_s)
 
     def _is_single_document(self, prefix: str) -> bool:
--- a/reedspar/fleet/reader_selection.py
+++ b/reedspar/fleet/reader_selection.py
@@ -114,8 +114,8 @@
 
     def is_polling_peers(self, now_s: float) -> bool:
         """Return whether this daemon polls its peers."""
-        is_alone = now_s - self._last_report_s >= self._timeout_s()
-        return is_alone or self.is_reading(now_s)
+        is_without_reports = now_s - self._last_report_s >= self._timeout_s()
+        return is_without_reports or self.is_reading(now_s)
 
     def _timeout_s(self) -> float:
         return (
--- a/reedspar/fleet/registration.py
+++ b/reedspar/fleet/registration.py
@@ -16,8 +16,8 @@
 LEASE_TTL_S = 3.0
 """Time to live of the lease; the registration outlives this process by it.
 
-Callers are given the addresses of registered entries.  The platform allows a dead entry
-to be named for 6 s, and a renewal costs a tenth of a read."""
+Callers are given the addresses of registered entry daemons.  The platform allows a dead
+one to be named for 6 s, and a renewal costs a tenth of a read."""
 RENEWAL_INTERVAL_S = 1.0
 """A third of the lease, so that a single lost renewal has no effect."""
 RETRY_DELAY_S = 0.5
--- a/reedspar/fleet/relay.py
+++ b/reedspar/fleet/relay.py
@@ -128,7 +128,7 @@
         if self._feed.is_store_unavailable:
             self._selection.record_store_unavailable(now_s)
         is_reading = self._selection.is_reading(now_s)
-        has_begun = is_reading and not self._is_reading
+        has_started_reading = is_reading and not self._is_reading
         self._is_reading = is_reading
         is_standby = not self._selection.is_primary
         self._feed.set_min_batch_interval(
@@ -136,7 +136,7 @@
         )
         for prefix in self._caches:
             self._feed.set_watched(prefix, is_reading)
-        if has_begun:
+        if has_started_reading:
             # Report before the next group also reaches its timeout.
             self._send_states()
 
@@ -147,8 +147,8 @@
             Role.ENTRY.value, self._region, self._name
         )
         agents = self._view.peer_names(Role.AGENT.value, self._region, self._name)
-        own = local_entries if self._role is Role.ENTRY else agents
-        own.append(self._name)
+        same_role_names = local_entries if self._role is Role.ENTRY else agents
+        same_role_names.append(self._name)
         if all(entry.region == self._region for entry in entries):
             # There is no other region to poll, so each daemon reads the store itself.
             self._selection.update_members(self._name, [self._name])
@@ -233,7 +233,7 @@
         peer = self._rng.choice(remote_entries).name
         for prefix, cache in self._caches.items():
             if prefix not in self._pushed or self.is_polling_peers:
-                self._network.send(peer, FleetRequest(prefix, cache.latest_revision))
+                self._network.send(peer, FleetRequest(prefix, cache.max_known_revision))
 
 
 def _create_state(cache: PrefixCache) -> PrefixState:
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -74,7 +74,7 @@
             daemon.receive_from_store("targets/", WatchedEntry("targets/t1", b"{}", 6))
 
     def deliver_messages(self) -> None:
-        """Deliver questions and answers between the two."""
+        """Deliver requests and answers between the two daemons."""
         for _, message in self.unserved.network.sent:
             self.served.network.deliver("e1", message)
         for _, message in self.served.network.sent:
@@ -179,7 +179,7 @@
         self.unserved.tick()
         self.deliver_messages()
         self.assertEqual(cache.revision, 5)
-        self.assertEqual(cache.latest_revision, 9)
+        self.assertEqual(cache.max_known_revision, 9)
 
 
 if __name__ == "__main__":
--- a/reedspar/fleet/view.py
+++ b/reedspar/fleet/view.py
@@ -29,7 +29,7 @@
 
 
 class KnownTarget:
-    """A target's record, and until when the target may be cold."""
+    """A target's record, and the time until which the target may be cold."""
 
     def __init__(self, record: TargetRecord, now_s: float, cold_s: float) -> None:
         self.record = record
@@ -64,7 +64,7 @@
         self._listeners.append(listener)
 
     def mark_initialized(self) -> None:
-        """Mark the initial listing as complete; new targets have just started."""
+        """Mark the initial listing as complete; targets added later are new starts."""
         self._is_initialized = True
 
     def target(self, target_id: str) -> KnownTarget | None:
@@ -210,8 +210,8 @@
         )
         if not has_just_started or self.routes is None:
             return 0.0
-        terms = self.routes.services.get(record.pool)
-        return terms.cold_s if terms is not None else 0.0
+        service = self.routes.services.get(record.pool)
+        return service.cold_s if service is not None else 0.0
 
     def _apply_daemon(self, change: DaemonChange) -> bool:
         known = self._daemons.get(change.name)
--- a/reedspar/membership/controller.py
+++ b/reedspar/membership/controller.py
@@ -44,7 +44,7 @@
 
 
 class Membership:
-    """The view of daemons, with its input and output."""
+    """Keeps the view of daemons up to date and exchanges notices with peers."""
 
     def __init__(
         self,
