--- a/reedspar/membership/controller.py
+++ b/reedspar/membership/controller.py
@@ -1,4 +1,7 @@
-"""Keep the view of daemons: read the instance list, pass news on, tell who to dial."""
+"""Maintains the view of daemons from the instance list and a gossip protocol.
+
+It also decides which links this daemon opens.
+"""
 
 import random
 import time
@@ -15,33 +18,33 @@
 from reedspar.timers import TimerService
 
 from .messages import MemberNews, MemberNotice, NoticeKind, make_notice
-from .polling import ListDifferences, is_poller, poll_interval_s
+from .polling import InstanceListTracker, is_poller, poll_interval_s
 from .subsets import choose_agents, choose_entries, choose_neighbours
 from .view import Member, MembershipView
 
 __all__ = ["Membership", "create_membership"]
 
-TICK_S = 0.25
-FANOUT = 3
-PUSHES_PER_NOTICE = 3
-"""Ticks in which a notice is passed on; each goes to other random peers."""
-NOTICES_PER_FRAME = 8
-"""Bounds the bytes a second while a whole zone comes or goes."""
-NEWS_LIMIT = 4096
-RETRY_FIRST_S = 1.0
-JITTER = 0.25
+GOSSIP_INTERVAL_S = 0.25
+GOSSIP_FANOUT = 3
+GOSSIP_ROUNDS_PER_NOTICE = 3
+"""Intervals in which a notice is sent, each time to newly chosen random peers."""
+MAX_NOTICES_PER_MESSAGE = 8
+"""Bounds the bytes per second while all daemons of a zone start or stop."""
+MAX_QUEUED_NOTICES = 4096
+INITIAL_RETRY_DELAY_S = 1.0
+POLL_JITTER_RATIO = 0.25
 
 Spawn = Callable[..., Any]
 
 
 @dataclass(slots=True)
-class _News:
+class _QueuedNotice:
     notice: MemberNotice
-    pushes_left: int = PUSHES_PER_NOTICE
+    rounds_left: int = GOSSIP_ROUNDS_PER_NOTICE
 
 
 class Membership:
-    """The view of daemons, and its shell."""
+    """Keeps the view of daemons up to date and exchanges notices with peers."""
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
             settings.http_port,
             pool=settings.target.pool if settings.target else "",
         )
-        self._least_poll_s = settings.platform.instance_poll_s
+        self._min_poll_interval_s = settings.platform.instance_poll_s
         self._network = network
         self._timers = timers
         self._instance_list = instance_list
@@ -73,41 +76,41 @@
         self._rng = rng
         self._wall_clock_s = wall_clock_s
         self._view = MembershipView(self._own)
-        self._differences = ListDifferences()
-        self._news: deque[_News] = deque(maxlen=NEWS_LIMIT)
-        self._retry_s = RETRY_FIRST_S
-        self._wanted: tuple[InstanceRecord, ...] | None = None
-        self._view.on_change(self._forget_wanted)
+        self._list_changes = InstanceListTracker()
+        self._queued_notices: deque[_QueuedNotice] = deque(maxlen=MAX_QUEUED_NOTICES)
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self._desired_links: tuple[InstanceRecord, ...] | None = None
+        self._view.on_change(self._invalidate_desired_links)
 
     @property
     def is_initialized(self) -> bool:
-        """Tell whether the instance list was ever read."""
+        """Return whether the instance list was ever read."""
         return self._view.is_initialized
 
     @property
     def own(self) -> InstanceRecord:
-        """Return this daemon as the others should know it."""
+        """Return this daemon's record."""
         return self._own
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of who is there."""
+        """Call `listener` after each change of the known daemons."""
         self._view.on_change(listener)
 
     def start(self) -> None:
-        """Subscribe, read the instance list, and tell of this start."""
-        self._network.subscribe(MemberNews, self._on_news)
-        self._timers.call_every(TICK_S, self._push_news)
-        self._spread(self._make_own_notice(NoticeKind.JOINED))
+        """Subscribe, start reading the instance list, and announce this daemon."""
+        self._network.subscribe(MemberNews, self._handle_notices)
+        self._timers.call_every(GOSSIP_INTERVAL_S, self._send_notices)
+        self._queue_notice(self._make_own_notice(NoticeKind.JOINED))
         self._poll()
 
     def announce_leaving(self) -> None:
-        """Tell the others that this daemon takes no new work and stops soon."""
-        self._view.note_own_leaving(self._incarnation)
-        self._spread(self._make_own_notice(NoticeKind.LEAVING))
-        self._push_news()
+        """Announce that this daemon accepts no new work and stops soon."""
+        self._view.mark_own_leaving(self._incarnation)
+        self._queue_notice(self._make_own_notice(NoticeKind.LEAVING))
+        self._send_notices()
 
     def member(self, name: str) -> Member | None:
-        """Return what is known of a daemon."""
+        """Return a daemon, None if it is unknown."""
         return self._view.member(name)
 
     def members(self) -> tuple[Member, ...]:
@@ -115,12 +118,12 @@
         return self._view.members()
 
     def entries(self) -> tuple[InstanceRecord, ...]:
-        """Return the entries that may be named to callers, by name."""
-        return self._view.choosable(Role.ENTRY.value, self._timers.now_s())
+        """Return the entries whose addresses callers may be given, sorted by name."""
+        return self._view.list_eligible(Role.ENTRY.value, self._timers.now_s())
 
     def agents(self, pool: str = "") -> tuple[InstanceRecord, ...]:
-        """Return the agents (of a pool) that may be given work, by name."""
-        agents = self._view.choosable(Role.AGENT.value, self._timers.now_s())
+        """Return the agents (of a pool) that may be given work, sorted by name."""
+        agents = self._view.list_eligible(Role.AGENT.value, self._timers.now_s())
         return tuple(record for record in agents if pool in ("", record.pool))
 
     def zones(self) -> frozenset[str]:
@@ -132,24 +135,24 @@
         return self._view.zone_members(zone)
 
     def desired_links(self) -> tuple[InstanceRecord, ...]:
-        """Return the daemons that this one should keep a link dialled to.
+        """Return the daemons that this daemon should keep a dialled link to.
 
-        Others dial this one, too; a link that is no longer wanted stays open
+        Other daemons also dial this one.  A link that is no longer desired stays open
         while attempts are in flight on it.
         """
-        if self._wanted is None:
+        if self._desired_links is None:
             chosen = self._choose_links(self.entries(), self.agents())
-            # A daemon that starts again at its address tells but a few of the
-            # others.  Were those that it refused once to dial no more, callers
-            # would hear for many seconds that there is no target.  The link's
-            # own back-off bounds what the further dials cost.
+            # A daemon that restarts at its address announces itself to only a few
+            # others.  If daemons with a refused dial stopped dialling it, callers would
+            # be told for many seconds that there is no target.  The link's back-off
+            # limits the cost of further dials.
             chosen += self._choose_links(
-                self._view.dialable(Role.ENTRY.value),
-                self._view.dialable(Role.AGENT.value),
+                self._view.list_dialable(Role.ENTRY.value),
+                self._view.list_dialable(Role.AGENT.value),
             )
             by_name = {record.name: record for record in chosen}
-            self._wanted = tuple(by_name.values())
-        return self._wanted
+            self._desired_links = tuple(by_name.values())
+        return self._desired_links
 
     def _choose_links(
         self, entries: tuple[InstanceRecord, ...], agents: tuple[InstanceRecord, ...]
@@ -159,24 +162,24 @@
         chosen = choose_agents(self._own, agents)
         return chosen + choose_neighbours(self._own, entries)
 
-    def note_sender(self, sender: Sender) -> None:
-        """Take in the incarnation that a frame has shown."""
-        self._view.note_incarnation(sender.name, sender.incarnation)
+    def handle_sender(self, sender: Sender) -> None:
+        """Record the incarnation in the sender header of a frame."""
+        self._view.record_incarnation(sender.name, sender.incarnation)
 
-    def note_link_up(self, peer: str, incarnation: int) -> None:
-        """Take in that a link to a daemon is open."""
-        self._view.note_link_up(peer, incarnation)
+    def handle_link_up(self, peer: str, incarnation: int) -> None:
+        """Record that a link to a daemon is open."""
+        self._view.record_link_up(peer, incarnation)
 
-    def note_link_down(self, peer: str) -> None:
-        """Take in that the last link to a daemon has closed or gone silent."""
-        self._view.note_link_down(peer, self._timers.now_s())
+    def handle_link_down(self, peer: str) -> None:
+        """Record that the last link to a daemon was closed or has timed out."""
+        self._view.record_link_down(peer, self._timers.now_s())
 
-    def note_refused_dial(self, peer: str) -> None:
-        """Take in that the daemon's machine answered that nothing listens there."""
-        self._view.note_refused_dial(peer, self._timers.now_s())
+    def handle_refused_dial(self, peer: str) -> None:
+        """Record that a daemon's machine has refused a connection."""
+        self._view.record_refused_dial(peer, self._timers.now_s())
 
-    def _forget_wanted(self) -> None:
-        self._wanted = None
+    def _invalidate_desired_links(self) -> None:
+        self._desired_links = None
 
     def _make_own_notice(self, kind: NoticeKind) -> MemberNotice:
         return make_notice(kind, self._own, self._incarnation, self._observed_ms())
@@ -185,59 +188,62 @@
         return int(self._wall_clock_s() * 1000)
 
     def _poll(self) -> None:
-        # A dial that was refused a while ago may be tried again by now.
-        self._forget_wanted()
+        # A daemon whose dial was refused some time ago may be dialled again.
+        self._invalidate_desired_links()
         self._spawn(self._read_list)
 
     async def _read_list(self) -> None:
         result = await self._instance_list.fetch()
         if isinstance(result, Failure):
-            self._timers.call_after(self._jitter(self._retry_s), self._poll)
-            self._retry_s = min(self._retry_s * 2, max(RETRY_FIRST_S, 10.0))
+            self._timers.call_after(self._jitter(self._retry_delay_s), self._poll)
+            self._retry_delay_s = min(
+                self._retry_delay_s * 2, max(INITIAL_RETRY_DELAY_S, 10.0)
+            )
             return
-        self._retry_s = RETRY_FIRST_S
-        self._note_list(result)
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
+        self._apply_list(result)
         is_polling = is_poller(self._own, self._view.zone_members(self._own.zone))
-        interval_s = poll_interval_s(self._least_poll_s, len(result), is_polling)
+        interval_s = poll_interval_s(self._min_poll_interval_s, len(result), is_polling)
         self._timers.call_after(self._jitter(interval_s), self._poll)
 
-    def _note_list(self, records: tuple[InstanceRecord, ...]) -> None:
+    def _apply_list(self, records: tuple[InstanceRecord, ...]) -> None:
         if not records and len(self._view.members()) > 1:
-            # An instance list that lost its state names nobody.  Believed, it
-            # would empty every address answer; the daemons are still there.
+            # An instance list that has lost its state is empty, though the daemons are
+            # alive.  If it were applied, callers would be given no addresses.
             return
-        notices = self._differences.note_list(records, self._observed_ms())
-        self._view.note_list(records, self._timers.now_s())
+        notices = self._list_changes.update(records, self._observed_ms())
+        self._view.apply_list(records, self._timers.now_s())
         if is_poller(self._own, self._view.zone_members(self._own.zone)):
             for notice in notices:
-                self._spread(notice)
+                self._queue_notice(notice)
 
     def _jitter(self, interval_s: float) -> float:
-        return interval_s * (1 + JITTER * (2 * self._rng.random() - 1))
+        return interval_s * (1 + POLL_JITTER_RATIO * (2 * self._rng.random() - 1))
 
-    def _spread(self, notice: MemberNotice) -> None:
-        self._news.append(_News(notice))
+    def _queue_notice(self, notice: MemberNotice) -> None:
+        self._queued_notices.append(_QueuedNotice(notice))
 
-    def _push_news(self) -> None:
+    def _send_notices(self) -> None:
         peers = self._network.peers()
-        if not self._news or not peers:
+        if not self._queued_notices or not peers:
             return
         batch = [
-            self._news.popleft() for _ in range(min(NOTICES_PER_FRAME, len(self._news)))
+            self._queued_notices.popleft()
+            for _ in range(min(MAX_NOTICES_PER_MESSAGE, len(self._queued_notices)))
         ]
-        message = MemberNews(tuple(news.notice for news in batch))
-        for peer in self._rng.sample(peers, min(FANOUT, len(peers))):
+        message = MemberNews(tuple(queued.notice for queued in batch))
+        for peer in self._rng.sample(peers, min(GOSSIP_FANOUT, len(peers))):
             self._network.send(peer, message)
-        for news in batch:
-            news.pushes_left -= 1
-            if news.pushes_left:
-                self._news.append(news)
+        for queued in batch:
+            queued.rounds_left -= 1
+            if queued.rounds_left:
+                self._queued_notices.append(queued)
 
-    def _on_news(self, sender: Sender, message: MemberNews) -> None:
+    def _handle_notices(self, sender: Sender, message: MemberNews) -> None:
         now_s = self._timers.now_s()
         for notice in message.notices:
-            if self._view.note_notice(notice, now_s):
-                self._spread(notice)
+            if self._view.apply_notice(notice, now_s):
+                self._queue_notice(notice)
 
 
 def create_membership(
@@ -250,10 +256,10 @@
     rng: random.Random | None = None,
     wall_clock_s: Callable[[], float] = time.time,
 ) -> Membership:
-    """Make the view of daemons; `spawn` is a task group's `start_soon`.
+    """Create the view of daemons; `spawn` is a task group's `start_soon`.
 
-    Call `start` once, `note_sender` with every frame's sender, and the other
-    `note_` methods as links open, close and are refused.
+    Call `start` once, `handle_sender` with the sender of every frame, and the other
+    `handle_` methods when links open or close or dials are refused.
     """
     return Membership(
         settings,
--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -1,8 +1,8 @@
-"""Which daemons there are: the lagging instance list, overridden by direct evidence.
+"""View of the known daemons: the lagging instance list, overridden by direct evidence.
 
-Precedence, strongest first: a link that is open; a daemon's own notice, or a
-newer incarnation of it; a refused dial; the instance list.  A silent link is
-no evidence at all: the process may be stopped and will go on.
+Precedence of evidence, strongest first: an open link; a daemon's own notice or newer
+incarnation; a refused dial; the instance list.  A silent link is no evidence, as the
+process may be paused and resume later.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,16 +14,16 @@
 
 __all__ = ["Member", "MembershipView"]
 
-REFUSED_TTL_S = 15.0
-"""A refused dial keeps a daemon out of choice this long, unless it shows itself."""
-LIST_OVERRIDE_S = 120.0
-"""How long a daemon's own word of joining goes before a list that lacks it."""
+REFUSED_DIAL_TTL_S = 15.0
+"""How long a refused dial makes a daemon ineligible, unless it connects or joins."""
+JOIN_PRECEDENCE_S = 120.0
+"""How long a daemon's join takes precedence over an instance list that lacks it."""
 MAX_MEMBERS = 10_000
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one daemon."""
+    """A known daemon and the evidence about its state."""
 
     record: InstanceRecord
     is_listed: bool = False
@@ -37,7 +37,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this incarnation has said, or is listed, to be leaving."""
+        """Return whether this incarnation has announced or is listed as leaving."""
         if self.leaving_incarnation >= 0:
             return self.leaving_incarnation >= self.incarnation
         return self.is_list_leaving
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class MembershipView:
-    """Takes in evidence and answers who may be alive and who may be chosen."""
+    """Combines evidence to decide which daemons may be alive and which are eligible."""
 
     own: InstanceRecord
     is_initialized: bool = False
@@ -56,29 +56,29 @@
         self._members[self.own.name] = Member(self.own, is_listed=True, has_link=True)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of who is there."""
+        """Call `listener` after each change of the known daemons."""
         self._listeners.append(listener)
 
     def member(self, name: str) -> Member | None:
-        """Return what is known of a daemon."""
+        """Return a daemon, None if it is unknown."""
         return self._members.get(name)
 
     def members(self) -> tuple[Member, ...]:
         """Return every daemon that may be alive, this one included."""
         return tuple(self._members.values())
 
-    def choosable(self, role: str, now_s: float) -> tuple[InstanceRecord, ...]:
-        """Return the daemons of a role that may be given something new, by name."""
+    def list_eligible(self, role: str, now_s: float) -> tuple[InstanceRecord, ...]:
+        """Return the daemons of a role that may be given work, sorted by name."""
         return tuple(
             member.record
             for _, member in sorted(self._members.items())
             if member.record.role == role
             and not member.is_leaving
-            and (member.has_link or now_s - member.refused_s > REFUSED_TTL_S)
+            and (member.has_link or now_s - member.refused_s > REFUSED_DIAL_TTL_S)
         )
 
-    def dialable(self, role: str) -> tuple[InstanceRecord, ...]:
-        """Return the daemons of a role that are worth a dial, refused ones too."""
+    def list_dialable(self, role: str) -> tuple[InstanceRecord, ...]:
+        """Return the daemons of a role that may be dialled, even if they refused."""
         return tuple(
             member.record
             for _, member in sorted(self._members.items())
@@ -97,45 +97,45 @@
             if member.record.zone == zone and not member.is_leaving
         )
 
-    def note_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
-        """Take in the instance list."""
+    def apply_list(self, records: Iterable[InstanceRecord], now_s: float) -> None:
+        """Apply the instance list."""
         listed = {record.name: record for record in records}
         is_changed = not self.is_initialized
         self.is_initialized = True
         for name, record in listed.items():
             if name != self.own.name:
-                is_changed |= self._note_listed(record)
+                is_changed |= self._apply_listed(record)
         for name in self._members.keys() - listed.keys() - {self.own.name}:
             member = self._members[name]
             is_changed |= member.is_listed
             member.is_listed = False
             is_changed |= self._drop_if_gone(name, now_s)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_notice(self, notice: MemberNotice, now_s: float) -> bool:
-        """Take in news; tell whether it was news and should be passed on."""
+    def apply_notice(self, notice: MemberNotice, now_s: float) -> bool:
+        """Apply a notice; return whether it was new and should be passed on."""
         if notice.name == self.own.name:
             return False
         member = self._members.get(notice.name)
         if member is not None and self._is_stale(member, notice):
             return False
         if notice.kind is NoticeKind.REMOVED:
-            is_changed = self._note_removed(member, notice, now_s)
+            is_changed = self._apply_removed(member, notice, now_s)
         elif notice.kind is NoticeKind.LEAVING:
-            is_changed = self._note_leaving(member, notice)
+            is_changed = self._apply_leaving(member, notice)
         else:
-            is_changed = self._note_joined(member, notice, now_s)
-        self._tell(is_changed)
+            is_changed = self._apply_joined(member, notice, now_s)
+        self._notify_listeners(is_changed)
         return is_changed
 
-    def note_own_leaving(self, incarnation: int) -> None:
-        """Take in that this daemon stops soon, so that it is named no more."""
+    def mark_own_leaving(self, incarnation: int) -> None:
+        """Record that this daemon stops soon, so that it is no longer eligible."""
         member = self._members[self.own.name]
         member.incarnation = member.leaving_incarnation = incarnation
-        self._tell(True)
+        self._notify_listeners(True)
 
-    def note_link_up(self, name: str, incarnation: int) -> None:
-        """Take in that a link to a daemon is open."""
+    def record_link_up(self, name: str, incarnation: int) -> None:
+        """Record that a link to a daemon is open."""
         member = self._members.get(name)
         if member is None or name == self.own.name:
             return
@@ -143,38 +143,38 @@
         member.has_link = True
         member.refused_s = float("-inf")
         member.incarnation = max(member.incarnation, incarnation)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_link_down(self, name: str, now_s: float) -> None:
-        """Take in that the last link to a daemon has closed or gone silent."""
+    def record_link_down(self, name: str, now_s: float) -> None:
+        """Record that the last link to a daemon was closed or has timed out."""
         member = self._members.get(name)
         if member is None or name == self.own.name or not member.has_link:
             return
         member.has_link = False
         self._drop_if_gone(name, now_s)
-        self._tell(True)
+        self._notify_listeners(True)
 
-    def note_refused_dial(self, name: str, now_s: float) -> None:
-        """Take in that the daemon's machine answered that nothing listens there."""
+    def record_refused_dial(self, name: str, now_s: float) -> None:
+        """Record that a daemon's machine has refused a connection."""
         member = self._members.get(name)
         if member is None or name == self.own.name or member.has_link:
             return
-        is_changed = now_s - member.refused_s > REFUSED_TTL_S
+        is_changed = now_s - member.refused_s > REFUSED_DIAL_TTL_S
         member.refused_s = now_s
         member.joined_s = float("-inf")
         is_changed |= self._drop_if_gone(name, now_s)
-        self._tell(is_changed)
+        self._notify_listeners(is_changed)
 
-    def note_incarnation(self, name: str, incarnation: int) -> None:
-        """Take in the incarnation that a frame has shown."""
+    def record_incarnation(self, name: str, incarnation: int) -> None:
+        """Record the incarnation in the sender header of a frame."""
         member = self._members.get(name)
         if member is None or incarnation <= member.incarnation:
             return
         was_leaving = member.is_leaving
         member.incarnation = incarnation
-        self._tell(was_leaving != member.is_leaving)
+        self._notify_listeners(was_leaving != member.is_leaving)
 
-    def _note_listed(self, record: InstanceRecord) -> bool:
+    def _apply_listed(self, record: InstanceRecord) -> bool:
         member = self._members.get(record.name)
         if member is None:
             if len(self._members) >= MAX_MEMBERS:
@@ -192,16 +192,16 @@
         return is_changed
 
     def _is_stale(self, member: Member, notice: MemberNotice) -> bool:
-        """Tell whether newer evidence of the same sort is known.
+        """Return whether newer evidence of the same kind is known.
 
-        Wall clocks order what observers read from the instance list; a
-        daemon's own word is ordered by its incarnation, whatever its clock.
+        Notices from the instance list are ordered by the observers' wall clocks, a
+        daemon's own notices by its incarnation, independent of its clock.
         """
         if notice.incarnation:
             return notice.incarnation < member.incarnation
         return notice.observed_ms <= member.observed_ms
 
-    def _note_removed(
+    def _apply_removed(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
         if member is None:
@@ -211,7 +211,7 @@
         member.is_listed = False
         return self._drop_if_gone(notice.name, now_s) or was_listed
 
-    def _note_leaving(self, member: Member | None, notice: MemberNotice) -> bool:
+    def _apply_leaving(self, member: Member | None, notice: MemberNotice) -> bool:
         if member is None:
             return False
         was_leaving = member.is_leaving
@@ -223,47 +223,47 @@
             member.is_list_leaving = True
         return member.is_leaving and not was_leaving
 
-    def _note_joined(
+    def _apply_joined(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
-        """Take in a start; that a listed daemon runs as listed is no news.
+        """Apply a start; the start of a daemon that is listed as running is not new.
 
-        Otherwise a start of the whole fleet would send word of every daemon
-        to every daemon.
+        Otherwise a start of the whole fleet would send a notice about every daemon to
+        every daemon.
         """
-        is_news = (
+        is_new = (
             member is None
             or member.is_leaving
             or not (member.is_listed or member.has_link)
-            or now_s - member.refused_s <= REFUSED_TTL_S
+            or now_s - member.refused_s <= REFUSED_DIAL_TTL_S
         )
         if member is None:
             if len(self._members) >= MAX_MEMBERS:
                 return False
             member = self._members[notice.name] = Member(notice.record)
         if notice.incarnation:
-            is_news &= notice.incarnation > member.incarnation
+            is_new &= notice.incarnation > member.incarnation
             member.incarnation = notice.incarnation
             member.refused_s = float("-inf")
         else:
             member.observed_ms = notice.observed_ms
             member.is_listed = True
             member.is_list_leaving = False
-        if is_news:
+        if is_new:
             member.record = notice.record
             member.joined_s = now_s
-        return is_news
+        return is_new
 
     def _drop_if_gone(self, name: str, now_s: float) -> bool:
         member = self._members[name]
         if member.is_listed or member.has_link:
             return False
-        if now_s - member.joined_s < LIST_OVERRIDE_S:
+        if now_s - member.joined_s < JOIN_PRECEDENCE_S:
             return False
         del self._members[name]
         return True
 
-    def _tell(self, is_changed: bool) -> None:
+    def _notify_listeners(self, is_changed: bool) -> None:
         if is_changed:
             for listener in self._listeners:
                 listener()
