--- a/reedspar/attempts/__init__.py
+++ b/reedspar/attempts/__init__.py
@@ -1,4 +1,4 @@
-"""What an entry daemon and a target agent say to each other about one attempt."""
+"""Messages between entry daemons and target agents about attempts and targets."""
 
 from .messages import (
     AttemptAck,
--- a/reedspar/attempts/attempts.capnp
+++ b/reedspar/attempts/attempts.capnp
@@ -1,6 +1,6 @@
 @0xd31a9c04be57f286;
-# One attempt: an entry daemon hands a request to a target agent at most once
-# under each (requestId, attempt).
+# Messages about attempts.  An entry daemon hands a request to a target agent at
+# most once for each (requestId, attempt).
 
 struct Header {
   name @0 :Text;
@@ -21,9 +21,9 @@
   workspace @10 :Text;
   fingerprint @11 :Text;
   weightsDigest @12 :Text;
-  # Root digest that the answer must be made with; empty: any that is offered.
+  # Root digest of the weights that must produce the answer; empty: any offered.
   agentIncarnation @13 :UInt64;
-  # The agent incarnation that the entry means; another one refuses.
+  # The agent incarnation that is addressed; any other refuses the attempt.
 }
 
 struct AttemptRefused {
@@ -32,7 +32,7 @@
   reason @2 :Text;
   detail @3 :Text;
   retryAfterS @4 :Float64;
-  # Proof that the attempt did not start and never will.
+  # A refusal proves that the attempt did not start and never will.
 }
 
 struct AttemptHead {
@@ -51,14 +51,14 @@
 }
 
 struct AttemptDataBatch {
-  # The data of several attempts, column by column: a reader of Python pays for
-  # each field that it opens, and a daemon relays thousands of tokens a second.
+  # Data of several attempts in columns: reading a field is expensive in Python,
+  # and a daemon relays thousands of tokens a second.
   requestIds @0 :List(Text);
   attempts @1 :List(UInt32);
   offsets @2 :List(UInt64);
   sizes @3 :List(UInt32);
   data @4 :Data;
-  # All pieces, one after the other.
+  # The data of all attempts, concatenated.
 }
 
 struct AttemptEnd {
--- a/reedspar/attempts/batches.py
+++ b/reedspar/attempts/batches.py
@@ -1,4 +1,7 @@
-"""Data of many attempts in one frame, for tokens that are ready at the same time."""
+"""Batching of the data of many attempts into one frame.
+
+Tokens of many requests are ready at the same time, after one decoding step.
+"""
 
 from collections.abc import Sequence
 
@@ -6,17 +9,17 @@
 
 __all__ = ["join_data", "measure_data", "split_data"]
 
-OVERHEAD_BYTES = 64
-"""About what a piece takes in a frame beside its data."""
+MESSAGE_OVERHEAD_BYTES = 64
+"""Approximate size of a message in a frame without its data."""
 
 
 def measure_data(message: AttemptData) -> int:
-    """Return about how many bytes the message adds to a batch."""
-    return len(message.data) + OVERHEAD_BYTES
+    """Return approximately how many bytes the message adds to a batch."""
+    return len(message.data) + MESSAGE_OVERHEAD_BYTES
 
 
 def join_data(messages: Sequence[AttemptData]) -> AttemptDataBatch:
-    """Return one message that stands for all, in their order."""
+    """Return one batch of all messages in their order."""
     return AttemptDataBatch(
         tuple(message.request_id for message in messages),
         tuple(message.attempt for message in messages),
@@ -27,15 +30,18 @@
 
 
 def split_data(batch: AttemptDataBatch) -> list[AttemptData]:
-    """Return the messages; raise `ValueError` if the columns don't fit."""
+    """Return the messages of a batch.
+
+    Raises `ValueError` if the columns differ in length or don't match the data.
+    """
     columns = zip(
         batch.request_ids, batch.attempts, batch.offsets, batch.sizes, strict=True
     )
     if not batch.sizes:
         raise ValueError("a batch is empty")
-    # Cut at wrong places, one caller's bytes would go into another's answer.
+    # With wrong sizes, bytes of one caller's answer would end up in another's.
     if sum(batch.sizes) != len(batch.data):
-        raise ValueError("the sizes of a batch differ from its data")
+        raise ValueError("the sizes in a batch don't add up to the size of its data")
     messages = []
     start = 0
     for request_id, attempt, offset, size in columns:
--- a/reedspar/attempts/messages.py
+++ b/reedspar/attempts/messages.py
@@ -1,10 +1,11 @@
-"""The messages of attempts and of target reports.
-
-An attempt is named by request id and attempt number.  Its life at the agent:
-``QUEUED`` (may still be revoked), ``RUNNING`` (handed to the target),
-``FINISHED`` (the answer is kept for a while), ``REVOKED`` (never ran, never
-will).  An answer is whole only if `AttemptEnd` says ``COMPLETE`` and its
-length and digest match what arrived.
+"""Messages about attempts, target reports and crash notices.
+
+An attempt is one hand-over of a request to a target and is identified by the
+request id and the attempt number.  Its phases at the agent are ``QUEUED`` (can
+still be revoked), ``RUNNING`` (sent to the target), ``FINISHED`` (the answer is
+kept for a limited time) and ``REVOKED`` (never ran and never will).  An answer
+is complete only if `AttemptEnd` says ``COMPLETE`` and its length and digest
+match the bytes received.
 """
 
 from dataclasses import dataclass
@@ -34,10 +35,10 @@
 
 
 class AttemptPhase(Enum):
-    """How far an attempt has come at its agent."""
+    """Phase of an attempt at its agent."""
 
     UNKNOWN = "unknown"
-    """This incarnation of the agent has no record: it proves nothing."""
+    """The agent's current incarnation has no record; the attempt may have run."""
     QUEUED = "queued"
     RUNNING = "running"
     FINISHED = "finished"
@@ -45,17 +46,17 @@
 
 
 class EndKind(Enum):
-    """How an attempt that ran has ended."""
+    """How an admitted attempt ended."""
 
     COMPLETE = "complete"
     NOT_RUN = "not_run"
-    """The target provably did not run it, though it had been admitted."""
+    """The agent admitted the attempt, but the target provably did not run it."""
     BROKEN = "broken"
-    """The target started and gave no whole answer."""
+    """The target started the attempt but did not return a complete answer."""
 
 
 class TargetStatus(Enum):
-    """Whether a target may be given work."""
+    """State of a target; work is sent only to ``COLD`` and ``READY`` ones."""
 
     COLD = "cold"
     READY = "ready"
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStart:
-    """Hands a request over; `timeout_s` is what remains of the deadline."""
+    """Hands a request over; `timeout_s` is the time left until the deadline."""
 
     request_id: str
     attempt: int
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRefused:
-    """Proves that the attempt did not start and never will."""
+    """Refuses an attempt, which proves that it did not start and never will."""
 
     request_id: str
     attempt: int
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHead:
-    """Begins an answer."""
+    """Carries the status and headers of an answer."""
 
     request_id: str
     attempt: int
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptData:
-    """Carries bytes of the answer's body from `offset` on."""
+    """Carries bytes of the answer's body, starting at `offset`."""
 
     request_id: str
     attempt: int
@@ -125,7 +126,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDataBatch:
-    """Carries the data of several attempts in columns; made by the link alone."""
+    """Carries the data of several attempts in columns.
+
+    Only the link layer makes and splits batches.
+    """
 
     request_ids: tuple[str, ...]
     attempts: tuple[int, ...]
@@ -136,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """Ends an answer; whole only if `kind` is ``COMPLETE`` and the digest fits."""
+    """Ends an answer, which is complete only if `kind` and `digest` say so."""
 
     request_id: str
     attempt: int
@@ -151,9 +155,9 @@
 class AttemptCancel:
     """Revokes a queued attempt, or cancels a running one.
 
-    Answered with `AttemptRefused` (never ran) or `AttemptStatus`.  It names
-    the incarnation that the attempt was handed to: another one knows nothing
-    of the attempt, and its word would be no proof.
+    The agent replies with `AttemptRefused` (it never ran) or `AttemptStatus`.
+    The message names the agent incarnation that the attempt was handed to: any
+    other incarnation has no record of the attempt, so its reply proves nothing.
     """
 
     request_id: str
@@ -163,9 +167,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResume:
-    """Asks for the attempt's status and its answer from `offset` on.
+    """Asks for the attempt's status and for its answer starting at `offset`.
 
-    An incarnation other than the one named answers ``UNKNOWN``.
+    An agent incarnation other than the one named replies ``UNKNOWN``.
     """
 
     request_id: str
@@ -176,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStatus:
-    """Tells how far an attempt has come."""
+    """Reports the phase of an attempt and the length of its answer so far."""
 
     request_id: str
     attempt: int
@@ -186,7 +190,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptAck:
-    """Tells what has arrived; once complete, the agent lets go of the answer."""
+    """Acknowledges the answer up to `offset`.
+
+    If `is_complete`, the agent discards the answer.
+    """
 
     request_id: str
     attempt: int
@@ -196,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedWeights:
-    """A model and the root digest of the version that is offered."""
+    """A model and the root digest of the weights version that is offered."""
 
     model: str
     root_digest: str
@@ -204,10 +211,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What an agent tells the entries of its target."""
+    """Status and load of a target, reported to the entries by its agent."""
 
     target: str
-    """Name of the agent's daemon, which is the target's name, too."""
+    """Name of the agent's daemon, which is also the name of the target."""
     pool: str
     zone: str
     status: TargetStatus
@@ -222,10 +229,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashNotice:
-    """Tells which requests were in flight when a target's process ended."""
+    """Reports which requests were in flight when a target's process crashed."""
 
     target: str
     pool: str
     boot_id: str
-    """The boot that crashed: a notice that comes twice counts once."""
+    """Identifies the crashed process, so that repeated notices count once."""
     fingerprints: tuple[str, ...]
--- a/reedspar/attempts/registration.py
+++ b/reedspar/attempts/registration.py
@@ -1,4 +1,4 @@
-"""Registration of the messages of attempts."""
+"""Registration of the message types of this package."""
 
 from reedspar.messages import BatchType, MessageRegistry, load_schema
 
@@ -22,7 +22,7 @@
 
 
 def register_messages(registry: MessageRegistry) -> None:
-    """Add these message types to `registry`."""
+    """Add the message types of attempts and target reports to `registry`."""
     schema = load_schema(__file__, "attempts.capnp")
     registry.add_all(
         schema,
--- a/reedspar/routes/__init__.py
+++ b/reedspar/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes of callers' requests: which service runs them, how often, for whom."""
+"""Route table: which service runs a caller's request, and under which limits."""
 
 from .access import WorkspaceAccess, find_workspace
 from .services import EngineParameters, OriginParameters, ServiceParameters
--- a/reedspar/routes/access.py
+++ b/reedspar/routes/access.py
@@ -1,29 +1,29 @@
-"""Whose request it is: API keys of workspaces."""
+"""Identification of a request's workspace by its API key."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 __all__ = ["WorkspaceAccess", "find_workspace"]
 
-KEY_SCHEME = "bearer"
+AUTHORIZATION_SCHEME = "bearer"
 
 
 @dataclass(frozen=True, slots=True)
 class WorkspaceAccess:
-    """A workspace as the configuration names it."""
+    """Name, priority and allowed regions of a workspace."""
 
     name: str
     priority: int | None = None
-    """Goes before the route's priority; 0 is the most urgent, None leaves it."""
+    """Overrides the route's priority; 0 is the most urgent, None: no override."""
     regions: frozenset[str] | None = None
-    """Regions that may serve it; None: all."""
+    """Regions that may serve the workspace; None: all."""
 
 
 def find_workspace(
     by_key: Mapping[str, WorkspaceAccess], authorization: str
 ) -> WorkspaceAccess | None:
-    """Return the workspace that holds the key of an ``Authorization`` header."""
+    """Return the workspace whose API key an ``Authorization`` header carries."""
     scheme, _, key = authorization.partition(" ")
-    if scheme.lower() != KEY_SCHEME:
+    if scheme.lower() != AUTHORIZATION_SCHEME:
         return None
     return by_key.get(key.strip())
--- a/reedspar/routes/services.py
+++ b/reedspar/routes/services.py
@@ -1,4 +1,4 @@
-"""What the operator's configuration says of a service and its model engines."""
+"""Parameters of services, model engines and the origin from the configuration."""
 
 from dataclasses import dataclass
 
@@ -7,33 +7,37 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineParameters:
-    """How the model engines of a service batch, read and write."""
+    """Batching and timing of a service's model engines.
+
+    An engine alternates between prefill (reading prompts) and passes of decoding
+    steps, each of which writes one token for every request in the batch.
+    """
 
     models: tuple[str, ...]
     slots: int
-    """Requests in one batch."""
+    """Maximum number of requests in a batch."""
     step_s: float
-    """Time of one step that writes one token for each request of the batch."""
+    """Base duration of a decoding step."""
     step_per_request_s: float
-    """What each request that writes adds to a step."""
+    """Time that each decoding request adds to a step."""
     prefill_tokens_per_s: float
-    """Prompt tokens read a second, while nothing else runs."""
+    """Prefill rate while nothing else runs."""
     attention_s_per_pair: float
-    """What each pair of a prompt token and an earlier one adds to the reading."""
+    """Time that each pair of a prompt token and an earlier one adds to prefill."""
     steps_per_pass: int
-    """Steps of one pass; between two passes the engine reads prompts."""
+    """Decoding steps in a pass; the engine reads prompts between passes."""
     prefill_tokens_per_pass: int
-    """Prompt tokens read in one pass at most."""
+    """Maximum number of prompt tokens read in one pass."""
     typical_prompt_tokens: int
     typical_answer_tokens: int
     layers: int
     warm_s: float
-    """Time in which an engine loads a version that lies staged beside it."""
+    """Time that an engine takes to load a version already staged on its machine."""
 
 
 @dataclass(frozen=True, slots=True)
 class OriginParameters:
-    """Where the origin of weights is, and what its link carries."""
+    """Address of the origin of weights, and the capacity of its link."""
 
     host: str
     port: int
@@ -44,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceParameters:
-    """A pool of alike targets."""
+    """A pool of interchangeable targets."""
 
     name: str
     connections_max: int
-    """Connections that one target bears from all callers together."""
+    """Maximum number of connections to one target, from all clients together."""
     cold_s: float
     """How long a target is cold after its start."""
     cold_requests_per_s: float
-    """Requests a second that a cold target bears from all entries; 0: unbounded."""
+    """Maximum request rate of a cold target from all entries; 0: unlimited."""
     engine: EngineParameters | None = None
     origin: OriginParameters | None = None
--- a/reedspar/routes/table.py
+++ b/reedspar/routes/table.py
@@ -1,4 +1,4 @@
-"""The table of routes under its version, and the search for a request's route."""
+"""The versioned route table, and longest-prefix lookup of a request's route."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -20,17 +20,17 @@
 
 
 class RequestKind(Enum):
-    """What may be repeated, and how the answer comes."""
+    """Whether requests of a route may be repeated, and how they are answered."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAM = "stream"
-    """Events as they are made; idempotent only where it may be resumed."""
+    """Answered with a stream of events; idempotent only if it can be resumed."""
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service, and its part of a route's requests relative to the others'."""
+    """A service, and its share of a route's requests relative to the others'."""
 
     service: str
     weight: float = 1.0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host below one path prefix."""
+    """Rules for the requests to one host below one path prefix."""
 
     name: str
     host: str
@@ -46,29 +46,29 @@
     kind: RequestKind
     services: tuple[WeightedService, ...]
     timeout_s: float
-    """How long a caller may be kept waiting at most."""
+    """Maximum time that a caller may be kept waiting."""
     latency_goal_s: float
-    """Time to the answer, or to a stream's first event, that callers wait gladly."""
+    """Desired time to the answer, or to the first event of a stream."""
     priority: int
     """0 is the most urgent."""
     attempts_max: int
     is_public: bool = False
     gap_s: float = 0.0
-    """Pause between events of a stream that callers bear gladly; 0: not known."""
+    """Desired maximum gap between events of a stream; 0: not known."""
     can_resume: bool = False
-    """A broken stream may go on at another target after its last event."""
+    """Whether another target can continue a broken stream after its last event."""
     regions: frozenset[str] | None = None
-    """Regions whose targets may serve it; None: all."""
+    """Regions whose targets may serve the requests; None: all."""
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RequestKind.STREAM:
             return self.can_resume
         return self.kind is RequestKind.IDEMPOTENT
 
     def choose_service(self, rng: random.Random) -> str:
-        """Return the service of one request, by the weights."""
+        """Return the service for one request, drawn by weight."""
         if len(self.services) == 1:
             return self.services[0].service
         weights = [item.weight for item in self.services]
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's request, and on its sending and idle times."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One numbered version of the operator's configuration."""
+    """Routes, services and workspaces of one version of the configuration."""
 
     version: int
     routes: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
@@ -100,12 +100,12 @@
 
     @property
     def origin(self) -> ServiceParameters | None:
-        """Return the service that is the origin of weights, if there is one."""
+        """Return the service that is the origin of weights, or None."""
         found = (item for item in self.services.values() if item.origin is not None)
         return next(found, None)
 
     def services_for_model(self, model: str) -> tuple[str, ...]:
-        """Return the services whose engines serve a model."""
+        """Return the names of the services whose engines serve `model`."""
         return tuple(
             terms.name
             for terms in self.services.values()
@@ -125,7 +125,7 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Return the route of the host with the longest prefix that begins the path."""
+    """Return the host's route with the longest prefix of `path`, or None."""
     name = host.partition(":")[0].lower()
     path = path.partition("?")[0]
     for route in table.routes.get(name, ()):
--- a/reedspar/routes/tests/test_table.py
+++ b/reedspar/routes/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the search for a request's route and workspace."""
+"""Tests of the lookup of a request's route and workspace."""
 
 import random
 import unittest
@@ -39,21 +39,21 @@
         route = find_route(self.table, host, path)
         return route.name if route else None
 
-    def test_longest_prefix_of_the_host(self) -> None:
+    def test_longest_prefix_of_the_host_wins(self) -> None:
         self.assertEqual(self.name("a.example", "/a/b/c"), "/a/b/")
         self.assertEqual(self.name("a.example", "/a/bc"), "/a/")
         self.assertEqual(self.name("b.example:8080", "/x"), "/")
         self.assertIsNone(self.name("a.example", "/x"))
         self.assertIsNone(self.name("c.example", "/a/"))
 
-    def test_query_is_no_part_of_the_path(self) -> None:
-        # A prefix in the query would let a caller choose its service.
+    def test_query_is_not_matched(self) -> None:
+        # If a prefix in the query matched, a caller could choose its service.
         self.assertEqual(self.name("a.example", "/a/?x=/a/b/"), "/a/")
         self.assertIsNone(self.name("a.example", "/?/a/"))
 
 
 class RouteTest(unittest.TestCase):
-    def test_streams_are_idempotent_only_where_they_resume(self) -> None:
+    def test_streams_are_idempotent_only_if_they_can_resume(self) -> None:
         stream = make_route("/", kind=RequestKind.STREAM)
         self.assertFalse(stream.is_idempotent)
         resumable = make_route("/", kind=RequestKind.STREAM, can_resume=True)
@@ -73,8 +73,8 @@
     def test_key_names_the_workspace(self) -> None:
         shop = WorkspaceAccess("shop")
         self.assertIs(find_workspace({"k": shop}, "Bearer k"), shop)
-        for odd in ("", "k", "Basic k", "Bearer", "Bearer x"):
-            self.assertIsNone(find_workspace({"k": shop}, odd))
+        for invalid in ("", "k", "Basic k", "Bearer", "Bearer x"):
+            self.assertIsNone(find_workspace({"k": shop}, invalid))
 
 
 if __name__ == "__main__":
