--- a/bench/overload.py
+++ b/bench/overload.py
@@ -127,13 +127,13 @@
     def try_admit(
         self,
         workspace: str,
-        terms: WorkspaceLimits,
+        limits: WorkspaceLimits,
         now_s: float,
         *,
         has_spare_capacity: bool = False,
     ) -> Failure | None:
         """Take a place whatever the load is."""
-        return super().try_admit(workspace, terms, now_s, has_spare_capacity=True)
+        return super().try_admit(workspace, limits, now_s, has_spare_capacity=True)
 
 
 @dataclass
--- a/reedspar/requests/application.py
+++ b/reedspar/requests/application.py
@@ -18,7 +18,7 @@
 
 __all__ = ["AsgiResponder", "RequestApplication", "RequestIdGenerator"]
 
-CUT_SHOWING_VERSION = "1.1"
+TRUNCATION_SIGNALLING_VERSION = "1.1"
 """Under HTTP/1.0 the end of a broken stream looks like any end, and under HTTP/2
 the server leaves a broken stream open for good."""
 BODILESS_STATUSES = frozenset({204, 304})
@@ -95,23 +95,23 @@
 
 
 class RequestApplication:
-    """Routes requests of callers into the filter chain, all else to `others`."""
+    """Routes requests of callers into the filter chain, all else to `fallback`."""
 
     def __init__(
         self,
-        proceed: Proceed,
+        run_filters: Proceed,
         adapter: CallerAdapter,
         ids: RequestIdGenerator,
         timers: TimerService,
         body_limit_bytes: int,
-        others: ASGIApp,
+        fallback: ASGIApp,
     ) -> None:
-        self._proceed = proceed
+        self._run_filters = run_filters
         self._adapter = adapter
         self._ids = ids
         self._timers = timers
         self._body_limit_bytes = body_limit_bytes
-        self._others = others
+        self._fallback = fallback
         self._active: dict[str, anyio.CancelScope] = {}
         self._is_admitting = True
         self._is_closing = False
@@ -143,7 +143,7 @@
             finally:
                 self.in_flight -= 1
         else:
-            await self._others(scope, receive, send)
+            await self._fallback(scope, receive, send)
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         responder = AsgiResponder(send, self._adapter, is_last_answer=self._is_closing)
@@ -154,7 +154,9 @@
         request = self._adapter.read(scope, body, arrived_s, responder)
         request.request_id = self._ids.make()
         request.caller_request_id = request.caller_request_id or request.request_id
-        request.can_signal_truncation = scope.get("http_version") == CUT_SHOWING_VERSION
+        request.can_signal_truncation = (
+            scope.get("http_version") == TRUNCATION_SIGNALLING_VERSION
+        )
         responder.caller_request_id = request.caller_request_id
         await self._run(request, responder, receive)
 
@@ -167,8 +169,10 @@
         end as unknown, while its caller's repeat could get the first answer.
         """
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_watch_caller, receive, request, tasks.cancel_scope)
-            answer = await self._answer_bounded(request)
+            tasks.start_soon(
+                _cancel_on_disconnect, receive, request, tasks.cancel_scope
+            )
+            answer = await self._answer_until_abort(request)
             tasks.cancel_scope.cancel()
             # A cancelled scope would also stop the answer's own writes.
             with anyio.CancelScope(shield=True):
@@ -182,7 +186,7 @@
         # A broken stream ends here without its last piece: the server then
         # aborts the connection, and the caller sees that it was cut.
 
-    async def _answer_bounded(self, request: Request) -> Answer:
+    async def _answer_until_abort(self, request: Request) -> Answer:
         """Return the answer, or at an abort the truth: it may have run."""
         if not request.can_signal_truncation:
             detail = "use HTTP/1.1: no other version shows here that an answer was cut"
@@ -206,7 +210,7 @@
 
     async def _answer(self, request: Request) -> Answer:
         try:
-            return await self._proceed(request)
+            return await self._run_filters(request)
         except Exception:
             logger.exception("request %s failed", request.request_id)
             detail = "internal error"
@@ -215,7 +219,7 @@
             return Answer(Outcome.UNKNOWN, failure=failure, is_sent=started)
 
 
-async def _watch_caller(
+async def _cancel_on_disconnect(
     receive: Receive, request: Request, scope: anyio.CancelScope
 ) -> None:
     while (await receive())["type"] != "http.disconnect":
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -25,9 +25,9 @@
 __all__ = ["AnswerAssembly", "Progress", "Verdict"]
 
 
-PROOF_AGE_S = 30.0
+REFUSAL_PROOF_MAX_AGE_S = 30.0
 """Half of the least time that an agent remembers an ended attempt."""
-UNPROVED_REASONS = frozenset(
+INCONCLUSIVE_REASONS = frozenset(
     {Reason.OUTCOME_UNKNOWN, Reason.TIMEOUT, Reason.CORRUPT, Reason.CANCELLED}
 )
 """Failures of a target that don't prove that it did not run the request."""
@@ -84,7 +84,7 @@
         self.head = message
         return Progress.NEWS
 
-    def on_data(self, message: AttemptData, room_bytes: int) -> Progress:
+    def on_data(self, message: AttemptData, limit_bytes: int) -> Progress:
         """Take what is new of `message`, if it fits into `buffer_limit_bytes`."""
         if not self.is_open:
             return Progress.NOTHING
@@ -94,7 +94,7 @@
         data = message.data[skip:] if skip else message.data
         if not data:
             return Progress.NOTHING
-        if self.pending_bytes and self.pending_bytes + len(data) > room_bytes:
+        if self.pending_bytes and self.pending_bytes + len(data) > limit_bytes:
             return Progress.FULL
         self._hash.update(data)
         self.pieces.append(data)
@@ -124,7 +124,7 @@
         if failure is None:
             self.verdict = Verdict.WHOLE
             return Progress.NEWS
-        may_have_run = self.head is not None or failure.reason in UNPROVED_REASONS
+        may_have_run = self.head is not None or failure.reason in INCONCLUSIVE_REASONS
         self.verdict = Verdict.UNKNOWN if may_have_run else Verdict.NOT_RUN
         self.failure = failure
         return Progress.NEWS
@@ -140,8 +140,10 @@
         # incarnation, or once the agent may have forgotten that the attempt
         # ran (an entry that was frozen asks so late), it proves nothing, and
         # an order that ran would be called not run.
-        is_other = incarnation != self.start.agent_incarnation
-        if self.is_cancelled and (is_other or age_s > PROOF_AGE_S):
+        is_other_incarnation = incarnation != self.start.agent_incarnation
+        if self.is_cancelled and (
+            is_other_incarnation or age_s > REFUSAL_PROOF_MAX_AGE_S
+        ):
             return self.on_lost("revoked too late for proof")
         after_s = message.retry_after_s or None
         return self._finish(
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -31,15 +31,15 @@
 
 __all__ = ["AttemptClient", "ClientCounts", "OpenAttempt", "create_attempt_client"]
 
-SWEEP_S = 0.25
-RESUME_AFTER_S = 1.0
+SWEEP_INTERVAL_S = 0.25
+RESUME_AFTER_SILENCE_S = 1.0
 """Silence on an attempt after which its agent is asked for more."""
-GAP_RESUME_S = 0.1
-LOST_AFTER_S = 3.0
+GAP_RESUME_INTERVAL_S = 0.1
+LOST_AFTER_SILENCE_S = 3.0
 """Silence after which an idempotent request is better run elsewhere."""
-ROOM_BYTES = 16 * 1024 * 1024
+ANSWER_BUFFER_BYTES = 16 * 1024 * 1024
 """Most bytes of one answer that wait for the caller."""
-ACK_EVERY_BYTES = 256 * 1024
+ACK_INTERVAL_BYTES = 256 * 1024
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
         self.last_received_s = now_s
         self.last_resume_s = now_s
         self.acked_bytes = 0
-        self.buffer_limit_bytes = ROOM_BYTES
+        self.buffer_limit_bytes = ANSWER_BUFFER_BYTES
         self.is_streamed = False
         self.is_buffer_full = False
         self._event: anyio.Event | None = None
@@ -100,8 +100,8 @@
         network: Network,
         timers: TimerService,
         *,
-        resume_after_s: float = RESUME_AFTER_S,
-        lost_after_s: float = LOST_AFTER_S,
+        resume_after_s: float = RESUME_AFTER_SILENCE_S,
+        lost_after_s: float = LOST_AFTER_SILENCE_S,
     ) -> None:
         self._network = network
         self._timers = timers
@@ -115,7 +115,7 @@
         network.subscribe(AttemptRefused, self._on_refused)
         network.subscribe(AttemptStatus, self._on_status)
         network.on_link_event(self._on_link_event)
-        timers.call_every(SWEEP_S, self.sweep)
+        timers.call_every(SWEEP_INTERVAL_S, self.sweep)
 
     @property
     def open_count(self) -> int:
@@ -163,7 +163,7 @@
 
     def on_incarnation(self, target: str, incarnation: int) -> None:
         """Give up the attempts at predecessors of a restarted agent."""
-        for attempt in self._open_at(target):
+        for attempt in self._list_open_at(target):
             if 0 < attempt.assembly.start.agent_incarnation < incarnation:
                 self._give_up(attempt, "the agent was restarted")
 
@@ -186,15 +186,15 @@
         """Resume on a new link; give up where no process is left to ask."""
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
             is_gone = event.reason is Reason.UNAVAILABLE
-            for attempt in self._open_at(event.peer):
+            for attempt in self._list_open_at(event.peer):
                 if is_gone or attempt.assembly.start.is_idempotent:
                     self._give_up(attempt, "the link to its agent is down")
             return
         self.on_incarnation(event.peer, event.incarnation)
-        for attempt in self._open_at(event.peer):
+        for attempt in self._list_open_at(event.peer):
             self._resume(attempt)
 
-    def _open_at(self, target: str) -> list[OpenAttempt]:
+    def _list_open_at(self, target: str) -> list[OpenAttempt]:
         return [
             attempt
             for attempt in self._open.values()
@@ -225,7 +225,7 @@
 
         An answer that is passed on as a whole is acknowledged as it arrives.
         """
-        if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_EVERY_BYTES:
+        if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_INTERVAL_BYTES:
             self._ack(attempt, is_complete=False)
 
     def _ack(self, attempt: OpenAttempt, *, is_complete: bool) -> None:
@@ -240,10 +240,10 @@
         self._feed(sender, message, lambda assembly: assembly.on_head(message))
 
     def _on_data(self, sender: Sender, message: AttemptData) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
             progress = attempt.assembly.on_data(message, attempt.buffer_limit_bytes)
-            self._react(attempt, progress)
+            self._apply_progress(attempt, progress)
             if not attempt.is_streamed:
                 self._ack_progress(attempt)
 
@@ -251,11 +251,11 @@
         self._feed(sender, message, lambda assembly: assembly.on_end(message))
 
     def _on_refused(self, sender: Sender, message: AttemptRefused) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
             age_s = attempt.last_received_s - attempt.started_s
             progress = attempt.assembly.on_refused(message, sender.incarnation, age_s)
-            self._react(attempt, progress)
+            self._apply_progress(attempt, progress)
 
     def _on_status(self, sender: Sender, message: AttemptStatus) -> None:
         self._feed(
@@ -267,20 +267,20 @@
     def _feed(
         self, sender: Sender, message: Any, feed: Callable[[AnswerAssembly], Progress]
     ) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
-            self._react(attempt, feed(attempt.assembly))
+            self._apply_progress(attempt, feed(attempt.assembly))
 
-    def _find(self, sender: Sender, message: Any) -> OpenAttempt | None:
+    def _find_attempt(self, sender: Sender, message: Any) -> OpenAttempt | None:
         attempt = self._open.get((message.request_id, message.attempt))
         if attempt is None or attempt.target != sender.name:
             self.counts.dropped += 1
-            self._let_go(sender, message)
+            self._discard_answer(sender, message)
             return None
         attempt.last_received_s = self._timers.now_s()
         return attempt
 
-    def _let_go(self, sender: Sender, message: Any) -> None:
+    def _discard_answer(self, sender: Sender, message: Any) -> None:
         """Tell the agent that nobody waits for this answer any more.
 
         Else it would keep the answer, and its graceful stop would wait for it.
@@ -290,7 +290,7 @@
             ack = AttemptAck(*key, message.length_bytes, is_complete=True)
             self._network.send(sender.name, ack)
 
-    def _react(self, attempt: OpenAttempt, progress: Progress) -> None:
+    def _apply_progress(self, attempt: OpenAttempt, progress: Progress) -> None:
         if progress is Progress.NEWS:
             attempt.wake()
         elif progress is Progress.MISSING:
@@ -299,7 +299,7 @@
             attempt.is_buffer_full = True
         elif progress is Progress.GAP and not attempt.is_buffer_full:
             self.counts.gaps += 1
-            if attempt.last_received_s - attempt.last_resume_s >= GAP_RESUME_S:
+            if attempt.last_received_s - attempt.last_resume_s >= GAP_RESUME_INTERVAL_S:
                 self._resume(attempt)
 
 
--- a/reedspar/requests/caller_adapter.py
+++ b/reedspar/requests/caller_adapter.py
@@ -18,7 +18,7 @@
 __all__ = ["CallerAdapter", "EncodedAnswer", "PoolAdapter", "read_headers"]
 
 POOLS_PREFIX = "/v1/pools/"
-HEADERS_LEFT_OUT = frozenset(
+EXCLUDED_HEADERS = frozenset(
     {
         "connection",
         "host",
@@ -72,7 +72,7 @@
         self, scope: Scope, body: bytes, arrived_s: float, responder: Responder
     ) -> Request:
         """Return the request for the pool that its path names."""
-        headers = read_headers(scope, HEADERS_LEFT_OUT)
+        headers = read_headers(scope, EXCLUDED_HEADERS)
         pool, path = _split_path(scope)
         request = Request(
             "", "", scope["method"], pool, path, headers, body, responder, arrived_s
--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -29,17 +29,17 @@
 __all__ = ["ClaimClient"]
 
 OWNER_TIMEOUT_S = 1.0
-DIRECT_TIMEOUT_S = 2.5
-PASSED_BY_S = 5.0
-UPDATE_AGAIN_S = 1.0
-UPDATE_DIRECT_S = 3.0
+DIRECT_CLAIM_TIMEOUT_S = 2.5
+OWNER_EXCLUSION_S = 5.0
+UPDATE_RETRY_INTERVAL_S = 1.0
+UPDATE_DIRECT_AFTER_S = 3.0
 """An outcome that the owner did not confirm for so long is written directly."""
-UPDATES_MAX = 10_000
+PENDING_UPDATES_MAX = 10_000
 """Outcomes that wait for the key-value service; older ones end as unknown."""
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingClaim:
     event: anyio.Event = field(default_factory=anyio.Event)
     reply: ClaimReply | None = None
 
@@ -60,51 +60,51 @@
         self._timers = timers
         self._ledger = ledger
         self._entries = entries
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending: dict[str, _PendingClaim] = {}
         self._updates: dict[str, tuple[ClaimUpdate, float]] = {}
-        self._passed_by_s: dict[str, float] = {}
-        self._heard_s: dict[str, float] = {}
+        self._excluded_since_s: dict[str, float] = {}
+        self._last_reply_s: dict[str, float] = {}
         network.subscribe(ClaimRequest, self._on_request)
         network.subscribe(ClaimReply, self._on_owner_reply)
         network.subscribe(ClaimUpdate, self._on_update)
         network.subscribe(ClaimUpdated, self._on_updated)
-        timers.call_every(UPDATE_AGAIN_S, self._send_updates)
+        timers.call_every(UPDATE_RETRY_INTERVAL_S, self._send_updates)
 
     async def claim(self, place: ClaimPlace, token: str, payload: str) -> ClaimReply:
         """Return what became of the claim; ``GRANTED`` lets the order run."""
         request = ClaimRequest(place.claim_key, token, payload, place.location)
-        waiting = self._waiting[token] = _Waiting()
+        waiting = self._pending[token] = _PendingClaim()
         try:
             owner = self._owner_of(place.location)
-            is_asked = False
+            was_owner_asked = False
             if owner != self._name and self._network.send(owner, request) is None:
                 with anyio.move_on_after(OWNER_TIMEOUT_S):
                     await waiting.event.wait()
                 if waiting.reply is not None:
                     return waiting.reply
-                self._pass_by(owner)
-                is_asked = True
+                self._exclude_owner(owner)
+                was_owner_asked = True
             self._ledger.submit_claim(request, self._on_reply)
-            with anyio.move_on_after(DIRECT_TIMEOUT_S):
+            with anyio.move_on_after(DIRECT_CLAIM_TIMEOUT_S):
                 await waiting.event.wait()
-            return self._conclude(token, waiting.reply, is_asked)
+            return self._finish_claim(token, waiting.reply, was_owner_asked)
         finally:
-            del self._waiting[token]
+            del self._pending[token]
 
-    def _conclude(
-        self, token: str, reply: ClaimReply | None, is_asked: bool
+    def _finish_claim(
+        self, token: str, reply: ClaimReply | None, was_owner_asked: bool
     ) -> ClaimReply:
         if reply is None:
             detail = "no answer from the claims"
             return make_reply(token, ClaimVerdict.UNAVAILABLE, detail)
         # The owner that did not answer may still write the claim later.
-        if reply.verdict is ClaimVerdict.NOT_WRITTEN and is_asked:
+        if reply.verdict is ClaimVerdict.NOT_WRITTEN and was_owner_asked:
             return replace(reply, verdict=ClaimVerdict.UNAVAILABLE)
         return reply
 
     def update(self, update: ClaimUpdate) -> None:
         """Record how the order ended; sent again until it is written."""
-        if len(self._updates) >= UPDATES_MAX:
+        if len(self._updates) >= PENDING_UPDATES_MAX:
             del self._updates[next(iter(self._updates))]
         now_s = self._timers.now_s()
         self._updates[update.token] = (update, now_s)
@@ -114,24 +114,24 @@
         partition = partition_of(location)
         if partition == UNDATED:
             return self._name
-        horizon_s = self._timers.now_s() - PASSED_BY_S
+        horizon_s = self._timers.now_s() - OWNER_EXCLUSION_S
         names = {
             entry.name
             for entry in self._entries.entries()
             if not entry.is_leaving
-            and self._passed_by_s.get(entry.name, horizon_s) <= horizon_s
+            and self._excluded_since_s.get(entry.name, horizon_s) <= horizon_s
         }
         return rank_by_rendezvous(f"claims/{partition}", names | {self._name})[0]
 
-    def _pass_by(self, owner: str) -> None:
+    def _exclude_owner(self, owner: str) -> None:
         """Leave an owner out for a while, unless it answered others meanwhile.
 
         A slow key-value service makes every owner late; were all entries then
         to write by themselves, their conflicts would make it slower still.
         """
         now_s = self._timers.now_s()
-        if now_s - self._heard_s.get(owner, -PASSED_BY_S) > OWNER_TIMEOUT_S:
-            self._passed_by_s[owner] = now_s
+        if now_s - self._last_reply_s.get(owner, -OWNER_EXCLUSION_S) > OWNER_TIMEOUT_S:
+            self._excluded_since_s[owner] = now_s
 
     def _send_updates(self) -> None:
         for update, since_s in list(self._updates.values()):
@@ -139,14 +139,14 @@
 
     def _send_update(self, update: ClaimUpdate, since_s: float) -> None:
         owner = self._owner_of(update.location)
-        is_late = self._timers.now_s() - since_s > UPDATE_DIRECT_S
+        is_late = self._timers.now_s() - since_s > UPDATE_DIRECT_AFTER_S
         is_own = owner == self._name or is_late
         if not is_own and self._network.send(owner, update) is None:
             return
         token = update.token
-        self._ledger.submit_update(update, lambda: self._forget_update(token))
+        self._ledger.submit_update(update, lambda: self._remove_update(token))
 
-    def _forget_update(self, token: str) -> None:
+    def _remove_update(self, token: str) -> None:
         self._updates.pop(token, None)
 
     def _on_request(self, sender: Sender, request: ClaimRequest) -> None:
@@ -156,11 +156,11 @@
         self._ledger.submit_claim(request, reply_to_sender)
 
     def _on_owner_reply(self, sender: Sender, reply: ClaimReply) -> None:
-        self._heard_s[sender.name] = self._timers.now_s()
+        self._last_reply_s[sender.name] = self._timers.now_s()
         self._on_reply(reply)
 
     def _on_reply(self, reply: ClaimReply) -> None:
-        waiting = self._waiting.get(reply.token)
+        waiting = self._pending.get(reply.token)
         if waiting is not None and waiting.reply is None:
             waiting.reply = reply
             waiting.event.set()
@@ -172,4 +172,4 @@
         self._ledger.submit_update(update, confirm)
 
     def _on_updated(self, sender: Sender, message: ClaimUpdated) -> None:
-        self._forget_update(message.token)
+        self._remove_update(message.token)
--- a/reedspar/requests/claim_leases.py
+++ b/reedspar/requests/claim_leases.py
@@ -8,12 +8,12 @@
 from reedspar.platform import KeyValueStore
 from reedspar.timers import TimerService
 
-from .claim_places import FUTURE_SKEW_S, UNDATED, UNDATED_TTL_S, partition_of
+from .claim_places import FUTURE_SKEW_MAX_S, UNDATED, UNDATED_TTL_S, partition_of
 
 __all__ = ["ClaimLeases"]
 
-SHARED_S = 3600.0
-MARGIN_S = 600.0
+LEASE_SHARING_S = 3600.0
+CLOCK_SKEW_MARGIN_S = 600.0
 """Clocks of entries may differ; the date must refuse before the record goes."""
 
 
@@ -26,21 +26,23 @@
         self._key_value = key_value
         self._timers = timers
         self._ttl_s = ttl_s
-        self._held: dict[bool, tuple[str, float]] = {}
+        self._leases: dict[bool, tuple[str, float]] = {}
 
     def drop(self) -> None:
         """Ask for new leases; the service may have lost the ones held."""
-        self._held.clear()
+        self._leases.clear()
 
     async def get(self, location: str) -> str | Failure:
         """Return a lease that outlives a claim written at `location` now."""
         is_undated = partition_of(location) == UNDATED
-        held = self._held.get(is_undated)
+        held = self._leases.get(is_undated)
         now_s = self._timers.now_s()
-        if held is not None and now_s - held[1] < SHARED_S:
+        if held is not None and now_s - held[1] < LEASE_SHARING_S:
             return held[0]
-        ttl_s = self._ttl_s + (UNDATED_TTL_S if is_undated else FUTURE_SKEW_S)
-        lease_id = await self._key_value.grant_lease(ttl_s + SHARED_S + MARGIN_S)
+        ttl_s = self._ttl_s + (UNDATED_TTL_S if is_undated else FUTURE_SKEW_MAX_S)
+        lease_id = await self._key_value.grant_lease(
+            ttl_s + LEASE_SHARING_S + CLOCK_SKEW_MARGIN_S
+        )
         if not isinstance(lease_id, Failure):
-            self._held[is_undated] = (lease_id, now_s)
+            self._leases[is_undated] = (lease_id, now_s)
         return lease_id
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -33,19 +33,19 @@
 
 __all__ = ["ClaimLedger", "LedgerCounts", "LedgerOptions"]
 
-CACHED_MAX = 64
-CACHE_SIZE_BYTES = 8 * 1024 * 1024
-COMMITS_MAX = 10
-READ_AGAIN_S = 0.02
-CROWDED = (
+CACHED_LOCATIONS_MAX = 64
+CACHE_MAX_BYTES = 8 * 1024 * 1024
+COMMIT_ATTEMPTS_MAX = 10
+RETRY_INTERVAL_S = 0.02
+UNDATED_OVERLOAD_DETAIL = (
     "more undated idempotency keys than can be written; "
     "a UUID of version 7 shares its write with others"
 )
-PARALLEL_MAX = 64
+CONCURRENT_COMMITS_MAX = 64
 
-UNCONFIRMED = "the key-value service did not confirm the claim"
-UNSURE = ClaimVerdict.UNAVAILABLE
-SURE_VERDICTS = frozenset({ClaimVerdict.GRANTED, ClaimVerdict.ANSWERED})
+UNCONFIRMED_DETAIL = "the key-value service did not confirm the claim"
+UNCONFIRMED_VERDICT = ClaimVerdict.UNAVAILABLE
+FINAL_VERDICTS = frozenset({ClaimVerdict.GRANTED, ClaimVerdict.ANSWERED})
 
 OnReply = Callable[[ClaimReply], None]
 OnWritten = Callable[[], None]
@@ -56,7 +56,7 @@
     """Times of the ledger."""
 
     ttl_s: float
-    running_s: float
+    running_timeout_s: float
     pace: WritePaceOptions = field(default_factory=WritePaceOptions)
     update_delay_s: float = 0.25
     """How long an outcome waits for a claim to share its write with."""
@@ -84,14 +84,14 @@
 
 
 @dataclass(slots=True)
-class _Cached:
+class _CachedTable:
     table: ClaimTable
     revision: int
     read_s: float
 
 
 @dataclass(slots=True)
-class _Commit:
+class _CommitState:
     """How far a batch came."""
 
     is_done: bool = False
@@ -109,23 +109,23 @@
         key_value: KeyValueStore,
         timers: TimerService,
         unix_time: Callable[[], float],
-        terms: LedgerOptions,
+        options: LedgerOptions,
         count_entries: Callable[[], int] = lambda: 1,
     ) -> None:
         self._key_value = key_value
         self._timers = timers
         self._unix_time = unix_time
-        self._terms = terms
-        self._pace = WritePace(timers, terms.pace, count_entries)
-        self._leases = ClaimLeases(key_value, timers, terms.ttl_s)
+        self._options = options
+        self._pace = WritePace(timers, options.pace, count_entries)
+        self._leases = ClaimLeases(key_value, timers, options.ttl_s)
         registry = MessageRegistry()
         register_messages(registry)
         self._codec = registry.for_class(ClaimSlice)
         self._record_codec = registry.for_class(ClaimRecord)
         self._batches: dict[str, _Batch] = {}
-        self._cache: OrderedDict[str, _Cached] = OrderedDict()
+        self._cache: OrderedDict[str, _CachedTable] = OrderedDict()
         self._tasks: TaskGroup | None = None
-        self._slots = anyio.Semaphore(PARALLEL_MAX)
+        self._slots = anyio.Semaphore(CONCURRENT_COMMITS_MAX)
         self.counts = LedgerCounts()
 
     async def run(self) -> None:
@@ -133,7 +133,7 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for location in self._batches:
-                tasks.start_soon(self._work, location)
+                tasks.start_soon(self._commit_batches, location)
             try:
                 await anyio.sleep_forever()
             finally:
@@ -142,31 +142,35 @@
     def submit_claim(self, request: ClaimRequest, on_reply: OnReply) -> None:
         """Claim; `on_reply` is called once the record is written or refused."""
         self.counts.claims += 1
-        if not self._pace.try_enter(request.location):
-            on_reply(make_reply(request.token, ClaimVerdict.NOT_WRITTEN, CROWDED))
+        if not self._pace.try_enqueue(request.location):
+            on_reply(
+                make_reply(
+                    request.token, ClaimVerdict.NOT_WRITTEN, UNDATED_OVERLOAD_DETAIL
+                )
+            )
             return
-        batch = self._batch_of(request.location)
+        batch = self._get_batch(request.location)
         batch.claims.append((request, on_reply))
         batch.wake.set()
 
     def submit_update(self, update: ClaimUpdate, on_written: OnWritten) -> None:
         """Record an outcome; `on_written` is called if it was written."""
-        self._batch_of(update.location).updates.append((update, on_written))
+        self._get_batch(update.location).updates.append((update, on_written))
 
-    def _batch_of(self, location: str) -> _Batch:
+    def _get_batch(self, location: str) -> _Batch:
         batch = self._batches.get(location)
         if batch is None:
             batch = self._batches[location] = _Batch()
             if self._tasks is not None:
-                self._tasks.start_soon(self._work, location)
+                self._tasks.start_soon(self._commit_batches, location)
         return batch
 
-    async def _work(self, location: str) -> None:
+    async def _commit_batches(self, location: str) -> None:
         """Commit batches of one location until none is left."""
         while True:
             batch = self._batches[location]
             if not batch.claims:
-                with anyio.move_on_after(self._terms.update_delay_s):
+                with anyio.move_on_after(self._options.update_delay_s):
                     await batch.wake.wait()
             if not batch.claims and not batch.updates:
                 del self._batches[location]
@@ -175,26 +179,26 @@
                 await self._pace.wait(location)
                 batch = self._batches[location]
                 self._batches[location] = _Batch()
-                await self._commit_bounded(location, batch)
+                await self._commit_within_timeout(location, batch)
 
-    async def _commit_bounded(self, location: str, batch: _Batch) -> None:
-        state = _Commit()
-        with anyio.move_on_after(self._terms.commit_timeout_s):
+    async def _commit_within_timeout(self, location: str, batch: _Batch) -> None:
+        state = _CommitState()
+        with anyio.move_on_after(self._options.commit_timeout_s):
             await self._commit(location, batch, state)
         if state.is_done:
             return
         self._cache.pop(location, None)
         # A write that is provably not written needs no release, which would
         # cost another write just when there are too many.
-        is_doubtful = state.is_writing or state.is_unknown
-        verdict = UNSURE if is_doubtful else ClaimVerdict.NOT_WRITTEN
+        may_be_written = state.is_writing or state.is_unknown
+        verdict = UNCONFIRMED_VERDICT if may_be_written else ClaimVerdict.NOT_WRITTEN
         for request, on_reply in batch.claims:
-            on_reply(make_reply(request.token, verdict, UNCONFIRMED))
+            on_reply(make_reply(request.token, verdict, UNCONFIRMED_DETAIL))
 
-    async def _commit(self, location: str, batch: _Batch, state: _Commit) -> None:
+    async def _commit(self, location: str, batch: _Batch, state: _CommitState) -> None:
         """Write the batch; the state tells how far it came."""
         cached = self._cache.get(location) or await self._read(location, None)
-        for _ in range(COMMITS_MAX):
+        for _ in range(COMMIT_ATTEMPTS_MAX):
             if cached is None:
                 return
             table = cached.table.copy()
@@ -206,8 +210,8 @@
                 if written == 0:
                     cached = await self._read(location, cached.revision)
                     continue
-                cached = self._keep(location, table, written)
-            elif self._is_doubtful(cached, replies):
+                cached = self._put_in_cache(location, table, written)
+            elif self._may_be_outdated(cached, replies):
                 cached = await self._read(location, None)
                 continue
             state.is_done = True
@@ -226,18 +230,18 @@
             is_changed |= table.update(update, now_s)
         return replies, is_changed
 
-    def _is_doubtful(self, cached: _Cached, replies: list[ClaimReply]) -> bool:
+    def _may_be_outdated(self, cached: _CachedTable, replies: list[ClaimReply]) -> bool:
         """Tell whether the cache may hide that another owner wrote an outcome."""
-        if self._timers.now_s() - cached.read_s < self._terms.cache_s:
+        if self._timers.now_s() - cached.read_s < self._options.cache_s:
             return False
-        return any(reply.verdict not in SURE_VERDICTS for reply in replies)
+        return any(reply.verdict not in FINAL_VERDICTS for reply in replies)
 
     def _reply(self, location: str, batch: _Batch, replies: list[ClaimReply]) -> None:
         # A process that was frozen between the check of the key's date and
         # the write may have written after the slice had gone with its lease;
         # an old order would look new.  The date is checked again afterwards.
         now_s = self._unix_time()
-        is_expired = is_location_expired(location, now_s, self._terms.ttl_s)
+        is_expired = is_location_expired(location, now_s, self._options.ttl_s)
         for (request, on_reply), reply in zip(batch.claims, replies, strict=True):
             if is_expired:
                 reply = make_reply(request.token, ClaimVerdict.EXPIRED)
@@ -246,7 +250,7 @@
             on_written()
 
     async def _write(
-        self, location: str, table: ClaimTable, revision: int, state: _Commit
+        self, location: str, table: ClaimTable, revision: int, state: _CommitState
     ) -> int | Failure:
         """Return the new revision, 0 on a conflict, or a failure.
 
@@ -274,9 +278,11 @@
                 return result
             self.counts.unknown += 1
             state.is_unknown = True
-            await anyio.sleep(READ_AGAIN_S)
+            await anyio.sleep(RETRY_INTERVAL_S)
 
-    async def _read(self, location: str, conflicted: int | None) -> _Cached | None:
+    async def _read(
+        self, location: str, outdated_revision: int | None
+    ) -> _CachedTable | None:
         """Read a location; after a conflict, until it shows another revision.
 
         Reads may be served by a replica that lags behind the write that we
@@ -288,15 +294,17 @@
             if isinstance(entry, Failure):
                 return None
             revision = entry.revision if entry is not None else 0
-            if revision != conflicted:
-                table = ClaimTable(self._terms.ttl_s, self._terms.running_s)
+            if revision != outdated_revision:
+                table = ClaimTable(self._options.ttl_s, self._options.running_timeout_s)
                 if entry is not None:
                     table.load(self._codec.decode(entry.value), self._record_codec)
-                return self._keep(location, table, revision)
-            await anyio.sleep(READ_AGAIN_S)
+                return self._put_in_cache(location, table, revision)
+            await anyio.sleep(RETRY_INTERVAL_S)
 
-    def _keep(self, location: str, table: ClaimTable, revision: int) -> _Cached:
-        cached = _Cached(table, revision, self._timers.now_s())
+    def _put_in_cache(
+        self, location: str, table: ClaimTable, revision: int
+    ) -> _CachedTable:
+        cached = _CachedTable(table, revision, self._timers.now_s())
         self._cache[location] = cached
         self._cache.move_to_end(location)
         while self._is_cache_full():
@@ -307,4 +315,4 @@
         if len(self._cache) <= 1:
             return False
         size_bytes = sum(item.table.size_bytes for item in self._cache.values())
-        return len(self._cache) > CACHED_MAX or size_bytes > CACHE_SIZE_BYTES
+        return len(self._cache) > CACHED_LOCATIONS_MAX or size_bytes > CACHE_MAX_BYTES
--- a/reedspar/requests/claim_pace.py
+++ b/reedspar/requests/claim_pace.py
@@ -30,16 +30,16 @@
     def __init__(
         self,
         timers: TimerService,
-        terms: WritePaceOptions,
+        options: WritePaceOptions,
         count_entries: Callable[[], int],
     ) -> None:
         self._timers = timers
-        self._terms = terms
+        self._options = options
         self._count_entries = count_entries
         self._next_write_s: dict[str, float] = {}
         self._undated_waiting: set[str] = set()
 
-    def try_enter(self, location: str) -> bool:
+    def try_enqueue(self, location: str) -> bool:
         """Queue a claim, unless it would wait too long to be of use.
 
         It would time out in the queue instead, after seconds in which the
@@ -50,7 +50,7 @@
         turn_s = self._next_write_s.get(UNDATED, 0.0)
         queued_s = len(self._undated_waiting) * self._interval_s(UNDATED)
         wait_s = max(0.0, turn_s - self._timers.now_s()) + queued_s
-        if wait_s > self._terms.undated_wait_s:
+        if wait_s > self._options.undated_wait_s:
             return False
         self._undated_waiting.add(location)
         return True
@@ -73,5 +73,5 @@
         key-value service bears are divided by the number of entries.
         """
         if partition != UNDATED:
-            return self._terms.write_interval_s
-        return max(1, self._count_entries()) / self._terms.undated_writes_per_s
+            return self._options.write_interval_s
+        return max(1, self._count_entries()) / self._options.undated_writes_per_s
--- a/reedspar/requests/claim_places.py
+++ b/reedspar/requests/claim_places.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "PARTITIONS",
-    "SLICE_S",
+    "SLICE_DURATION_S",
     "UNDATED",
     "UNDATED_TTL_S",
     "ClaimPlace",
@@ -25,12 +25,12 @@
 ]
 
 PARTITIONS = 8
-SLICE_S = 1.0
+SLICE_DURATION_S = 1.0
 """Both are part of every location: a release that changes them must refuse keys
 dated before its roll-out, or their orders could run again."""
 UNDATED_TTL_S = 30 * 86_400.0
 """How long an undated key is refused after its order's record has expired."""
-FUTURE_SKEW_S = 60.0
+FUTURE_SKEW_MAX_S = 60.0
 LOCATION_PREFIX = "claims"
 UNDATED = "undated"
 UUID_7 = re.compile(
@@ -51,22 +51,22 @@
     workspace: str, pool: str, key: str, now_s: float, ttl_s: float
 ) -> ClaimPlace | Failure:
     """Return the place of a key at the unix time `now_s`, or why it is refused."""
-    named = "\0".join((workspace, pool, key)).encode()
-    claim_key = hashlib.blake2b(named, digest_size=16).hexdigest()
+    identity = "\0".join((workspace, pool, key)).encode()
+    claim_key = hashlib.blake2b(identity, digest_size=16).hexdigest()
     if UUID_7.fullmatch(key) is None:
         return ClaimPlace(claim_key, f"{LOCATION_PREFIX}/{UNDATED}/{claim_key}")
-    dated_s = int(key.replace("-", "")[:12], 16) / 1000
-    if dated_s > now_s + FUTURE_SKEW_S:
+    key_time_s = int(key.replace("-", "")[:12], 16) / 1000
+    if key_time_s > now_s + FUTURE_SKEW_MAX_S:
         detail = "the date in the idempotency key lies in the future"
         return Failure(Reason.INVALID, Step.DEDUPLICATE, detail=detail)
-    if dated_s + ttl_s < now_s:
-        return make_expired(ttl_s)
+    if key_time_s + ttl_s < now_s:
+        return make_expired_failure(ttl_s)
     partition = int(claim_key[:8], 16) % PARTITIONS
-    number = int(dated_s // SLICE_S)
+    number = int(key_time_s // SLICE_DURATION_S)
     return ClaimPlace(claim_key, f"{LOCATION_PREFIX}/{partition}/{number}")
 
 
-def make_expired(ttl_s: float) -> Failure:
+def make_expired_failure(ttl_s: float) -> Failure:
     """Return the refusal of a key whose record may be gone."""
     detail = f"the key is older than {ttl_s:g} s; whether it ran is no longer known"
     return Failure(Reason.EXPIRED, Step.DEDUPLICATE, detail=detail)
@@ -82,4 +82,4 @@
     _, partition, number = location.split("/")
     if partition == UNDATED:
         return False
-    return (int(number) + 1) * SLICE_S + ttl_s < now_s
+    return (int(number) + 1) * SLICE_DURATION_S + ttl_s < now_s
--- a/reedspar/requests/claim_table.py
+++ b/reedspar/requests/claim_table.py
@@ -20,9 +20,9 @@
 
 __all__ = ["ClaimTable", "make_reply"]
 
-SLICE_SIZE_MAX = 900_000
+SLICE_MAX_BYTES = 900_000
 """Values of the key-value service hold 1 MiB; the rest is encoding."""
-RECORD_SIZE = 260
+RECORD_OVERHEAD_BYTES = 260
 """What a record takes beside its answer's body."""
 VERDICT_BY_STATE = {
     ClaimState.ANSWERED: ClaimVerdict.ANSWERED,
@@ -57,7 +57,7 @@
     """The records of one location."""
 
     ttl_s: float
-    running_s: float
+    running_timeout_s: float
     """Age up to which a claimed order may be running still."""
     records: dict[str, ClaimRecord] = field(default_factory=dict)
     size_bytes: int = 0
@@ -87,14 +87,14 @@
         if record is None:
             return self._grant(request, now_s)
         if record.token == request.token:
-            return self._repeat_own(request, record), False
+            return self._reply_to_own_token(request, record), False
         if record.claimed_at_s + self.ttl_s < now_s:
             return make_reply(request.token, ClaimVerdict.EXPIRED), False
         if record.state is ClaimState.RELEASED:
             return self._grant(request, now_s)
         if record.payload != request.payload:
             return make_reply(request.token, ClaimVerdict.MISMATCH), False
-        return self._refer(request, record, now_s), False
+        return self._reply_to_repeat(request, record, now_s), False
 
     def update(self, update: ClaimUpdate, now_s: float) -> bool:
         """Record how a claimed order ended; return whether the table changed.
@@ -104,7 +104,7 @@
         """
         record = self.records.get(update.claim_key)
         if record is None and update.state is ClaimState.RELEASED:
-            return self._put_released(update, now_s)
+            return self._write_release(update, now_s)
         if record is None or record.token != update.token:
             return False
         if record.state is not ClaimState.CLAIMED:
@@ -117,7 +117,7 @@
             body=update.body,
             weights_digest=update.weights_digest,
         )
-        if self.size_bytes + _size_of(ended) > SLICE_SIZE_MAX:
+        if self.size_bytes + _size_of(ended) > SLICE_MAX_BYTES:
             is_answered = update.state is ClaimState.ANSWERED
             state = ClaimState.NOT_KEPT if is_answered else update.state
             ended = replace(record, state=state)
@@ -125,7 +125,7 @@
         return True
 
     def _grant(self, request: ClaimRequest, now_s: float) -> tuple[ClaimReply, bool]:
-        if self.size_bytes + RECORD_SIZE > SLICE_SIZE_MAX:
+        if self.size_bytes + RECORD_OVERHEAD_BYTES > SLICE_MAX_BYTES:
             detail = "too many orders at once"
             reply = make_reply(request.token, ClaimVerdict.UNAVAILABLE, detail)
             return reply, False
@@ -140,7 +140,9 @@
         )
         return make_reply(request.token, ClaimVerdict.GRANTED), True
 
-    def _repeat_own(self, request: ClaimRequest, record: ClaimRecord) -> ClaimReply:
+    def _reply_to_own_token(
+        self, request: ClaimRequest, record: ClaimRecord
+    ) -> ClaimReply:
         """Answer the claim's own token again.
 
         A request that was delayed past its own release must not be granted:
@@ -150,11 +152,11 @@
             return make_reply(request.token, ClaimVerdict.GRANTED)
         return make_reply(request.token, VERDICT_BY_STATE[record.state], record=record)
 
-    def _refer(
+    def _reply_to_repeat(
         self, request: ClaimRequest, record: ClaimRecord, now_s: float
     ) -> ClaimReply:
         if record.state is ClaimState.CLAIMED:
-            is_running = now_s - record.claimed_at_s < self.running_s
+            is_running = now_s - record.claimed_at_s < self.running_timeout_s
             verdict = ClaimVerdict.RUNNING if is_running else ClaimVerdict.UNKNOWN
             return make_reply(request.token, verdict)
         verdict = VERDICT_BY_STATE[record.state]
@@ -162,7 +164,7 @@
         is_kept = record.state is not ClaimState.NOT_KEPT
         return make_reply(request.token, verdict, "" if is_kept else detail, record)
 
-    def _put_released(self, update: ClaimUpdate, now_s: float) -> bool:
+    def _write_release(self, update: ClaimUpdate, now_s: float) -> bool:
         """Release a claim that is not written yet.
 
         Its write may still be on its way after its answer was lost, and would
@@ -185,4 +187,4 @@
 
 def _size_of(record: ClaimRecord) -> int:
     headers = sum(len(item.name) + len(item.value) + 32 for item in record.headers)
-    return RECORD_SIZE + headers + len(record.body)
+    return RECORD_OVERHEAD_BYTES + headers + len(record.body)
--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -17,9 +17,9 @@
 
 __all__ = ["CrashGossip", "create_crash_gossip"]
 
-FANOUT = 4
-REPEAT_S = 2.0
-REPEATED_MAX = 16
+NEWS_FANOUT = 4
+REPEAT_INTERVAL_S = 2.0
+REPEATED_CRASHES_MAX = 16
 
 
 class CrashGossip:
@@ -42,32 +42,32 @@
         self._rng = rng
         network.subscribe(CrashNotice, self._on_notice)
         network.subscribe(CrashNews, self._on_news)
-        timers.call_every(REPEAT_S, self._repeat)
+        timers.call_every(REPEAT_INTERVAL_S, self._repeat_recent)
 
     def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
         """Take in a crash that this entry has noticed by itself."""
-        self._take(CrashNews(crash_id, fingerprints, 0))
+        self._handle_news(CrashNews(crash_id, fingerprints, 0))
 
     def _on_notice(self, sender: Sender, notice: CrashNotice) -> None:
         crash_id = f"{notice.target}/{notice.boot_id}"
-        self._take(CrashNews(crash_id, notice.fingerprints, 0))
+        self._handle_news(CrashNews(crash_id, notice.fingerprints, 0))
 
     def _on_news(self, sender: Sender, news: CrashNews) -> None:
-        self._take(news)
+        self._handle_news(news)
 
-    def _take(self, news: CrashNews) -> None:
+    def _handle_news(self, news: CrashNews) -> None:
         now_s = self._timers.now_s()
         at_s = now_s - news.age_ms / 1000
         is_new = self._quarantine.on_crash(
             news.crash_id, news.fingerprints, at_s, now_s
         )
         if is_new:
-            for peer in self._pick_entries(FANOUT):
+            for peer in self._pick_entries(NEWS_FANOUT):
                 self._network.send(peer, news)
 
-    def _repeat(self) -> None:
+    def _repeat_recent(self) -> None:
         now_s = self._timers.now_s()
-        crashes = self._quarantine.recent(now_s)[:REPEATED_MAX]
+        crashes = self._quarantine.list_recent(now_s)[:REPEATED_CRASHES_MAX]
         if not crashes:
             return
         for peer in self._pick_entries(1):
--- a/reedspar/requests/deduplicate.py
+++ b/reedspar/requests/deduplicate.py
@@ -9,21 +9,21 @@
 from reedspar.timers import TimerService
 
 from .claim_client import ClaimClient
-from .claim_places import ClaimPlace, make_expired, place_claim
+from .claim_places import ClaimPlace, make_expired_failure, place_claim
 from .endings import make_not_run, make_unknown
 from .messages import ClaimReply, ClaimState, ClaimUpdate, ClaimVerdict
 from .request import Answer, Outcome, Proceed, Request
 
 __all__ = ["Deduplicate"]
 
-KEPT_ANSWER_BYTES = 8 * 1024
+KEPT_ANSWER_MAX_BYTES = 8 * 1024
 REPLAYED_HEADER = Header("x-reedspar-replayed", "true")
-RUNNING_RETRY_S = 1.0
-UNAVAILABLE_RETRY_S = 2.0
-FIRST_WAIT_S = 0.1
-WAIT_GROWTH = 1.5
-WAIT_MAX_S = 1.0
-UNANSWERED_VERDICTS = frozenset({ClaimVerdict.UNAVAILABLE, ClaimVerdict.NOT_WRITTEN})
+RUNNING_RETRY_AFTER_S = 1.0
+UNAVAILABLE_RETRY_AFTER_S = 2.0
+INITIAL_POLL_INTERVAL_S = 0.1
+POLL_INTERVAL_GROWTH = 1.5
+POLL_INTERVAL_MAX_S = 1.0
+INCONCLUSIVE_VERDICTS = frozenset({ClaimVerdict.UNAVAILABLE, ClaimVerdict.NOT_WRITTEN})
 
 
 class Deduplicate:
@@ -60,7 +60,7 @@
         if reply.verdict is ClaimVerdict.UNAVAILABLE:
             # The write may have taken effect although nobody confirmed it.
             # The order was not handed over, so its key is given back.
-            self._end(request, place, ClaimState.RELEASED)
+            self._record_end(request, place, ClaimState.RELEASED)
         return self._answer(reply)
 
     async def _claim(self, request: Request, place: ClaimPlace) -> ClaimReply:
@@ -70,22 +70,22 @@
         answer, moments before the first one tells it all.
         """
         reply = await self._claim_once(request, place)
-        wait_s = FIRST_WAIT_S
-        is_doubtful = False
+        wait_s = INITIAL_POLL_INTERVAL_S
+        may_be_written = False
         while reply.verdict is ClaimVerdict.RUNNING:
             if self._timers.now_s() + wait_s >= request.deadline_s:
-                if is_doubtful:
-                    self._end(request, place, ClaimState.RELEASED)
+                if may_be_written:
+                    self._record_end(request, place, ClaimState.RELEASED)
                 return reply
             await anyio.sleep(wait_s)
-            wait_s = min(wait_s * WAIT_GROWTH, WAIT_MAX_S)
+            wait_s = min(wait_s * POLL_INTERVAL_GROWTH, POLL_INTERVAL_MAX_S)
             latest = await self._claim_once(request, place)
             # That the claims can't be asked just now proves nothing of the
             # earlier one; "not run" would be untrue if that has run.
-            if latest.verdict not in UNANSWERED_VERDICTS:
+            if latest.verdict not in INCONCLUSIVE_VERDICTS:
                 reply = latest
-                is_doubtful = False
-            is_doubtful |= latest.verdict is ClaimVerdict.UNAVAILABLE
+                may_be_written = False
+            may_be_written |= latest.verdict is ClaimVerdict.UNAVAILABLE
         return reply
 
     async def _claim_once(self, request: Request, place: ClaimPlace) -> ClaimReply:
@@ -100,10 +100,10 @@
             answer = await proceed(request)
             state = _state_of(answer)
         finally:
-            self._end(request, place, state, answer)
+            self._record_end(request, place, state, answer)
         return answer
 
-    def _end(
+    def _record_end(
         self,
         request: Request,
         place: ClaimPlace,
@@ -135,27 +135,27 @@
             )
         if reply.verdict is ClaimVerdict.RUNNING:
             detail = "an earlier one with this key is running"
-            failure = _fail(Reason.DUPLICATE, detail, RUNNING_RETRY_S)
+            failure = _make_failure(Reason.DUPLICATE, detail, RUNNING_RETRY_AFTER_S)
             return make_unknown(failure)
         if reply.verdict is ClaimVerdict.UNKNOWN:
             detail = reply.detail or "an earlier one with this key may have run"
-            return make_unknown(_fail(Reason.OUTCOME_UNKNOWN, detail))
+            return make_unknown(_make_failure(Reason.OUTCOME_UNKNOWN, detail))
         if reply.verdict is ClaimVerdict.MISMATCH:
             detail = "the key was used for another request"
-            return make_not_run(_fail(Reason.CONFLICT, detail))
+            return make_not_run(_make_failure(Reason.CONFLICT, detail))
         if reply.verdict is ClaimVerdict.EXPIRED:
-            return make_not_run(make_expired(self._ttl_s))
+            return make_not_run(make_expired_failure(self._ttl_s))
         detail = f"this sending was not run; {reply.detail}"
         failure = Failure(
             Reason.UNAVAILABLE,
             Step.CLAIM,
             detail=detail,
-            retry_after_s=UNAVAILABLE_RETRY_S,
+            retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
         )
         return make_not_run(failure)
 
 
-def _fail(reason: Reason, detail: str, after_s: float | None = None) -> Failure:
+def _make_failure(reason: Reason, detail: str, after_s: float | None = None) -> Failure:
     return Failure(reason, Step.DEDUPLICATE, detail=detail, retry_after_s=after_s)
 
 
@@ -164,6 +164,6 @@
         return ClaimState.RELEASED
     if answer.outcome is Outcome.UNKNOWN:
         return ClaimState.UNKNOWN
-    if answer.is_sent or len(answer.body) > KEPT_ANSWER_BYTES:
+    if answer.is_sent or len(answer.body) > KEPT_ANSWER_MAX_BYTES:
         return ClaimState.NOT_KEPT
     return ClaimState.ANSWERED
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -15,12 +15,12 @@
 
 __all__ = ["DrainOptions", "DrainPhase", "EntryDrain", "run_drain"]
 
-SPREAD_S = 1.0
+NOTICE_PROPAGATION_S = 1.0
 """How long other entries may go on naming this one after its notice."""
-ABORT_S = 1.0
+ABORT_GRACE_S = 1.0
 """What the last answers get to be written after the bound."""
-POLL_S = 0.05
-SERVE_PART = 0.5
+POLL_INTERVAL_S = 0.05
+SERVE_SHARE = 0.5
 """Kept addresses get at most this part of the bound, requests the rest."""
 
 
@@ -55,8 +55,8 @@
     @property
     def serves_until_s(self) -> float:
         """Return when the last kept address that names this entry expires."""
-        kept_s = self.address_ttl_s + SPREAD_S
-        return self.started_s + min(kept_s, SERVE_PART * self.timeout_s)
+        kept_s = self.address_ttl_s + NOTICE_PROPAGATION_S
+        return self.started_s + min(kept_s, SERVE_SHARE * self.timeout_s)
 
     def decide(self, now_s: float, in_flight: int) -> DrainPhase:
         """Return the phase at `now_s`."""
@@ -67,7 +67,7 @@
         bound_s = self.started_s + self.timeout_s
         if now_s < bound_s:
             return DrainPhase.FINISH
-        return DrainPhase.ABORT if now_s < bound_s + ABORT_S else DrainPhase.STOP
+        return DrainPhase.ABORT if now_s < bound_s + ABORT_GRACE_S else DrainPhase.STOP
 
 
 class Drainable(Protocol):
@@ -85,10 +85,10 @@
 
 
 async def run_drain(
-    application: Drainable, terms: DrainOptions, now_s: Callable[[], float]
+    application: Drainable, options: DrainOptions, now_s: Callable[[], float]
 ) -> None:
     """Return once this entry may stop; it is named to callers no more."""
-    drain = EntryDrain(now_s(), terms.address_ttl_s, terms.timeout_s)
+    drain = EntryDrain(now_s(), options.address_ttl_s, options.timeout_s)
     last_phase = DrainPhase.SERVE
     while True:
         phase = drain.decide(now_s(), application.in_flight)
@@ -99,4 +99,4 @@
         if phase is not last_phase and phase is DrainPhase.ABORT:
             application.abort()
         last_phase = phase
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
--- a/reedspar/requests/endings.py
+++ b/reedspar/requests/endings.py
@@ -73,8 +73,8 @@
     """Return status, headers and body that tell an ending that is no answer."""
     status = status_of_failure(outcome, failure)
     headers = [Header("content-type", "application/json")]
-    is_open = outcome is Outcome.NOT_RUN or failure.retry_after_s is not None
-    if status not in PERMANENT_STATUSES and is_open:
+    may_retry = outcome is Outcome.NOT_RUN or failure.retry_after_s is not None
+    if status not in PERMANENT_STATUSES and may_retry:
         after_s = failure.retry_after_s or DEFAULT_RETRY_AFTER_S
         headers.append(Header("retry-after", str(max(1, math.ceil(after_s)))))
     document = {
@@ -100,8 +100,8 @@
     if weights_digest:
         own.append(Header(WEIGHTS_HEADER, weights_digest))
     left_out = HOP_BY_HOP | OWN_HEADERS
-    passed = [item for item in headers if item.name.lower() not in left_out]
+    forwarded = [item for item in headers if item.name.lower() not in left_out]
     return [
         (item.name.lower().encode("latin-1"), item.value.encode("latin-1"))
-        for item in [*passed, *own]
+        for item in [*forwarded, *own]
     ]
--- a/reedspar/requests/event_stream.py
+++ b/reedspar/requests/event_stream.py
@@ -4,15 +4,15 @@
 event ends with a blank line, and a line ``id`` names it.
 """
 
-__all__ = ["EVENT_STREAM_TYPE", "LAST_EVENT_ID_HEADER", "EventCutter"]
+__all__ = ["EVENT_STREAM_TYPE", "LAST_EVENT_ID_HEADER", "EventSplitter"]
 
 EVENT_STREAM_TYPE = "text/event-stream"
 LAST_EVENT_ID_HEADER = "last-event-id"
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 _ID_FIELD = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Lets whole events through and keeps the rest back.
 
     A target may die in the middle of an event.  Had the caller got the first
@@ -32,9 +32,9 @@
     def feed(self, data: bytes) -> bytes:
         """Take bytes, and return the whole events that they complete."""
         self._pending += data
-        end = max(self._find_end(mark) for mark in _ENDS)
+        end = max(self._find_end(mark) for mark in _EVENT_ENDS)
         whole, self._pending = self._pending[:end], self._pending[end:]
-        self._note_events(whole)
+        self._record_events(whole)
         return whole
 
     def drop_pending(self) -> None:
@@ -42,10 +42,10 @@
         self._pending = b""
 
     def _find_end(self, mark: bytes) -> int:
-        place = self._pending.rfind(mark)
-        return place + len(mark) if place >= 0 else 0
+        position = self._pending.rfind(mark)
+        return position + len(mark) if position >= 0 else 0
 
-    def _note_events(self, whole: bytes) -> None:
+    def _record_events(self, whole: bytes) -> None:
         for line in whole.splitlines():
             if line.startswith(_ID_FIELD):
                 self.last_event_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
--- a/reedspar/requests/guards.py
+++ b/reedspar/requests/guards.py
@@ -16,7 +16,7 @@
 __all__ = ["AdmissionFilter", "QuarantineFilter"]
 
 LOAD_REASONS = frozenset({Reason.OVERLOADED, Reason.COLD})
-FORGET_S = 10.0
+IDLE_REMOVAL_INTERVAL_S = 10.0
 DEFAULT_WORKSPACE = WorkspaceConfiguration()
 
 
@@ -26,11 +26,11 @@
     def __init__(self, quarantine: Quarantine, timers: TimerService) -> None:
         self._quarantine = quarantine
         self._timers = timers
-        self._turn = anyio.Semaphore(1)
+        self._suspect_slot = anyio.Semaphore(1)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Let the request proceed as far as its standing allows."""
-        standing, after_s = self._stand(request)
+        standing, after_s = self._get_standing(request)
         if standing is Standing.BLAMED:
             return _refuse_blamed(after_s)
         if standing is Standing.SUSPECT:
@@ -41,18 +41,18 @@
         """Wait for the turn: what ran before may have cleared or blamed this one."""
         remaining_s = request.deadline_s - self._timers.now_s()
         with anyio.move_on_after(remaining_s) as scope:
-            await self._turn.acquire()
+            await self._suspect_slot.acquire()
         if scope.cancelled_caught:
             detail = "other suspects of crashes ran until the deadline"
             failure = Failure(Reason.EXPIRED, Step.QUARANTINE, detail=detail)
             return make_not_run(failure)
         try:
-            standing, after_s = self._stand(request)
+            standing, after_s = self._get_standing(request)
             if standing is Standing.BLAMED:
                 return _refuse_blamed(after_s)
             return await self._run(request, proceed)
         finally:
-            self._turn.release()
+            self._suspect_slot.release()
 
     async def _run(self, request: Request, proceed: Proceed) -> Answer:
         answer = await proceed(request)
@@ -61,7 +61,7 @@
             self._quarantine.on_answered(request.fingerprint, now_s)
         return answer
 
-    def _stand(self, request: Request) -> tuple[Standing, float]:
+    def _get_standing(self, request: Request) -> tuple[Standing, float]:
         return self._quarantine.standing(request.fingerprint, self._timers.now_s())
 
 
@@ -86,17 +86,17 @@
         self._directory = directory
         self._timers = timers
         self.pools: dict[str, AdmissionControl] = {}
-        timers.call_every(FORGET_S, self._forget_idle)
+        timers.call_every(IDLE_REMOVAL_INTERVAL_S, self._remove_idle)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Hold a place of the pool while the request runs."""
         control = self.pools.setdefault(request.pool, AdmissionControl())
         workspace = request.workspace
         started_s = self._timers.now_s()
-        terms = self._find_terms(workspace)
+        limits = self._find_limits(workspace)
         failure = control.try_admit(
             workspace,
-            terms,
+            limits,
             started_s,
             has_spare_capacity=self._directory.has_spare_capacity(request.pool),
         )
@@ -123,16 +123,16 @@
         elif failure is not None and failure.reason in LOAD_REASONS:
             control.on_refused(workspace, now_s)
         else:
-            control.on_other(workspace)
+            control.on_neutral_end(workspace)
 
-    def _find_terms(self, workspace: str) -> WorkspaceLimits:
+    def _find_limits(self, workspace: str) -> WorkspaceLimits:
         document = self._configuration.document
         if document is None:
             return WorkspaceLimits()
         found = document.workspaces.get(workspace, DEFAULT_WORKSPACE)
         return WorkspaceLimits(found.share, found.priority, found.max_in_flight)
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         now_s = self._timers.now_s()
         for control in self.pools.values():
-            control.forget_idle(now_s)
+            control.remove_idle(now_s)
--- a/reedspar/requests/quarantine.py
+++ b/reedspar/requests/quarantine.py
@@ -49,24 +49,24 @@
         self, crash_id: str, fingerprints: Iterable[str], at_s: float, now_s: float
     ) -> bool:
         """Take the news of a crash; return whether it was news."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         if crash_id in self._crashes or now_s - at_s > self.quarantine_s:
             return False
         self._crashes[crash_id] = Crash(crash_id, at_s, frozenset(fingerprints))
         while len(self._crashes) > CRASHES_MAX:
             self._crashes.popitem(last=False)
-        self._blame()
+        self._update_blamed()
         return True
 
     def on_answered(self, fingerprint: str, now_s: float) -> None:
         """Clear a fingerprint that a target lived through."""
         if any(fingerprint in crash.fingerprints for crash in self._crashes.values()):
             self._cleared_s[fingerprint] = now_s
-            self._blame()
+            self._update_blamed()
 
     def standing(self, fingerprint: str, now_s: float) -> tuple[Standing, float]:
         """Return what the fingerprint may do, and for how long if it is refused."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         blamed_s = self._blamed_s.get(fingerprint)
         if blamed_s is not None:
             return Standing.BLAMED, blamed_s + self.quarantine_s - now_s
@@ -74,9 +74,9 @@
             return Standing.SUSPECT, 0.0
         return Standing.CLEAR, 0.0
 
-    def recent(self, now_s: float) -> list[Crash]:
+    def list_recent(self, now_s: float) -> list[Crash]:
         """Return the crashes that still count, newest first."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         return list(reversed(self._crashes.values()))
 
     def _suspects(self) -> set[str]:
@@ -87,12 +87,12 @@
                     counts[fingerprint] = counts.get(fingerprint, 0) + 1
         return {name for name, count in counts.items() if count >= CRASHES_TO_BLAME}
 
-    def _blame(self) -> None:
+    def _update_blamed(self) -> None:
         suspects = self._suspects()
         for crash in self._crashes.values():
-            alone = crash.fingerprints & suspects
-            if len(alone) == 1:
-                (fingerprint,) = alone
+            suspects_in_flight = crash.fingerprints & suspects
+            if len(suspects_in_flight) == 1:
+                (fingerprint,) = suspects_in_flight
                 last_s = max(
                     other.at_s
                     for other in self._crashes.values()
@@ -103,7 +103,7 @@
             if fingerprint not in suspects:
                 del self._blamed_s[fingerprint]
 
-    def _forget_old(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         if not self._crashes:
             return
         horizon_s = now_s - self.quarantine_s
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -25,27 +25,27 @@
 
 __all__ = ["Relay"]
 
-BREAKS_MAX = 2
+BROKEN_ATTEMPTS_MAX = 2
 """Targets that may break under one request; it may be what breaks them."""
-UNBROKEN_REASONS = frozenset({Reason.CORRUPT, Reason.TIMEOUT, Reason.CANCELLED})
+NOT_TARGET_FAULT_REASONS = frozenset({Reason.CORRUPT, Reason.TIMEOUT, Reason.CANCELLED})
 """Ends for which the target itself did not break."""
-RETRY_POLL_S = 0.1
-LATELY_S = 5.0
+TARGET_POLL_INTERVAL_S = 0.1
+RECENTLY_SERVED_S = 5.0
 FINAL_REASONS = frozenset({Reason.QUARANTINED, Reason.EXPIRED, Reason.INVALID})
 """Another target would refuse for the same reason."""
-FAILED_STATUS = 500
+SERVER_ERROR_STATUS = 500
 
 
 @dataclass(slots=True)
-class _Course:
+class _RelayState:
     """What has become of one request so far."""
 
-    passer: StreamForwarder
+    forwarder: StreamForwarder
     tried: set[str] = field(default_factory=set)
     last: Answer | None = None
     handed_over: int = 0
     unreached: int = 0
-    breaks: int = 0
+    broken: int = 0
 
 
 class Relay:
@@ -58,68 +58,68 @@
         budgets: RetryBudgets,
         quarantine: Quarantine,
         timers: TimerService,
-        terms: RelayOptions | None = None,
+        options: RelayOptions | None = None,
     ) -> None:
         self._client = client
         self._chooser = chooser
         self._budgets = budgets
         self._quarantine = quarantine
         self._timers = timers
-        self._terms = terms or RelayOptions()
-        self._served_s: dict[str, float] = {}
+        self._options = options or RelayOptions()
+        self._last_served_s: dict[str, float] = {}
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Return the answer; `proceed` is not called, for this filter is the last."""
-        course = _Course(StreamForwarder(request, self._client))
+        state = _RelayState(StreamForwarder(request, self._client))
         while True:
-            chosen = await self._choose_soon(request, course)
+            chosen = await self._choose_or_wait(request, state)
             if isinstance(chosen, Failure):
-                return course.last or make_not_run(chosen)
-            if not self._may_pay(request, course):
-                assert course.last is not None
-                return course.last
-            course.tried.add(chosen.name)
-            latest = await self._attempt(request, chosen, course)
-            self._note(course, latest)
-            if not self._may_retry(request, course, latest):
-                assert course.last is not None
-                return course.last
-
-    def _may_pay(self, request: Request, course: _Course) -> bool:
+                return state.last or make_not_run(chosen)
+            if not self._is_within_budget(request, state):
+                assert state.last is not None
+                return state.last
+            state.tried.add(chosen.name)
+            latest = await self._attempt(request, chosen, state)
+            self._record_result(state, latest)
+            if not self._may_retry(request, state, latest):
+                assert state.last is not None
+                return state.last
+
+    def _is_within_budget(self, request: Request, state: _RelayState) -> bool:
         """Tell whether the next attempt is a first one, or the budget has it."""
         budget = self._budgets.for_pool(request.pool)
-        if not course.handed_over:
-            if not course.unreached:
+        if not state.handed_over:
+            if not state.unreached:
                 budget.on_first_attempt()
             return True
         return budget.try_spend()
 
-    def _note(self, course: _Course, latest: Answer) -> None:
+    def _record_result(self, state: _RelayState, latest: Answer) -> None:
         if _is_unreached(latest):
-            course.unreached += 1
+            state.unreached += 1
         else:
-            course.handed_over += 1
-        course.breaks += _is_broken(latest)
-        course.last = _join(course.last, latest)
+            state.handed_over += 1
+        state.broken += _is_broken(latest)
+        state.last = _combine(state.last, latest)
 
-    async def _choose_soon(
-        self, request: Request, course: _Course
+    async def _choose_or_wait(
+        self, request: Request, state: _RelayState
     ) -> ChosenTarget | Failure:
         """Choose a target; wait a moment for one if that may help."""
-        if course.passer.is_begun:
-            request.weights_digest = course.passer.weights_digest
-        chosen = self._choose(request, course)
-        for _ in range(round(self._terms.retry_wait_s / RETRY_POLL_S)):
+        if state.forwarder.has_started:
+            request.weights_digest = state.forwarder.weights_digest
+        chosen = self._choose(request, state)
+        for _ in range(round(self._options.retry_wait_s / TARGET_POLL_INTERVAL_S)):
             if not isinstance(chosen, Failure):
-                self._served_s[request.pool] = self._timers.now_s()
+                self._last_served_s[request.pool] = self._timers.now_s()
                 break
-            if not self._is_worth_waiting(request, chosen, is_retry=bool(course.tried)):
+            if not self._should_wait(request, chosen, is_retry=bool(state.tried)):
                 break
-            await anyio.sleep(RETRY_POLL_S)
-            chosen = self._choose(request, course)
+            await anyio.sleep(TARGET_POLL_INTERVAL_S)
+            chosen = self._choose(request, state)
         return chosen
 
-    def _is_worth_waiting(
+    def _should_wait(
         self, request: Request, failure: Failure, *, is_retry: bool
     ) -> bool:
         """Tell whether a target may come back in a moment.
@@ -129,21 +129,21 @@
         """
         if is_retry:
             return failure.reason is not Reason.EXPIRED
-        served_s = self._served_s.get(request.pool)
-        if failure.reason is not Reason.NO_TARGET or served_s is None:
+        last_served_s = self._last_served_s.get(request.pool)
+        if failure.reason is not Reason.NO_TARGET or last_served_s is None:
             return False
-        return self._timers.now_s() - served_s < LATELY_S
+        return self._timers.now_s() - last_served_s < RECENTLY_SERVED_S
 
-    def _choose(self, request: Request, course: _Course) -> ChosenTarget | Failure:
+    def _choose(self, request: Request, state: _RelayState) -> ChosenTarget | Failure:
         self._timers.check_pause()
         if request.deadline_s <= self._timers.now_s():
             return Failure(Reason.EXPIRED, Step.ROUTE, detail="the deadline has passed")
-        return self._chooser.choose(request, course.tried)
+        return self._chooser.choose(request, state.tried)
 
     async def _attempt(
-        self, request: Request, chosen: ChosenTarget, course: _Course
+        self, request: Request, chosen: ChosenTarget, state: _RelayState
     ) -> Answer:
-        start = self._make_start(request, chosen, course)
+        start = self._make_start(request, chosen, state)
         check_invariant(
             request.is_idempotent or not request.may_have_run,
             "handed_over_once",
@@ -153,35 +153,35 @@
         if isinstance(attempt, Failure):
             self._chooser.on_refused(chosen, attempt)
             return make_not_run(attempt)
-        is_repeated = request.may_have_run
+        had_possibly_run = request.may_have_run
         request.may_have_run = True
         request.targets.append(chosen.name)
         answer: Answer | None = None
         self._chooser.on_started(request, chosen)
         try:
             with anyio.move_on_after(request.deadline_s - self._timers.now_s()):
-                answer = await self._follow(request, chosen, attempt, course)
+                answer = await self._await_answer(request, chosen, attempt, state)
                 if answer.outcome is Outcome.NOT_RUN:
-                    request.may_have_run = is_repeated
+                    request.may_have_run = had_possibly_run
                 return answer
-            answer = self._give_up(request, attempt)
+            answer = self._make_timeout(request, attempt)
             return answer
         finally:
             self._chooser.on_ended(request, chosen, answer)
             self._client.close(attempt)
 
     def _make_start(
-        self, request: Request, chosen: ChosenTarget, course: _Course
+        self, request: Request, chosen: ChosenTarget, state: _RelayState
     ) -> AttemptStart:
         remaining_s = request.deadline_s - self._timers.now_s()
-        margin_s = min(self._terms.deadline_margin_s, remaining_s / 10)
+        margin_s = min(self._options.deadline_margin_s, remaining_s / 10)
         return AttemptStart(
             request.request_id,
-            course.handed_over + course.unreached,
+            state.handed_over + state.unreached,
             request.pool,
             request.method,
             request.path,
-            course.passer.headers(),
+            state.forwarder.headers(),
             request.body,
             max(0.0, remaining_s - margin_s),
             request.is_idempotent,
@@ -192,37 +192,40 @@
             chosen.incarnation,
         )
 
-    async def _follow(
+    async def _await_answer(
         self,
         request: Request,
         chosen: ChosenTarget,
         attempt: OpenAttempt,
-        course: _Course,
+        state: _RelayState,
     ) -> Answer:
         assembly = attempt.assembly
-        has_begun = False
+        has_answer_started = False
         while assembly.is_open:
             head = assembly.head
-            if head is not None and not has_begun:
-                has_begun = True
+            if head is not None and not has_answer_started:
+                has_answer_started = True
                 self._chooser.on_first_byte(request, chosen)
             if head is not None and is_streamed(request, head, assembly.size_bytes):
-                return await course.passer.forward(attempt, head)
+                return await state.forwarder.forward(attempt, head)
             await attempt.wait()
         head = assembly.head
-        if course.passer.is_begun and head is not None:
-            return await course.passer.forward(attempt, head)
-        return _conclude(attempt, is_begun=course.passer.is_begun)
+        if state.forwarder.has_started and head is not None:
+            return await state.forwarder.forward(attempt, head)
+        return _conclude(attempt, has_started=state.forwarder.has_started)
 
-    def _may_retry(self, request: Request, course: _Course, latest: Answer) -> bool:
+    def _may_retry(self, request: Request, state: _RelayState, latest: Answer) -> bool:
         if latest.outcome is Outcome.ANSWERED:
-            return self._is_failed_answer(request, course, latest)
+            return self._is_failed_answer(request, state, latest)
         failure = latest.failure
         if failure is None or failure.reason in FINAL_REASONS:
             return False
-        if course.handed_over >= request.attempts_max or course.breaks >= BREAKS_MAX:
+        if (
+            state.handed_over >= request.attempts_max
+            or state.broken >= BROKEN_ATTEMPTS_MAX
+        ):
             return False
-        if course.unreached > self._terms.unreached_attempts_max:
+        if state.unreached > self._options.unreached_attempts_max:
             return False
         if latest.outcome is Outcome.NOT_RUN:
             return True
@@ -234,14 +237,14 @@
         return request.is_idempotent and standing is not Standing.BLAMED
 
     def _is_failed_answer(
-        self, request: Request, course: _Course, answer: Answer
+        self, request: Request, state: _RelayState, answer: Answer
     ) -> bool:
         """Tell whether the target itself failed, and another may not."""
-        is_failed = answer.status >= FAILED_STATUS and not answer.is_sent
-        has_more = course.handed_over < request.attempts_max
+        is_failed = answer.status >= SERVER_ERROR_STATUS and not answer.is_sent
+        has_more = state.handed_over < request.attempts_max
         return is_failed and has_more and request.is_idempotent
 
-    def _give_up(self, request: Request, attempt: OpenAttempt) -> Answer:
+    def _make_timeout(self, request: Request, attempt: OpenAttempt) -> Answer:
         detail = f"no whole answer within the deadline; {attempt.assembly.phase.value}"
         failure = Failure(Reason.TIMEOUT, Step.RELAY, attempt.target, detail)
         is_started = request.responder.is_started
@@ -265,10 +268,10 @@
     if answer.outcome is not Outcome.UNKNOWN or failure is None:
         return False
     is_at_target = failure.step is Step.TARGET_CALL
-    return is_at_target and failure.reason not in UNBROKEN_REASONS
+    return is_at_target and failure.reason not in NOT_TARGET_FAULT_REASONS
 
 
-def _conclude(attempt: OpenAttempt, *, is_begun: bool) -> Answer:
+def _conclude(attempt: OpenAttempt, *, has_started: bool) -> Answer:
     assembly = attempt.assembly
     head = assembly.head
     if assembly.verdict is Verdict.WHOLE and head is not None:
@@ -283,11 +286,11 @@
     if assembly.verdict is Verdict.NOT_RUN:
         return make_not_run(failure)
     return Answer(
-        Outcome.UNKNOWN, failure=failure, is_sent=is_begun, is_truncated=is_begun
+        Outcome.UNKNOWN, failure=failure, is_sent=has_started, is_truncated=has_started
     )
 
 
-def _join(earlier: Answer | None, latest: Answer) -> Answer:
+def _combine(earlier: Answer | None, latest: Answer) -> Answer:
     """Return what both attempts together prove.
 
     An idempotent request whose first attempt broke may have run, even if the
--- a/reedspar/requests/retries.py
+++ b/reedspar/requests/retries.py
@@ -15,7 +15,7 @@
     def __init__(self, share: float, burst: float = BURST) -> None:
         self._share = share
         self._burst = burst
-        self._saved = burst
+        self._tokens = burst
         self.refused = 0
 
     def set_share(self, share: float) -> None:
@@ -25,18 +25,18 @@
     def set_burst(self, burst: float) -> None:
         """Change what may be saved up."""
         self._burst = burst
-        self._saved = min(self._saved, burst)
+        self._tokens = min(self._tokens, burst)
 
     def on_first_attempt(self) -> None:
         """Pay in for a first attempt."""
-        self._saved = min(self._burst, self._saved + self._share)
+        self._tokens = min(self._burst, self._tokens + self._share)
 
     def try_spend(self) -> bool:
         """Take out one retry, if there is one."""
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             self.refused += 1
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
 
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -19,21 +19,21 @@
 
 __all__ = ["PoolChooser", "Router"]
 
-FULL_LOAD = 1.0
+FULL_TARGET_LOAD = 1.0
 """Load from which a target is full; its agent queues or refuses beyond."""
-QUEUE_LOAD = 1.5
+QUEUE_LIMIT_LOAD = 1.5
 """Load from which another request would only wait out its deadline."""
-AFFINITY_LOAD = 0.75
+AFFINITY_MAX_LOAD = 0.75
 """Load up to which a prefix keeps going to the target that has it cached."""
-PREFIX_BYTES = 256
+AFFINITY_PREFIX_BYTES = 256
 NO_TARGET_RETRY_S = 1.0
 LATENCY_MIN_S = 0.001
-RESTED_REASONS = frozenset(
+BACKOFF_REASONS = frozenset(
     {Reason.DRAINING, Reason.ZONE_OUT, Reason.STALE, Reason.COLD}
 )
-REST_S = 0.25
+BACKOFF_S = 0.25
 """How long a target is left alone that refused for its own state."""
-REST_MAX_S = 1.0
+BACKOFF_MAX_S = 1.0
 
 
 class Router:
@@ -56,12 +56,12 @@
         views = [
             view
             for view in self._directory.usable(request.pool)
-            if document.is_zone_in(view.report.zone) and _serves(view, request)
+            if document.is_zone_in(view.report.zone) and _can_serve(view, request)
         ]
         if not views:
-            return self._explain(request)
+            return self._make_no_target(request)
         fresh = [view for view in views if view.name not in tried] or views
-        open_views = [view for view in fresh if view.load < QUEUE_LOAD]
+        open_views = [view for view in fresh if view.load < QUEUE_LIMIT_LOAD]
         if not open_views:
             return Failure(
                 Reason.OVERLOADED,
@@ -74,7 +74,7 @@
     def _pick(self, request: Request, views: list[TargetView]) -> TargetView:
         own = [view for view in views if view.report.zone == self._zone]
         for group in (own, views):
-            free = [view for view in group if view.load < FULL_LOAD]
+            free = [view for view in group if view.load < FULL_TARGET_LOAD]
             if free:
                 return self._pick_affine(request, free) or self._pick_by_load(free)
         return self._pick_by_load(views)
@@ -84,10 +84,10 @@
     ) -> TargetView | None:
         if request.pool_kind is not PoolKind.MODEL or not request.body:
             return None
-        key = request.workspace + request.body[:PREFIX_BYTES].decode("latin-1")
+        key = request.workspace + request.body[:AFFINITY_PREFIX_BYTES].decode("latin-1")
         by_name = {view.name: view for view in views}
         first = by_name[rank_by_rendezvous(key, by_name)[0]]
-        return first if first.load < AFFINITY_LOAD else None
+        return first if first.load < AFFINITY_MAX_LOAD else None
 
     def _pick_by_load(self, views: list[TargetView]) -> TargetView:
         if len(views) == 1:
@@ -95,7 +95,7 @@
         one, two = self._rng.sample(views, 2)
         return one if _cost(one) <= _cost(two) else two
 
-    def _explain(self, request: Request) -> Failure:
+    def _make_no_target(self, request: Request) -> Failure:
         known = self._directory.count(request.pool)
         detail = f"none of {known} known targets of {request.pool} may be given work"
         return Failure(
@@ -148,17 +148,17 @@
         if answer is None or answer.outcome is not Outcome.NOT_RUN:
             return
         failure = answer.failure
-        if failure is not None and failure.reason in RESTED_REASONS:
-            after_s = min(failure.retry_after_s or REST_S, REST_MAX_S)
-            chosen.refused_until_s = self._timers.now_s() + after_s
+        if failure is not None and failure.reason in BACKOFF_REASONS:
+            after_s = min(failure.retry_after_s or BACKOFF_S, BACKOFF_MAX_S)
+            chosen.backoff_until_s = self._timers.now_s() + after_s
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
         """Leave a target alone that has no link."""
         assert isinstance(chosen, TargetView)
-        chosen.refused_until_s = self._timers.now_s() + REST_S
+        chosen.backoff_until_s = self._timers.now_s() + BACKOFF_S
 
 
-def _serves(view: TargetView, request: Request) -> bool:
+def _can_serve(view: TargetView, request: Request) -> bool:
     if request.pool_kind is not PoolKind.MODEL:
         return True
     offered = view.report.offered
@@ -172,14 +172,15 @@
 
     A slow target with few requests may cost more than a fast one with many.
     """
-    place = 1 / max(1, view.report.limit)
-    return (view.load + place) * max(view.report.latency_s, LATENCY_MIN_S)
+    slot_share = 1 / max(1, view.report.limit)
+    return (view.load + slot_share) * max(view.report.latency_s, LATENCY_MIN_S)
 
 
 def _drain_time_s(views: list[TargetView]) -> float:
     """Return the time until a full target has worked off one queue's length."""
     waits = [
-        view.report.latency_s * max(0.0, view.load - FULL_LOAD + 1 / view.report.limit)
+        view.report.latency_s
+        * max(0.0, view.load - FULL_TARGET_LOAD + 1 / view.report.limit)
         for view in views
         if view.report.limit
     ]
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -58,8 +58,10 @@
     async def drain(self) -> None:
         """Return once this entry may stop; announce its leaving before."""
         self.addresses.exclude_self()
-        terms = DrainOptions(self.settings.address_ttl_s, self.settings.drain_timeout_s)
-        await run_drain(self.application, terms, self.timers.now_s)
+        options = DrainOptions(
+            self.settings.address_ttl_s, self.settings.drain_timeout_s
+        )
+        await run_drain(self.application, options, self.timers.now_s)
 
 
 def create_request_service(
--- a/reedspar/requests/target_directory.py
+++ b/reedspar/requests/target_directory.py
@@ -11,8 +11,8 @@
 __all__ = ["TargetDirectory", "TargetView", "create_target_directory"]
 
 REPORT_TTL_S = 5.0
-FORGET_AFTER_S = 60.0
-ROOMY_PART = 0.75
+VIEW_RETENTION_S = 60.0
+SPARE_CAPACITY_MAX_LOAD = 0.75
 IncarnationListener = Callable[[str, int], None]
 
 
@@ -24,9 +24,9 @@
     incarnation: int
     received_s: float
     own_in_flight: int = 0
-    own_at_report: int = 0
+    own_in_flight_at_report: int = 0
     """Our own part when the report came; the report may count it already."""
-    refused_until_s: float = 0.0
+    backoff_until_s: float = 0.0
     """The agent refused us for its state; it is left alone until then."""
 
     @property
@@ -43,7 +43,7 @@
     def count(self) -> float:
         """Return the estimated requests that it has."""
         report = self.report
-        since = self.own_in_flight - self.own_at_report
+        since = self.own_in_flight - self.own_in_flight_at_report
         return max(self.own_in_flight, report.in_flight + report.queued + since)
 
     @property
@@ -70,7 +70,7 @@
         self.stale_reports = 0
         network.subscribe(TargetReport, self._on_report)
         network.on_link_event(self._on_link_event)
-        timers.call_every(FORGET_AFTER_S, self._forget_old)
+        timers.call_every(VIEW_RETENTION_S, self._remove_old)
 
     def on_incarnation(self, listener: IncarnationListener) -> None:
         """Call `listener` with name and incarnation when an agent was restarted."""
@@ -88,7 +88,7 @@
                 continue
             if now_s - view.received_s > self._report_ttl_s:
                 continue
-            if now_s >= view.refused_until_s:
+            if now_s >= view.backoff_until_s:
                 yield view
 
     def has_spare_capacity(self, pool: str) -> bool:
@@ -98,7 +98,7 @@
         for view in self.usable(pool):
             limit += view.report.limit
             count += view.count
-        return count + 1 <= ROOMY_PART * limit
+        return count + 1 <= SPARE_CAPACITY_MAX_LOAD * limit
 
     def count(self, pool: str) -> int:
         """Return how many targets of `pool` are known, usable or not."""
@@ -108,7 +108,7 @@
         """Return how many targets of all pools may be given work now."""
         return sum(1 for pool in self._by_pool for _ in self.usable(pool))
 
-    def forget(self, target: str) -> None:
+    def remove(self, target: str) -> None:
         """Drop what is known, since its agent left or the link is gone."""
         view = self._views.pop(target, None)
         if view is not None:
@@ -116,7 +116,7 @@
 
     def _on_link_event(self, event: LinkEvent) -> None:
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
-            self.forget(event.peer)
+            self.remove(event.peer)
 
     def _on_report(self, sender: Sender, report: TargetReport) -> None:
         now_s = self._timers.now_s()
@@ -145,20 +145,20 @@
             self._by_pool[view.report.pool].pop(report.target, None)
             self._by_pool.setdefault(report.pool, {})[report.target] = view
         if view.report.status is not report.status or incarnation != view.incarnation:
-            view.refused_until_s = 0.0
+            view.backoff_until_s = 0.0
         view.report = report
         view.incarnation = incarnation
         view.received_s = now_s
-        view.own_at_report = view.own_in_flight
+        view.own_in_flight_at_report = view.own_in_flight
 
-    def _forget_old(self) -> None:
-        horizon_s = self._timers.now_s() - FORGET_AFTER_S
+    def _remove_old(self) -> None:
+        horizon_s = self._timers.now_s() - VIEW_RETENTION_S
         old = [
             name for name, view in self._views.items() if view.received_s < horizon_s
         ]
         for name in old:
             if not self._views[name].own_in_flight:
-                self.forget(name)
+                self.remove(name)
 
 
 def create_target_directory(
--- a/reedspar/requests/tests/test_decisions.py
+++ b/reedspar/requests/tests/test_decisions.py
@@ -137,7 +137,7 @@
                     self.assertLessEqual(len(held), max(1, window))
             elif held:
                 name = held.pop()
-                ends = (control.on_refused, control.on_other, control.on_answered)
+                ends = (control.on_refused, control.on_neutral_end, control.on_answered)
                 end = ends[step - 3]
                 arguments = ((now_s / 10,), (), (0.1, now_s / 10))[step - 3]
                 end(name, *arguments)
--- a/reedspar/requests/tests/test_event_stream.py
+++ b/reedspar/requests/tests/test_event_stream.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reedspar.requests.event_stream import EventCutter
+from reedspar.requests.event_stream import EventSplitter
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n"
 
@@ -14,21 +14,21 @@
 class EventCutterTest(unittest.TestCase):
     @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
     def test_whole_events_come_through_however_they_are_cut(self, cuts: list) -> None:
-        cutter = EventCutter()
+        splitter = EventSplitter()
         places = [0, *sorted(cuts), len(STREAM)]
         out = b""
         for start, end in itertools.pairwise(places):
-            out += cutter.feed(STREAM[start:end])
+            out += splitter.feed(STREAM[start:end])
         self.assertEqual(out, STREAM)
-        self.assertEqual((cutter.last_event_id, cutter.event_count), ("3", 3))
+        self.assertEqual((splitter.last_event_id, splitter.event_count), ("3", 3))
 
     def test_half_an_event_is_kept_back_and_can_be_dropped(self) -> None:
         # A target dies in the middle of an event; the next target sends it whole.
-        cutter = EventCutter("7")
-        self.assertEqual(cutter.feed(b"id: 8\ndata: a\n\nid: 9\nda"), STREAM_8)
-        self.assertEqual(cutter.last_event_id, "8")
-        cutter.drop_pending()
-        self.assertEqual(cutter.feed(b"id: 9\ndata: b\n\n"), b"id: 9\ndata: b\n\n")
+        splitter = EventSplitter("7")
+        self.assertEqual(splitter.feed(b"id: 8\ndata: a\n\nid: 9\nda"), STREAM_8)
+        self.assertEqual(splitter.last_event_id, "8")
+        splitter.drop_pending()
+        self.assertEqual(splitter.feed(b"id: 9\ndata: b\n\n"), b"id: 9\ndata: b\n\n")
 
 
 STREAM_8 = b"id: 8\ndata: a\n\n"
