--- a/reedspar/requests/__init__.py
+++ b/reedspar/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of callers at an entry: filters, routing, retries, claims, relay."""
+"""Handling of callers' requests at an entry: filters, claims, routing and relay."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/requests/address_list.py
+++ b/reedspar/requests/address_list.py
@@ -1,4 +1,4 @@
-"""Telling callers which addresses to use, under the product's own interface."""
+"""HTTP endpoint of the product's own API that lists entry addresses for callers."""
 
 from starlette.requests import Request as HttpRequest
 from starlette.responses import JSONResponse
@@ -11,7 +11,7 @@
 
 
 class AddressList:
-    """Answers with the entries that a caller may use."""
+    """Endpoint that returns the addresses of the entries that a caller may use."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.route = Route("/v1/addresses", self._list_addresses)
 
     def exclude_self(self) -> None:
-        """Leave this entry out of the addresses it gives."""
+        """Omit this entry from the addresses that it lists from now on."""
         self._is_named = False
 
     async def _list_addresses(self, http_request: HttpRequest) -> JSONResponse:
--- a/reedspar/requests/addresses.py
+++ b/reedspar/requests/addresses.py
@@ -1,4 +1,4 @@
-"""Decision: which entries a caller is told to use, and in which order."""
+"""Selection and order of the entry addresses listed to a caller."""
 
 from collections.abc import Iterable
 
@@ -10,6 +10,7 @@
 __all__ = ["ADDRESSES_MAX", "order_addresses"]
 
 ADDRESSES_MAX = 5
+"""Maximum number of addresses in one list."""
 
 
 def order_addresses(
@@ -18,12 +19,12 @@
     own_zone: str,
     key: str,
 ) -> list[str]:
-    """Return base URLs for the caller that asks under `key`, first choice first.
+    """Return base URLs for the caller identified by `key`, most preferred first.
 
-    Rendezvous hashing by `key` spreads callers evenly and gives the same
-    caller the same order while the entries stay the same.  Own zone first;
-    after that, zones alternate, so that the second address of a caller
-    outlives the zone of the first.
+    Rendezvous hashing by `key` spreads callers evenly and gives the same caller
+    the same order while the set of entries is unchanged.  Entries of the local
+    zone come first.  Then zones alternate, so that a caller's second address
+    still works when the zone of its first one fails.
     """
     usable = {
         entry.name: entry
--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -1,12 +1,13 @@
-"""Decision: whether a pool takes one more request of a workspace from this entry.
-
-Each entry keeps a window per pool: how many requests it may have in flight
-there.  The window grows by completions and shrinks by refusals for load
-(additive increase, multiplicative decrease: Chiu and Jain, "Analysis of the
-increase and decrease algorithms for congestion avoidance in computer
-networks", 1989), so all entries together settle at what the targets bear
-without talking to each other.  Within the window, low priority is refused
-first, and under shortage each workspace keeps its max-min fair part.
+"""Admission control of a pool: AIMD window, priorities and max-min fair shares.
+
+Each entry keeps a window for each pool, which limits the requests that it may
+have in flight there.  The window grows with completions and shrinks when a
+target refuses for load (additive increase, multiplicative decrease: Chiu and
+Jain, "Analysis of the increase and decrease algorithms for congestion avoidance
+in computer networks", 1989).  All entries together thus converge to the capacity
+of the targets without communicating.  Within the window, low priorities are
+refused first, and when capacity is scarce each workspace keeps its max-min fair
+share.
 """
 
 import math
@@ -22,11 +23,11 @@
 WINDOW_DECREASE_FACTOR = 0.9
 PRIORITY_MAX = 9
 PRIORITY_WINDOW_SPAN = 0.25
-"""The lowest priority is refused from this share below the window's end."""
+"""Share of the window that requests of the lowest priority may not use."""
 SCARCITY_THRESHOLD = 0.6
-"""Below this part of its places the window is not short: nobody is held to a share."""
+"""Used share of a request's window above which fair shares are enforced."""
 WORKSPACE_ACTIVE_S = 2.0
-"""A workspace counts as active this long after its last request."""
+"""Time after its last request for which a workspace counts as active."""
 INITIAL_LATENCY_S = 0.5
 LATENCY_EWMA_WEIGHT = 0.1
 DEMAND_EWMA_WEIGHT = 0.1
@@ -34,12 +35,12 @@
 DECREASE_INTERVAL_MIN_S = 0.05
 DECREASE_INTERVAL_MAX_S = 1.0
 RECOVERY_S = 5.0
-"""Without a refusal for so long, capacity has come back: grow fast again."""
+"""Time without a refusal after which capacity counts as restored: grow fast again."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkspaceLimits:
-    """What the configuration grants a workspace."""
+    """Share, priority and concurrency limit of a workspace from the configuration."""
 
     share: float = 1.0
     priority: int = 1
@@ -52,29 +53,31 @@
     in_flight: int = 0
     last_request_s: float = 0.0
     refused: float = 0.0
-    """Refusals within about one latency: what it would have in flight besides."""
+    """Recent refusals, decayed over one latency.
+
+    Estimates the additional requests that the workspace would have in flight."""
     refused_s: float = 0.0
     demand_estimate: float = 0.0
 
     def demand(self) -> float:
-        """Return how many places it would use, as far as is known."""
+        """Return the estimated number of slots that the workspace would use."""
         return self.demand_estimate + 1
 
     def record_refusal(self, latency_s: float, now_s: float) -> None:
-        """Count a refusal; older ones fade with the latency."""
+        """Count a refusal; earlier ones decay exponentially with the latency."""
         faded = math.exp((self.refused_s - now_s) / max(latency_s, LATENCY_MIN_S))
         self.refused = self.refused * faded + 1
         self.refused_s = now_s
 
     def update_demand(self) -> None:
-        """Follow what it has in flight, or would have, as its requests come."""
+        """Update the moving average of the demand, at each arriving request."""
         current = self.in_flight + self.refused
         self.demand_estimate += DEMAND_EWMA_WEIGHT * (current - self.demand_estimate)
 
 
 @dataclass(slots=True)
 class AdmissionControl:
-    """The window of one pool at one entry."""
+    """Admission window of one pool at one entry."""
 
     window: float = INITIAL_WINDOW
     in_flight: int = 0
@@ -94,10 +97,10 @@
         *,
         has_spare_capacity: bool = False,
     ) -> Failure | None:
-        """Take a place, or return why not and when to come back.
+        """Admit a request, or return a failure with the time to retry after.
 
-        While the targets report room, the window binds nobody: it grows by
-        answers, and long streams would not answer before it is needed.
+        While the targets report spare capacity, the window is not enforced: it
+        grows only with answers, and long streams would be answered too late.
         """
         self.remove_idle(now_s)
         state = self._workspaces.get(workspace)
@@ -114,8 +117,8 @@
             self._admit(state)
             return None
         is_over = self._is_over_share(state, priority_limit)
-        # Bursts of those within their share go into what low priority leaves
-        # free; kept free within the places, that room would be lost to all.
+        # Workspaces within their share may use the whole window in a burst,
+        # including the part closed to low priorities, which nobody would use else.
         is_full = self.in_flight + 1 > (
             priority_limit if is_over else max(priority_limit, self.window)
         )
@@ -129,7 +132,7 @@
         return None
 
     def on_answered(self, workspace: str, latency_s: float, now_s: float) -> None:
-        """Give the place back after an answer, and grow if places are short."""
+        """Free the slot after an answer, and grow the window if it limits requests."""
         self._release(workspace)
         self.latency_s += LATENCY_EWMA_WEIGHT * (latency_s - self.latency_s)
         if (
@@ -143,10 +146,10 @@
         self.window = min(WINDOW_MAX, self.window + step)
 
     def on_refused(self, workspace: str, now_s: float) -> None:
-        """Give the place back after a refusal for load, and shrink.
+        """Free the slot after a refusal for load, and shrink the window.
 
-        All refusals of one round trip are one sign of overload, so the window
-        shrinks once for them.
+        Refusals within one round trip are one overload signal, so the window
+        shrinks only once for them.
         """
         self._release(workspace)
         round_trip_s = min(
@@ -162,11 +165,11 @@
         )
 
     def on_neutral_end(self, workspace: str) -> None:
-        """Give the place back after an ending that tells nothing of the load."""
+        """Free the slot after an ending that says nothing about the load."""
         self._release(workspace)
 
     def remove_idle(self, now_s: float) -> None:
-        """Drop the workspaces that were not seen for a while."""
+        """Remove workspaces that are no longer active."""
         if now_s - self._last_cleanup_s < WORKSPACE_ACTIVE_S:
             return
         self._last_cleanup_s = now_s
@@ -186,16 +189,16 @@
         self._workspaces[workspace].in_flight -= 1
         self.in_flight -= 1
 
-    def _is_over_share(self, state: _WorkspaceState, places: float) -> bool:
-        """Tell whether one more is beyond max-min fairness by share.
+    def _is_over_share(self, state: _WorkspaceState, slots: float) -> bool:
+        """Return whether one more request exceeds the weighted max-min fair share.
 
-        Workspaces that want less than their part leave the rest to the others.
+        What a workspace does not need of its share is divided among the others.
         """
         active = sorted(
             self._workspaces.values(),
             key=lambda item: item.demand() / item.limits.share,
         )
-        left = places
+        left = slots
         shares = sum(item.limits.share for item in active)
         for item in active:
             fair_share = left * item.limits.share / shares
--- a/reedspar/requests/application.py
+++ b/reedspar/requests/application.py
@@ -1,4 +1,4 @@
-"""The ASGI application for callers' requests; all else goes to another one."""
+"""ASGI application that runs callers' requests through the filter chain."""
 
 import itertools
 import logging
@@ -19,17 +19,19 @@
 __all__ = ["AsgiResponder", "RequestApplication", "RequestIdGenerator"]
 
 TRUNCATION_SIGNALLING_VERSION = "1.1"
-"""Under HTTP/1.0 the end of a broken stream looks like any end, and under HTTP/2
-the server leaves a broken stream open for good."""
+"""The only HTTP version under which a caller sees that an answer was truncated.
+
+Under HTTP/1.0, closing the connection is the normal end of an answer; under
+HTTP/2, the server never closes a broken stream."""
 BODILESS_STATUSES = frozenset({204, 304})
 logger = logging.getLogger(__name__)
 
 
 class RequestIdGenerator:
-    """Ids that no other request of any entry ever has.
+    """Generates request ids that are unique across all entries and restarts.
 
-    Callers' own ids don't do: a shop that sends one id twice would get the
-    second answer mixed up with the first one's attempt at the agent.
+    Ids from callers can't be used: if a caller sent the same id twice, the agent
+    would take both requests for the same attempt and mix up their answers.
     """
 
     def __init__(self, name: str, incarnation: int) -> None:
@@ -38,12 +40,12 @@
         self._counter = itertools.count(1)
 
     def make(self) -> str:
-        """Return the next id."""
+        """Return a new id."""
         return f"{self._prefix}{next(self._counter)}"
 
 
 class AsgiResponder:
-    """Writes one answer to one ASGI connection."""
+    """Writes the answer of one request to its ASGI connection."""
 
     def __init__(
         self, send: Send, adapter: CallerAdapter, *, is_last_answer: bool = False
@@ -57,7 +59,7 @@
     async def start(
         self, status: int, headers: Iterable[Header], weights_digest: str
     ) -> None:
-        """Send the head of a stream."""
+        """Send the status and headers of a stream."""
         fields = self._adapter.make_headers(
             Outcome.ANSWERED, self.caller_request_id, weights_digest, headers
         )
@@ -68,7 +70,7 @@
         await self._send(_make_body(data, more_body=not is_last))
 
     async def finish(self, request: Request, answer: Answer) -> None:
-        """Send a whole answer, or the refusal that stands for it."""
+        """Send a complete answer, or the refusal in its place."""
         if answer.failure is not None:
             status, headers, body = self._adapter.encode_refusal(request, answer)
         else:
@@ -95,7 +97,7 @@
 
 
 class RequestApplication:
-    """Routes requests of callers into the filter chain, all else to `fallback`."""
+    """Passes callers' requests to the filter chain, and all else to `fallback`."""
 
     def __init__(
         self,
@@ -118,10 +120,10 @@
         self.in_flight = 0
 
     def close_connections(self) -> None:
-        """Let each kept connection end with the next answer on it.
+        """Close each keep-alive connection after the next answer on it.
 
-        Closed in between, a connection could cross the caller's next request,
-        which would then be lost.
+        If an idle connection were closed instead, a request that the caller was
+        just sending on it would be lost.
         """
         self._is_closing = True
 
@@ -130,7 +132,7 @@
         self._is_admitting = False
 
     def abort(self) -> None:
-        """End every request in flight now, with a final answer if one fits."""
+        """End all requests in flight now, with a final answer where possible."""
         for scope in self._active.values():
             scope.cancel()
 
@@ -163,10 +165,10 @@
     async def _run(
         self, request: Request, responder: AsgiResponder, receive: Receive
     ) -> None:
-        """Run the chain; a caller that goes away cancels what is idempotent.
+        """Run the filter chain; cancel idempotent requests on disconnect.
 
-        A non-idempotent request runs on to its end: cut off half-way it would
-        end as unknown, while its caller's repeat could get the first answer.
+        Non-idempotent requests continue after a disconnect: if cancelled, their
+        outcome would be unknown, whereas now a repeat can get the first answer.
         """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
@@ -174,7 +176,7 @@
             )
             answer = await self._answer_until_abort(request)
             tasks.cancel_scope.cancel()
-            # A cancelled scope would also stop the answer's own writes.
+            # Without the shield, cancellation would also stop the answer's writes.
             with anyio.CancelScope(shield=True):
                 check_invariant(
                     answer.outcome is not Outcome.NOT_RUN or not request.may_have_run,
@@ -183,16 +185,16 @@
                 )
                 if not answer.is_sent:
                     await responder.finish(request, answer)
-        # A broken stream ends here without its last piece: the server then
-        # aborts the connection, and the caller sees that it was cut.
+        # For a broken stream, the final body message is never sent: the server
+        # then aborts the connection, and the caller sees the truncation.
 
     async def _answer_until_abort(self, request: Request) -> Answer:
-        """Return the answer, or at an abort the truth: it may have run."""
+        """Return the answer, or an unknown outcome if the request was aborted."""
         if not request.can_signal_truncation:
-            detail = "use HTTP/1.1: no other version shows here that an answer was cut"
+            detail = "use HTTP/1.1: other versions can't signal a truncated answer"
             return make_not_run(Failure(Reason.INVALID, Step.RELAY, detail=detail))
         if not self._is_admitting:
-            detail = "this entry is leaving; use another address"
+            detail = "this entry is shutting down; use another address"
             failure = Failure(
                 Reason.DRAINING, Step.DRAIN, detail=detail, retry_after_s=1.0
             )
@@ -203,7 +205,7 @@
                 return await self._answer(request)
             finally:
                 del self._active[request.request_id]
-        detail = "this entry had to stop before the answer was whole"
+        detail = "this entry shut down before the answer was complete"
         failure = Failure(Reason.DRAINING, Step.DRAIN, detail=detail)
         is_started = request.responder.is_started
         return Answer(Outcome.UNKNOWN, failure=failure, is_sent=is_started)
@@ -229,7 +231,10 @@
 
 
 async def _read_body(receive: Receive, limit_bytes: int) -> bytes | None:
-    """Return the body, cut off just above the limit, or None if the caller left."""
+    """Return the body, or None if the caller disconnected.
+
+    A body above the limit is truncated just above it, so that it can be refused.
+    """
     pieces: list[bytes] = []
     size_bytes = 0
     while True:
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -1,9 +1,9 @@
-"""Decision: put the messages of one attempt together to a whole answer, or to less.
+"""Assembly of an attempt's messages into an answer, and its verdict.
 
-Messages come late, twice, out of order or not at all, since links are replaced
-under a running attempt.  Bytes are taken once and in order; whatever leaves a
-gap is dropped, because the agent keeps the answer and sends it again from the
-offset that is asked for.
+Messages may be late, duplicated, out of order or lost, because a link can be
+replaced during an attempt.  Each byte is accepted once and in order.  Data after
+a gap is dropped: the agent keeps the answer and sends it again from the offset
+that the client asks for.
 """
 
 import hashlib
@@ -26,15 +26,15 @@
 
 
 REFUSAL_PROOF_MAX_AGE_S = 30.0
-"""Half of the least time that an agent remembers an ended attempt."""
+"""Half of the minimum time that an agent keeps the record of an ended attempt."""
 INCONCLUSIVE_REASONS = frozenset(
     {Reason.OUTCOME_UNKNOWN, Reason.TIMEOUT, Reason.CORRUPT, Reason.CANCELLED}
 )
-"""Failures of a target that don't prove that it did not run the request."""
+"""Failures at a target after which the request may have run."""
 
 
 class Verdict(Enum):
-    """What is known of an attempt."""
+    """What is known about the result of an attempt."""
 
     OPEN = auto()
     WHOLE = auto()
@@ -43,21 +43,22 @@
 
 
 class Progress(Enum):
-    """What a message brought."""
+    """Effect of a message on the assembly, and what the client must do next."""
 
     NEWS = auto()
+    """The state changed: wake the waiting task."""
     NOTHING = auto()
     GAP = auto()
-    """Something before it is missing: ask for it again."""
+    """Earlier data is missing: ask the agent to send it again."""
     MISSING = auto()
-    """The agent never got it: revoke it, to have proof."""
+    """The agent has not received the attempt: revoke it, to prove that it can't run."""
     FULL = auto()
-    """The caller reads too slowly: ask for it again once it has read on."""
+    """The buffer is full: ask for the data again once the caller has read more."""
 
 
 @dataclass(slots=True)
 class AnswerAssembly:
-    """The answer of one attempt as far as it has arrived."""
+    """The part of an attempt's answer that has arrived, and what it proves."""
 
     start: AttemptStart
     target: str
@@ -74,18 +75,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether more can be learned."""
+        """Return whether the verdict is still open."""
         return self.verdict is Verdict.OPEN
 
     def on_head(self, message: AttemptHead) -> Progress:
-        """Take the head; an answer never joins two of them."""
+        """Store the status and headers; repeated ones are ignored."""
         if self.head is not None or not self.is_open:
             return Progress.NOTHING
         self.head = message
         return Progress.NEWS
 
     def on_data(self, message: AttemptData, limit_bytes: int) -> Progress:
-        """Take what is new of `message`, if it fits into `buffer_limit_bytes`."""
+        """Append the new bytes of `message` if the buffer stays within `limit_bytes`.
+
+        An empty buffer accepts a message of any size.
+        """
         if not self.is_open:
             return Progress.NOTHING
         skip = self.size_bytes - message.offset
@@ -103,7 +107,7 @@
         return self._check_end() or Progress.NEWS
 
     def on_end(self, message: AttemptEnd) -> Progress:
-        """Take the end marker; what it marks may still be missing."""
+        """Handle the end marker, which may arrive before the last data."""
         if not self.is_open:
             return Progress.NOTHING
         self.end = message
@@ -114,10 +118,10 @@
         return self._check_end() or Progress.GAP
 
     def on_direct_end(self, failure: Failure | None) -> Progress:
-        """Take the end of an answer that came straight from the target.
+        """Handle the end of an answer that came directly from the target.
 
-        Its connection has kept the bytes in order, and its framing has told
-        whether they are whole, so there is no digest to check.
+        TCP keeps the bytes in order and HTTP framing shows whether the answer is
+        complete, so there is no digest to check.
         """
         if not self.is_open:
             return Progress.NOTHING
@@ -132,26 +136,26 @@
     def on_refused(
         self, message: AttemptRefused, incarnation: int, age_s: float
     ) -> Progress:
-        """Take a refusal, if it proves that the attempt never ran."""
+        """Handle a refusal, which usually proves that the attempt never ran."""
         if not self.is_open:
             return Progress.NOTHING
-        # A refusal of the one copy that was handed over is proof from any
-        # incarnation.  After a cancel it may answer that instead: from another
-        # incarnation, or once the agent may have forgotten that the attempt
-        # ran (an entry that was frozen asks so late), it proves nothing, and
-        # an order that ran would be called not run.
+        # The attempt was sent once, so its refusal is proof from any incarnation.
+        # After a cancel, the refusal may be the reply to the cancel instead.  Then
+        # it proves nothing if it comes from another incarnation, or so late (after
+        # a pause of this process) that the agent may have dropped the record of an
+        # attempt that ran: that order would be reported as not run.
         is_other_incarnation = incarnation != self.start.agent_incarnation
         if self.is_cancelled and (
             is_other_incarnation or age_s > REFUSAL_PROOF_MAX_AGE_S
         ):
-            return self.on_lost("revoked too late for proof")
+            return self.on_lost("revoked too late to prove that it did not run")
         after_s = message.retry_after_s or None
         return self._finish(
             Verdict.NOT_RUN, message.reason, message.detail, after_s, Step.AGENT_ADMIT
         )
 
     def on_status(self, message: AttemptStatus, incarnation: int) -> Progress:
-        """Take the agent's word on how far the attempt is."""
+        """Handle the agent's report of the attempt's phase."""
         if not self.is_open:
             return Progress.NOTHING
         expected = self.start.agent_incarnation
@@ -160,14 +164,14 @@
         if message.phase is AttemptPhase.UNKNOWN:
             if self.head is None and self.phase is AttemptPhase.UNKNOWN:
                 return Progress.MISSING
-            return self.on_lost("the agent has let go of it")
+            return self.on_lost("the agent has no record of the attempt any more")
         self.phase = message.phase
         if message.phase is AttemptPhase.REVOKED:
             return self._finish(Verdict.NOT_RUN, Reason.CANCELLED, "revoked")
         return Progress.NOTHING
 
     def on_lost(self, detail: str) -> Progress:
-        """Give up: nothing more will be learned from the agent."""
+        """Set the verdict to unknown, as no more messages are expected."""
         if not self.is_open:
             return Progress.NOTHING
         return self._finish(
@@ -194,7 +198,7 @@
             return self._finish(
                 Verdict.UNKNOWN,
                 Reason.CORRUPT,
-                "length or digest differ from the end's",
+                "length or digest of the answer differ from the end marker",
             )
         self.verdict = Verdict.WHOLE
         return Progress.NEWS
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -1,8 +1,8 @@
-"""Shell around the assembly of answers: sends attempts and keeps them going.
+"""Client that sends attempts to agents and receives their answers.
 
-Handlers of the network are synchronous: they feed the assembly and wake the
-one task that waits for it.  All messages that arrive in one turn of the event
-loop thus cost one wake-up and one write to the caller.
+Message handlers are synchronous: they update the assembly and wake the one task
+that waits for it.  All messages of one event loop iteration thus cost one wake-up
+and one write to the caller.
 """
 
 from collections.abc import Callable
@@ -33,21 +33,24 @@
 
 SWEEP_INTERVAL_S = 0.25
 RESUME_AFTER_SILENCE_S = 1.0
-"""Silence on an attempt after which its agent is asked for more."""
+"""Time without a message after which the agent is asked to resume the answer."""
 GAP_RESUME_INTERVAL_S = 0.1
+"""Minimum time between two requests to resume an answer after a gap."""
 LOST_AFTER_SILENCE_S = 3.0
-"""Silence after which an idempotent request is better run elsewhere."""
+"""Time without a message after which an idempotent attempt is given up.
+
+The request is then run by another target."""
 ANSWER_BUFFER_BYTES = 16 * 1024 * 1024
-"""Most bytes of one answer that wait for the caller."""
+"""Maximum size of the unread part of one answer."""
 ACK_INTERVAL_BYTES = 256 * 1024
 
 
 @dataclass(slots=True)
 class ClientCounts:
-    """What the client met, for the metrics."""
+    """Event counts of the client, for the metrics."""
 
     dropped: int = 0
-    """Messages that matched no open attempt."""
+    """Messages that belonged to no open attempt."""
     gaps: int = 0
     resumed: int = 0
     corrupt: int = 0
@@ -55,7 +58,7 @@
 
 
 class OpenAttempt:
-    """One attempt that waits for its answer; one task may wait at a time."""
+    """An attempt whose answer is being received; only one task may wait for it."""
 
     def __init__(self, assembly: AnswerAssembly, now_s: float) -> None:
         self.assembly = assembly
@@ -70,12 +73,12 @@
 
     @property
     def target(self) -> str:
-        """Return the name of the agent that it was handed to."""
+        """Return the name of the agent that the attempt was handed to."""
         return self.assembly.target
 
     @property
     def acknowledgeable_bytes(self) -> int:
-        """Return how much of the answer the agent need not keep any longer."""
+        """Return how many bytes of the answer the agent may discard."""
         assembly = self.assembly
         waiting = assembly.pending_bytes if self.is_streamed else 0
         return assembly.size_bytes - waiting
@@ -87,13 +90,13 @@
             self._event = None
 
     async def wait(self) -> None:
-        """Wait for news."""
+        """Wait until `wake` is called."""
         self._event = anyio.Event()
         await self._event.wait()
 
 
 class AttemptClient:
-    """Hands requests over to agents and matches what they answer."""
+    """Hands requests over to agents and matches their messages to attempts."""
 
     def __init__(
         self,
@@ -119,11 +122,11 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many attempts wait for their answer."""
+        """Return the number of open attempts."""
         return len(self._open)
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
-        """Hand a request over; a failure means that nothing was handed over."""
+        """Hand a request over, or return a failure if nothing was handed over."""
         key = (start.request_id, start.attempt)
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
         self._open[key] = attempt
@@ -134,7 +137,7 @@
         return attempt
 
     def close(self, attempt: OpenAttempt) -> None:
-        """Let go of an attempt; an unfinished one is cancelled at its agent."""
+        """Close an attempt; cancel it at its agent if it is unfinished."""
         start = attempt.assembly.start
         if self._open.pop((start.request_id, start.attempt), None) is None:
             return
@@ -144,7 +147,7 @@
             self.cancel(attempt)
 
     def cancel(self, attempt: OpenAttempt) -> None:
-        """Ask the agent to revoke or cancel; its word is awaited as before."""
+        """Ask the agent to revoke or cancel the attempt, without closing it."""
         start = attempt.assembly.start
         attempt.assembly.is_cancelled = True
         message = AttemptCancel(
@@ -153,7 +156,7 @@
         self._network.send(attempt.target, message)
 
     def read_available(self, attempt: OpenAttempt) -> bytes:
-        """Return the bytes that arrived, and tell the agent now and then."""
+        """Return the bytes that arrived, and acknowledge them at intervals."""
         data = attempt.assembly.read_available()
         self._ack_progress(attempt)
         if attempt.is_buffer_full:
@@ -162,13 +165,13 @@
         return data
 
     def on_incarnation(self, target: str, incarnation: int) -> None:
-        """Give up the attempts at predecessors of a restarted agent."""
+        """Give up attempts that earlier incarnations of a restarted agent had."""
         for attempt in self._list_open_at(target):
             if 0 < attempt.assembly.start.agent_incarnation < incarnation:
                 self._give_up(attempt, "the agent was restarted")
 
     def sweep(self) -> None:
-        """Resume what went silent, and give up what is better run elsewhere."""
+        """Resume silent attempts; give up idempotent ones after a longer silence."""
         now_s = self._timers.now_s()
         for attempt in list(self._open.values()):
             if not attempt.assembly.is_open:
@@ -183,7 +186,7 @@
                 self._resume(attempt)
 
     def _on_link_event(self, event: LinkEvent) -> None:
-        """Resume on a new link; give up where no process is left to ask."""
+        """Resume attempts on a new link; give up those whose agent is gone."""
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
             is_gone = event.reason is Reason.UNAVAILABLE
             for attempt in self._list_open_at(event.peer):
@@ -221,9 +224,10 @@
         self._network.send(attempt.target, message)
 
     def _ack_progress(self, attempt: OpenAttempt) -> None:
-        """Open the agent's window as far as a stream's caller has read on.
+        """Acknowledge the answer if enough of it is new, to open the agent's window.
 
-        An answer that is passed on as a whole is acknowledged as it arrives.
+        A stream is acknowledged as its caller reads it, any other answer as it
+        arrives.
         """
         if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_INTERVAL_BYTES:
             self._ack(attempt, is_complete=False)
@@ -281,9 +285,9 @@
         return attempt
 
     def _discard_answer(self, sender: Sender, message: Any) -> None:
-        """Tell the agent that nobody waits for this answer any more.
+        """Acknowledge an answer that no attempt waits for any more.
 
-        Else it would keep the answer, and its graceful stop would wait for it.
+        Otherwise the agent would keep the answer and delay its graceful stop.
         """
         if isinstance(message, AttemptEnd):
             key = (message.request_id, message.attempt)
@@ -304,5 +308,5 @@
 
 
 def create_attempt_client(network: Network, timers: TimerService) -> AttemptClient:
-    """Make a client and subscribe it to the answers of agents."""
+    """Create a client and subscribe it to the messages of agents."""
     return AttemptClient(network, timers)
--- a/reedspar/requests/attempting.py
+++ b/reedspar/requests/attempting.py
@@ -1,4 +1,4 @@
-"""Protocols of what the relay needs: choosing targets, and attempts at them."""
+"""Protocols and options of the relay: target selection and attempts at targets."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayOptions:
-    """How the relay deals with targets that fail or are missing."""
+    """Options of the relay for targets that fail or are missing."""
 
     retry_wait_s: float = 1.5
     """How long a request waits for a target while links and reports recover."""
     deadline_margin_s: float = 0.25
-    """What a peer's word at its deadline gets to reach us before ours."""
+    """How much earlier the agent's deadline is, so that its last message arrives."""
     unreached_attempts_max: int = 3
-    """Attempts beyond the request's own that reached no target at all."""
+    """Maximum number of additional attempts that reached no target."""
 
 
 class ChosenTarget(Protocol):
-    """The target of one attempt."""
+    """The target chosen for an attempt."""
 
     @property
     def name(self) -> str:
@@ -35,48 +35,48 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the incarnation of its agent; 0 where there is none."""
+        """Return the incarnation of the target's agent, or 0 without an agent."""
         ...
 
     @property
     def weights_digest(self) -> str:
-        """Return the weights that it was chosen for, empty if any will do."""
+        """Return the weights that the target was chosen for; empty: any."""
         ...
 
 
 class TargetChooser(Protocol):
-    """Decides where attempts go, and learns from how they end."""
+    """Chooses the targets of attempts, based on how earlier attempts ended."""
 
     def choose(
         self, request: Request, tried: Collection[str]
     ) -> ChosenTarget | Failure:
-        """Return the target of the next attempt, or why there is none."""
+        """Return the target of the next attempt, or a failure if there is none."""
         ...
 
     def on_started(self, request: Request, chosen: ChosenTarget) -> None:
-        """Note that an attempt was handed over."""
+        """Record that an attempt was handed over."""
         ...
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
-        """Note that the target has begun to answer."""
+        """Record that the target started to answer."""
         ...
 
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
-        """Note how an attempt ended; None if the caller left."""
+        """Record how an attempt ended; `answer` is None if the caller left."""
         ...
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
-        """Note that an attempt could not be handed over."""
+        """Record that an attempt could not be handed over."""
         ...
 
 
 class AttemptOpener(Protocol):
-    """Hands attempts over, to agents or straight to targets."""
+    """Hands attempts over, either to agents or directly to targets."""
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
-        """Hand a request over; a failure means that nothing was handed over."""
+        """Hand a request over, or return a failure if nothing was handed over."""
         ...
 
     def read_available(self, attempt: OpenAttempt) -> bytes:
@@ -84,5 +84,5 @@
         ...
 
     def close(self, attempt: OpenAttempt) -> None:
-        """Let go of an attempt; an unfinished one is cancelled."""
+        """Close an attempt; cancel it if it is unfinished."""
         ...
--- a/reedspar/requests/caller_adapter.py
+++ b/reedspar/requests/caller_adapter.py
@@ -1,7 +1,8 @@
-"""Protocol of what callers speak, and the product's own interface for them.
+"""Adapters between callers' HTTP and internal requests and answers.
 
-The application reads requests and writes answers only through a border, so
-that a deployment with another wire brings a border and changes nothing else.
+The application reads requests and writes answers only through an adapter, so
+that a deployment with a different HTTP interface only has to supply an adapter.
+`PoolAdapter` implements the product's own interface.
 """
 
 from collections.abc import Iterable
@@ -30,24 +31,24 @@
     }
 )
 EncodedAnswer = tuple[int, list[Header], bytes]
-"""Status, headers and body of an ending that is no target's answer."""
+"""Status, headers and body of a response that is not a target's answer."""
 
 
 class CallerAdapter(Protocol):
     """Translates between a caller's HTTP and the product's requests."""
 
     def accepts(self, scope: Scope) -> bool:
-        """Tell whether an ASGI connection carries a request for a target."""
+        """Return whether an ASGI connection carries a request for a target."""
         ...
 
     def read(
         self, scope: Scope, body: bytes, arrived_s: float, responder: Responder
     ) -> Request:
-        """Return the request; its own id is set by the application."""
+        """Return the request; the application sets its internal id."""
         ...
 
     def encode_refusal(self, request: Request, answer: Answer) -> EncodedAnswer:
-        """Return how an ending that is no target's answer is told."""
+        """Return the response for an outcome that is not a target's answer."""
         ...
 
     def make_headers(
@@ -57,15 +58,15 @@
         weights_digest: str,
         headers: Iterable[Header],
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer as ASGI takes them."""
+        """Return the headers of an answer in ASGI's format."""
         ...
 
 
 class PoolAdapter:
-    """The product's own interface: the path names the pool."""
+    """Adapter for the product's own interface, where the path names the pool."""
 
     def accepts(self, scope: Scope) -> bool:
-        """Tell whether the path is below the pools."""
+        """Return whether the path is below the prefix of pools."""
         return scope["path"].startswith(POOLS_PREFIX)
 
     def read(
@@ -92,12 +93,12 @@
         weights_digest: str,
         headers: Iterable[Header],
     ) -> list[tuple[bytes, bytes]]:
-        """Return the target's headers and the product's own."""
+        """Return the target's headers and the product's own headers."""
         return make_headers(outcome, caller_request_id, weights_digest, headers)
 
 
 def read_headers(scope: Scope, left_out: frozenset[str]) -> tuple[Header, ...]:
-    """Return the request's headers with names in lower case."""
+    """Return the request's headers except `left_out`, with lower-case names."""
     decoded = (
         (name.decode("latin-1").lower(), value.decode("latin-1"))
         for name, value in scope["headers"]
@@ -106,7 +107,7 @@
 
 
 def _split_path(scope: Scope) -> tuple[str, str]:
-    """Return the pool and the rest of the path with the query, still quoted."""
+    """Return the pool, and the rest of the path and query still percent-encoded."""
     raw_path = scope.get("raw_path") or scope["path"].encode()
     rest = raw_path.decode("latin-1").removeprefix(POOLS_PREFIX)
     pool, _, path = rest.partition("/")
