--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -1,8 +1,8 @@
-"""Claims as the filter asks for them: by the owner of the partition, or directly.
+"""Client for claims: asks the partition's owner, or writes the claim directly.
 
-The owner is the first entry by rendezvous hashing.  An owner that does not
-answer is passed by: the claim is then written by this entry under the same
-token, which is safe whether or not the owner wrote it before.
+The owner of a partition is the first entry by rendezvous hashing.  If the owner
+does not reply, this entry writes the claim itself under the same token, which is
+safe whether or not the owner has written it.
 """
 
 from dataclasses import dataclass, field, replace
@@ -29,13 +29,17 @@
 __all__ = ["ClaimClient"]
 
 OWNER_TIMEOUT_S = 1.0
+"""Time to wait for the owner's reply before the claim is written directly."""
 DIRECT_CLAIM_TIMEOUT_S = 2.5
 OWNER_EXCLUSION_S = 5.0
+"""Time for which an owner that did not reply is not asked."""
 UPDATE_RETRY_INTERVAL_S = 1.0
 UPDATE_DIRECT_AFTER_S = 3.0
-"""An outcome that the owner did not confirm for so long is written directly."""
+"""Time after which an outcome that the owner did not confirm is written directly."""
 PENDING_UPDATES_MAX = 10_000
-"""Outcomes that wait for the key-value service; older ones end as unknown."""
+"""Maximum number of outcomes waiting to be written.
+
+The oldest ones are dropped beyond it; their orders' outcomes become unknown."""
 
 
 @dataclass(slots=True)
@@ -45,7 +49,7 @@
 
 
 class ClaimClient:
-    """Claims of this entry, and those that others forward to it as the owner."""
+    """Makes this entry's claims, and those that other entries forward to it."""
 
     def __init__(
         self,
@@ -71,7 +75,7 @@
         timers.call_every(UPDATE_RETRY_INTERVAL_S, self._send_updates)
 
     async def claim(self, place: ClaimPlace, token: str, payload: str) -> ClaimReply:
-        """Return what became of the claim; ``GRANTED`` lets the order run."""
+        """Return the reply to a claim; the order may run only if it is ``GRANTED``."""
         request = ClaimRequest(place.claim_key, token, payload, place.location)
         waiting = self._pending[token] = _PendingClaim()
         try:
@@ -95,15 +99,15 @@
         self, token: str, reply: ClaimReply | None, was_owner_asked: bool
     ) -> ClaimReply:
         if reply is None:
-            detail = "no answer from the claims"
+            detail = "the claim was not confirmed in time"
             return make_reply(token, ClaimVerdict.UNAVAILABLE, detail)
-        # The owner that did not answer may still write the claim later.
+        # The owner that did not reply may still write the claim later.
         if reply.verdict is ClaimVerdict.NOT_WRITTEN and was_owner_asked:
             return replace(reply, verdict=ClaimVerdict.UNAVAILABLE)
         return reply
 
     def update(self, update: ClaimUpdate) -> None:
-        """Record how the order ended; sent again until it is written."""
+        """Record how the order ended, and retry until it is written."""
         if len(self._updates) >= PENDING_UPDATES_MAX:
             del self._updates[next(iter(self._updates))]
         now_s = self._timers.now_s()
@@ -124,10 +128,10 @@
         return rank_by_rendezvous(f"claims/{partition}", names | {self._name})[0]
 
     def _exclude_owner(self, owner: str) -> None:
-        """Leave an owner out for a while, unless it answered others meanwhile.
+        """Stop asking an owner for a while, unless it recently replied to others.
 
-        A slow key-value service makes every owner late; were all entries then
-        to write by themselves, their conflicts would make it slower still.
+        A slow key-value service delays every owner.  If all entries then wrote
+        directly, their write conflicts would slow it down further.
         """
         now_s = self._timers.now_s()
         if now_s - self._last_reply_s.get(owner, -OWNER_EXCLUSION_S) > OWNER_TIMEOUT_S:
--- a/reedspar/requests/claim_leases.py
+++ b/reedspar/requests/claim_leases.py
@@ -1,7 +1,7 @@
-"""Leases under which claims are written, so that they go by themselves.
+"""Leases of claims, under which the key-value service removes expired records.
 
-One lease serves every claim of an hour and is never renewed: it is granted for
-longer than the last claim under it has to live.
+All claims of one hour share a lease.  It is never renewed, as its time to live
+covers the last claim written under it.
 """
 
 from reedspar.errors import Failure
@@ -13,12 +13,15 @@
 __all__ = ["ClaimLeases"]
 
 LEASE_SHARING_S = 3600.0
+"""Time for which new claims use the same lease."""
 CLOCK_SKEW_MARGIN_S = 600.0
-"""Clocks of entries may differ; the date must refuse before the record goes."""
+"""Extra lifetime of a lease for clock differences between entries.
+
+A key must be refused for its date before its record is removed."""
 
 
 class ClaimLeases:
-    """The current lease of dated and of undated claims."""
+    """Current leases for claims of dated and of undated keys."""
 
     def __init__(
         self, key_value: KeyValueStore, timers: TimerService, ttl_s: float
@@ -29,11 +32,11 @@
         self._leases: dict[bool, tuple[str, float]] = {}
 
     def drop(self) -> None:
-        """Ask for new leases; the service may have lost the ones held."""
+        """Discard the current leases, as the key-value service may have lost them."""
         self._leases.clear()
 
     async def get(self, location: str) -> str | Failure:
-        """Return a lease that outlives a claim written at `location` now."""
+        """Return a lease that outlives a claim written to `location` now."""
         is_undated = partition_of(location) == UNDATED
         held = self._leases.get(is_undated)
         now_s = self._timers.now_s()
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -1,8 +1,9 @@
-"""Group commit of claims: one compare-and-swap carries what has come in meanwhile.
+"""Group commit of claims: one compare-and-swap writes all claims that have queued.
 
-Any entry may write any location: the revision that the compare-and-swap names
-is the fence.  A paused or second owner conflicts, reads what was written and
-applies its batch again, so ownership saves writes but proves nothing.
+Any entry may write any location, since the expected revision of the
+compare-and-swap acts as a fencing token.  If a paused or second owner writes
+too, it gets a conflict, reads the new value and applies its batch again.
+Ownership therefore reduces the number of writes but is not needed for safety.
 """
 
 from collections import OrderedDict
@@ -38,8 +39,8 @@
 COMMIT_ATTEMPTS_MAX = 10
 RETRY_INTERVAL_S = 0.02
 UNDATED_OVERLOAD_DETAIL = (
-    "more undated idempotency keys than can be written; "
-    "a UUID of version 7 shares its write with others"
+    "too many undated idempotency keys to write; "
+    "use version 7 UUIDs, whose claims share writes"
 )
 CONCURRENT_COMMITS_MAX = 64
 
@@ -53,21 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerOptions:
-    """Times of the ledger."""
+    """Options of the ledger."""
 
     ttl_s: float
+    """Time for which the record of an order is kept."""
     running_timeout_s: float
+    """Age up to which a claimed order may still be running."""
     pace: WritePaceOptions = field(default_factory=WritePaceOptions)
     update_delay_s: float = 0.25
-    """How long an outcome waits for a claim to share its write with."""
+    """How long an outcome waits for a claim that can share its write."""
     cache_s: float = 1.0
-    """How long a cached record that is not final is believed."""
+    """How long a cached record that is not final counts as current."""
     commit_timeout_s: float = 2.0
 
 
 @dataclass(slots=True)
 class LedgerCounts:
-    """What the ledger asked of the key-value service, for the metrics."""
+    """Counts of the ledger's operations on the key-value service, for the metrics."""
 
     writes: int = 0
     reads: int = 0
@@ -92,17 +95,17 @@
 
 @dataclass(slots=True)
 class _CommitState:
-    """How far a batch came."""
+    """Progress of the commit of one batch."""
 
     is_done: bool = False
     is_writing: bool = False
-    """A write was sent, and its answer is not there."""
+    """A write was sent and its response has not arrived."""
     is_unknown: bool = False
-    """The answer of a write was lost."""
+    """The response to a write was lost."""
 
 
 class ClaimLedger:
-    """Claims and outcomes of one entry, and of those that forward to it."""
+    """Writes claims and outcomes of this entry, and those forwarded to it."""
 
     def __init__(
         self,
@@ -129,7 +132,7 @@
         self.counts = LedgerCounts()
 
     async def run(self) -> None:
-        """Commit what is submitted until cancelled."""
+        """Commit submitted claims and outcomes until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for location in self._batches:
@@ -140,7 +143,7 @@
                 self._tasks = None
 
     def submit_claim(self, request: ClaimRequest, on_reply: OnReply) -> None:
-        """Claim; `on_reply` is called once the record is written or refused."""
+        """Submit a claim; `on_reply` is called once it is written or refused."""
         self.counts.claims += 1
         if not self._pace.try_enqueue(request.location):
             on_reply(
@@ -154,7 +157,7 @@
         batch.wake.set()
 
     def submit_update(self, update: ClaimUpdate, on_written: OnWritten) -> None:
-        """Record an outcome; `on_written` is called if it was written."""
+        """Submit an outcome; `on_written` is called once it is written, if ever."""
         self._get_batch(update.location).updates.append((update, on_written))
 
     def _get_batch(self, location: str) -> _Batch:
@@ -166,7 +169,7 @@
         return batch
 
     async def _commit_batches(self, location: str) -> None:
-        """Commit batches of one location until none is left."""
+        """Commit the batches of one location until none is left."""
         while True:
             batch = self._batches[location]
             if not batch.claims:
@@ -188,15 +191,15 @@
         if state.is_done:
             return
         self._cache.pop(location, None)
-        # A write that is provably not written needs no release, which would
-        # cost another write just when there are too many.
+        # ``NOT_WRITTEN`` saves the release of the claim, which would be another
+        # write while the key-value service is already overloaded.
         may_be_written = state.is_writing or state.is_unknown
         verdict = UNCONFIRMED_VERDICT if may_be_written else ClaimVerdict.NOT_WRITTEN
         for request, on_reply in batch.claims:
             on_reply(make_reply(request.token, verdict, UNCONFIRMED_DETAIL))
 
     async def _commit(self, location: str, batch: _Batch, state: _CommitState) -> None:
-        """Write the batch; the state tells how far it came."""
+        """Write the batch, and keep its progress in `state`."""
         cached = self._cache.get(location) or await self._read(location, None)
         for _ in range(COMMIT_ATTEMPTS_MAX):
             if cached is None:
@@ -231,15 +234,15 @@
         return replies, is_changed
 
     def _may_be_outdated(self, cached: _CachedTable, replies: list[ClaimReply]) -> bool:
-        """Tell whether the cache may hide that another owner wrote an outcome."""
+        """Return whether another owner may have written an outcome since the read."""
         if self._timers.now_s() - cached.read_s < self._options.cache_s:
             return False
         return any(reply.verdict not in FINAL_VERDICTS for reply in replies)
 
     def _reply(self, location: str, batch: _Batch, replies: list[ClaimReply]) -> None:
-        # A process that was frozen between the check of the key's date and
-        # the write may have written after the slice had gone with its lease;
-        # an old order would look new.  The date is checked again afterwards.
+        # If the process was paused between the check of the key's date and the
+        # write, the slice may already have expired with its lease, and an old
+        # order looks new.  Hence the date is checked again after the write.
         now_s = self._unix_time()
         is_expired = is_location_expired(location, now_s, self._options.ttl_s)
         for (request, on_reply), reply in zip(batch.claims, replies, strict=True):
@@ -254,8 +257,8 @@
     ) -> int | Failure:
         """Return the new revision, 0 on a conflict, or a failure.
 
-        After a lost answer the same write is sent again: of the two at most
-        one takes effect, since both name the same revision.
+        If the response is lost, the same write is sent again.  At most one of
+        the two takes effect, since both expect the same revision.
         """
         lease_id = await self._leases.get(location)
         if isinstance(lease_id, Failure):
@@ -283,10 +286,10 @@
     async def _read(
         self, location: str, outdated_revision: int | None
     ) -> _CachedTable | None:
-        """Read a location; after a conflict, until it shows another revision.
+        """Read a location; repeat while the revision is `outdated_revision`.
 
-        Reads may be served by a replica that lags behind the write that we
-        conflicted with.
+        After a conflict, a replica that lags behind the conflicting write may
+        still return the outdated revision.
         """
         while True:
             self.counts.reads += 1
--- a/reedspar/requests/claim_pace.py
+++ b/reedspar/requests/claim_pace.py
@@ -1,4 +1,4 @@
-"""Decision: when the next claims are written, within what the service bears."""
+"""Rate limiting of the writes of claims to the key-value service."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WritePaceOptions:
-    """Rates of the writes of claims."""
+    """Rate limits of the writes of claims."""
 
     write_interval_s: float = 0.04
-    """Least time between two writes of one partition."""
+    """Minimum time between two writes to one partition."""
     undated_writes_per_s: float = 200.0
-    """Writes of undated keys that all entries together may make."""
+    """Maximum write rate for undated keys, from all entries together."""
     undated_wait_s: float = 0.5
-    """Wait for such a write beyond which the claim is refused at once."""
+    """Expected wait above which the claim of an undated key is refused at once."""
 
 
 class WritePace:
-    """The turns of one entry to write."""
+    """Schedules the writes of one entry."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self._undated_waiting: set[str] = set()
 
     def try_enqueue(self, location: str) -> bool:
-        """Queue a claim, unless it would wait too long to be of use.
+        """Queue a claim, or return False if it would wait too long.
 
-        It would time out in the queue instead, after seconds in which the
-        caller hears nothing, and hold up those behind it.
+        Such a claim would time out in the queue after several seconds, and would
+        delay the claims behind it.
         """
         if partition_of(location) != UNDATED:
             return True
@@ -56,7 +56,7 @@
         return True
 
     async def wait(self, location: str) -> None:
-        """Wait for the next turn of the location's partition."""
+        """Wait until the location's partition may be written again."""
         partition = partition_of(location)
         now_s = self._timers.now_s()
         turn_s = max(now_s, self._next_write_s.get(partition, 0.0))
@@ -66,11 +66,11 @@
         self._undated_waiting.discard(location)
 
     def _interval_s(self, partition: str) -> float:
-        """Return the least time between two writes of a partition.
+        """Return the minimum time between two writes to a partition.
 
-        Undated keys have a value each, which no other order's write can share.
-        Their owner is whichever entry has the request, so the writes that the
-        key-value service bears are divided by the number of entries.
+        Each undated key has its own value, so its claim can't share a write with
+        others.  It is written by the entry that has the request, so the total
+        rate is divided evenly among the entries.
         """
         if partition != UNDATED:
             return self._options.write_interval_s
--- a/reedspar/requests/claim_places.py
+++ b/reedspar/requests/claim_places.py
@@ -1,10 +1,10 @@
-"""Decision: where the claim of an idempotency key lives in the key-value service.
+"""Mapping of idempotency keys to locations in the key-value service.
 
-A key that carries its date (a UUID of version 7, RFC 9562, section 5.7) lives
-in the slice of that date: one value that all claims of a partition and a few
-seconds share, so that one write carries many of them, and that can go once
-its date is past the time to live, since the date itself then refuses a repeat.
-An undated key lives in a value of its own.
+A key that carries its date (a UUID of version 7, RFC 9562, section 5.7) is stored
+in the slice of that date.  A slice is one value for all claims of a partition
+within `SLICE_DURATION_S`, so that one write can carry many claims.  It can be
+removed when its date is older than the time to live, since repeats of its keys
+are then refused for their date.  An undated key is stored in a value of its own.
 """
 
 import hashlib
@@ -25,12 +25,16 @@
 ]
 
 PARTITIONS = 8
+"""Number of partitions; may be changed only like `SLICE_DURATION_S`."""
 SLICE_DURATION_S = 1.0
-"""Both are part of every location: a release that changes them must refuse keys
-dated before its roll-out, or their orders could run again."""
+"""Time span of the keys in one slice.
+
+The location of a key depends on this and on `PARTITIONS`.  A release that changes
+either must refuse keys dated before its roll-out, or their orders could run again."""
 UNDATED_TTL_S = 30 * 86_400.0
-"""How long an undated key is refused after its order's record has expired."""
+"""How long an undated key is refused after the time to live of its record."""
 FUTURE_SKEW_MAX_S = 60.0
+"""How far in the future a key's date may be, as clocks differ."""
 LOCATION_PREFIX = "claims"
 UNDATED = "undated"
 UUID_7 = re.compile(
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimPlace:
-    """The name of a claim, and the key of the value that holds it."""
+    """The key of a claim, and the location of the value that contains it."""
 
     claim_key: str
     location: str
@@ -50,7 +54,7 @@
 def place_claim(
     workspace: str, pool: str, key: str, now_s: float, ttl_s: float
 ) -> ClaimPlace | Failure:
-    """Return the place of a key at the unix time `now_s`, or why it is refused."""
+    """Return the place of a key at Unix time `now_s`, or the failure to refuse it."""
     identity = "\0".join((workspace, pool, key)).encode()
     claim_key = hashlib.blake2b(identity, digest_size=16).hexdigest()
     if UUID_7.fullmatch(key) is None:
@@ -67,18 +71,18 @@
 
 
 def make_expired_failure(ttl_s: float) -> Failure:
-    """Return the refusal of a key whose record may be gone."""
-    detail = f"the key is older than {ttl_s:g} s; whether it ran is no longer known"
+    """Return the failure for a key whose record may have been removed."""
+    detail = f"the key is older than {ttl_s:g} s; whether its order ran is not known"
     return Failure(Reason.EXPIRED, Step.DEDUPLICATE, detail=detail)
 
 
 def partition_of(location: str) -> str:
-    """Return the partition of a location, ``undated`` for single values."""
+    """Return the partition of a location, or ``undated``."""
     return location.split("/")[1]
 
 
 def is_location_expired(location: str, now_s: float, ttl_s: float) -> bool:
-    """Tell whether every key of a dated location is past its time to live."""
+    """Return whether all keys of a dated location are past their time to live."""
     _, partition, number = location.split("/")
     if partition == UNDATED:
         return False
--- a/reedspar/requests/claim_table.py
+++ b/reedspar/requests/claim_table.py
@@ -1,7 +1,7 @@
-"""Decision: what a claim or its outcome changes in the records of one location.
+"""Table of the claim records of one location, and its state transitions.
 
-Applying the same claim or update again changes nothing, so a batch whose
-write's answer was lost may be applied to whatever is read back.
+Claims and updates are idempotent, so if the response to a batch's write is lost,
+the batch can be applied again to the value that is then read.
 """
 
 from dataclasses import dataclass, field, replace
@@ -21,9 +21,9 @@
 __all__ = ["ClaimTable", "make_reply"]
 
 SLICE_MAX_BYTES = 900_000
-"""Values of the key-value service hold 1 MiB; the rest is encoding."""
+"""Limit of a slice: values may have 1 MiB, and their encoding needs some of it."""
 RECORD_OVERHEAD_BYTES = 260
-"""What a record takes beside its answer's body."""
+"""Approximate size of a record without the headers and body of its answer."""
 VERDICT_BY_STATE = {
     ClaimState.ANSWERED: ClaimVerdict.ANSWERED,
     ClaimState.NOT_KEPT: ClaimVerdict.UNKNOWN,
@@ -38,7 +38,7 @@
     detail: str = "",
     record: ClaimRecord | None = None,
 ) -> ClaimReply:
-    """Return a reply, with the answer of `record` if one is to be repeated."""
+    """Return a reply, which includes the answer stored in `record` if given."""
     if record is None:
         return ClaimReply(token, verdict, 0, (), b"", "", detail)
     return ClaimReply(
@@ -58,17 +58,17 @@
 
     ttl_s: float
     running_timeout_s: float
-    """Age up to which a claimed order may be running still."""
+    """Age up to which a claimed order may still be running."""
     records: dict[str, ClaimRecord] = field(default_factory=dict)
     size_bytes: int = 0
     _encoded: dict[str, bytes] = field(default_factory=dict)
 
     def copy(self) -> "ClaimTable":
-        """Return a table that can be changed by itself."""
+        """Return an independent copy."""
         return replace(self, records=dict(self.records), _encoded=dict(self._encoded))
 
     def load(self, value: ClaimSlice, codec: MessageType) -> None:
-        """Take the records of a value that was read."""
+        """Add the records of a value that was read."""
         for encoded in value.records:
             record: ClaimRecord = codec.decode(encoded)
             self._put(record)
@@ -82,7 +82,7 @@
         return ClaimSlice(tuple(self._encoded.values()))
 
     def claim(self, request: ClaimRequest, now_s: float) -> tuple[ClaimReply, bool]:
-        """Return the reply, and whether the table changed; unix time."""
+        """Return the reply at Unix time `now_s`, and whether the table changed."""
         record = self.records.get(request.claim_key)
         if record is None:
             return self._grant(request, now_s)
@@ -99,8 +99,8 @@
     def update(self, update: ClaimUpdate, now_s: float) -> bool:
         """Record how a claimed order ended; return whether the table changed.
 
-        Only the claim that holds the record may end it, and only once: an
-        update that comes late or crossed must not end another one's claim.
+        Only an update with the record's token applies, and only once, so that a
+        delayed or reordered update can't end a different claim.
         """
         record = self.records.get(update.claim_key)
         if record is None and update.state is ClaimState.RELEASED:
@@ -143,10 +143,10 @@
     def _reply_to_own_token(
         self, request: ClaimRequest, record: ClaimRecord
     ) -> ClaimReply:
-        """Answer the claim's own token again.
+        """Reply to a repeated request of the claim that holds the record.
 
-        A request that was delayed past its own release must not be granted:
-        its entry has told the caller that the order was not run.
+        A request that arrives after its own release must not be granted: its
+        entry has already told the caller that the order was not run.
         """
         if record.state is ClaimState.CLAIMED:
             return make_reply(request.token, ClaimVerdict.GRANTED)
@@ -165,10 +165,11 @@
         return make_reply(request.token, verdict, "" if is_kept else detail, record)
 
     def _write_release(self, update: ClaimUpdate, now_s: float) -> bool:
-        """Release a claim that is not written yet.
+        """Write the release of a claim that has not been written yet.
 
-        Its write may still be on its way after its answer was lost, and would
-        block the key for good.  This one moves the revision that it names.
+        The claim's own write may still be in transit after its response was
+        lost, and would block the key permanently.  This write changes the
+        revision that the claim's write expects, so that it fails.
         """
         released = ClaimRecord(
             update.claim_key, update.token, "", ClaimState.RELEASED, now_s
