--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -1,7 +1,8 @@
-"""Shell around the quarantine: hears of crashes and passes the news on.
+"""Gossip between entries about crashes of targets, as input of the quarantine.
 
-News goes at once to a few entries, and again now and then for as long as it
-counts, so that entries that were cut off or started later hear of it, too.
+News of a crash is sent to a few entries at once.  Recent crashes are also sent
+to a random entry at intervals, so that entries that were unreachable or started
+later learn of them.
 """
 
 import random
@@ -18,12 +19,14 @@
 __all__ = ["CrashGossip", "create_crash_gossip"]
 
 NEWS_FANOUT = 4
+"""Number of entries to which news of a crash is sent at once."""
 REPEAT_INTERVAL_S = 2.0
 REPEATED_CRASHES_MAX = 16
+"""Maximum number of recent crashes sent in one repetition."""
 
 
 class CrashGossip:
-    """Feeds one entry's quarantine."""
+    """Exchanges crash news with other entries and updates the quarantine."""
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         timers.call_every(REPEAT_INTERVAL_S, self._repeat_recent)
 
     def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
-        """Take in a crash that this entry has noticed by itself."""
+        """Add a crash that this entry detected itself, and send it to others."""
         self._handle_news(CrashNews(crash_id, fingerprints, 0))
 
     def _on_notice(self, sender: Sender, notice: CrashNotice) -> None:
@@ -93,8 +96,9 @@
     rng: random.Random,
     list_entries: Callable[[], Iterable[str]] | None = None,
 ) -> CrashGossip:
-    """Make the gossip of entry `name` and subscribe it to notices.
+    """Create the gossip of entry `name` and subscribe it to crash notices.
 
-    News goes to the entries that a link is open to, or to those listed.
+    News is sent to the entries that `list_entries` returns, by default to those
+    with an open link.
     """
     return CrashGossip(name, quarantine, network, timers, rng, list_entries)
--- a/reedspar/requests/deduplicate.py
+++ b/reedspar/requests/deduplicate.py
@@ -1,4 +1,4 @@
-"""The filter that runs an order with an idempotency key at most once."""
+"""Filter that runs an order with an idempotency key at most once."""
 
 from collections.abc import Callable
 
@@ -17,6 +17,7 @@
 __all__ = ["Deduplicate"]
 
 KEPT_ANSWER_MAX_BYTES = 8 * 1024
+"""Maximum body size of an answer that is stored for repeats."""
 REPLAYED_HEADER = Header("x-reedspar-replayed", "true")
 RUNNING_RETRY_AFTER_S = 1.0
 UNAVAILABLE_RETRY_AFTER_S = 2.0
@@ -27,7 +28,7 @@
 
 
 class Deduplicate:
-    """Claim the key before the rest runs; answer a repeat from its record."""
+    """Claims the key before the order runs, and answers repeats from its record."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         self._ttl_s = ttl_s
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Let the first with its key proceed; requests without a key always do."""
+        """Run a request if its key was not claimed before or it has none."""
         if not request.idempotency_key:
             return await proceed(request)
         place = place_claim(
@@ -58,16 +59,16 @@
         if reply.verdict is ClaimVerdict.GRANTED:
             return await self._run(request, place, proceed)
         if reply.verdict is ClaimVerdict.UNAVAILABLE:
-            # The write may have taken effect although nobody confirmed it.
-            # The order was not handed over, so its key is given back.
+            # The claim may have been written although it was not confirmed.  The
+            # order was not handed over, so the key is released.
             self._record_end(request, place, ClaimState.RELEASED)
         return self._answer(reply)
 
     async def _claim(self, request: Request, place: ClaimPlace) -> ClaimReply:
-        """Claim; while an earlier one with the key is running, wait for its end.
+        """Claim the key, and wait while an earlier order with it is running.
 
-        A shop that asks twice would otherwise be told "unknown" by the second
-        answer, moments before the first one tells it all.
+        Without the wait, a repeat would end as unknown, possibly just before the
+        first request is answered.
         """
         reply = await self._claim_once(request, place)
         wait_s = INITIAL_POLL_INTERVAL_S
@@ -80,8 +81,8 @@
             await anyio.sleep(wait_s)
             wait_s = min(wait_s * POLL_INTERVAL_GROWTH, POLL_INTERVAL_MAX_S)
             latest = await self._claim_once(request, place)
-            # That the claims can't be asked just now proves nothing of the
-            # earlier one; "not run" would be untrue if that has run.
+            # A failure to read the claim says nothing about the earlier order, so
+            # it must not replace the last reply: "not run" could be false.
             if latest.verdict not in INCONCLUSIVE_VERDICTS:
                 reply = latest
                 may_be_written = False
@@ -134,18 +135,18 @@
                 reply.weights_digest,
             )
         if reply.verdict is ClaimVerdict.RUNNING:
-            detail = "an earlier one with this key is running"
+            detail = "an earlier request with this key is running"
             failure = _make_failure(Reason.DUPLICATE, detail, RUNNING_RETRY_AFTER_S)
             return make_unknown(failure)
         if reply.verdict is ClaimVerdict.UNKNOWN:
-            detail = reply.detail or "an earlier one with this key may have run"
+            detail = reply.detail or "an earlier request with this key may have run"
             return make_unknown(_make_failure(Reason.OUTCOME_UNKNOWN, detail))
         if reply.verdict is ClaimVerdict.MISMATCH:
             detail = "the key was used for another request"
             return make_not_run(_make_failure(Reason.CONFLICT, detail))
         if reply.verdict is ClaimVerdict.EXPIRED:
             return make_not_run(make_expired_failure(self._ttl_s))
-        detail = f"this sending was not run; {reply.detail}"
+        detail = f"this request was not run; {reply.detail}"
         failure = Failure(
             Reason.UNAVAILABLE,
             Step.CLAIM,
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -1,9 +1,9 @@
-"""Decision and shell of an entry's graceful stop.
+"""Graceful shutdown (draining) of an entry.
 
-Callers keep an address for a while, so a leaving entry is first named no more,
-serves until the last kept answer that named it has expired, then refuses new
-requests and finishes what is in flight.  At the bound from the settings it
-gives every caller that still waits a final answer, and stops.
+Callers cache addresses.  A leaving entry is therefore first removed from the
+address lists and keeps serving until the last cached list with its address has
+expired.  Then it refuses new requests and finishes those in flight.  When the
+drain timeout ends, it gives all remaining callers a final answer and stops.
 """
 
 from collections.abc import Callable
@@ -16,37 +16,37 @@
 __all__ = ["DrainOptions", "DrainPhase", "EntryDrain", "run_drain"]
 
 NOTICE_PROPAGATION_S = 1.0
-"""How long other entries may go on naming this one after its notice."""
+"""How long other entries may still list this one after its leaving notice."""
 ABORT_GRACE_S = 1.0
-"""What the last answers get to be written after the bound."""
+"""Time after the drain timeout to write the final answers."""
 POLL_INTERVAL_S = 0.05
 SERVE_SHARE = 0.5
-"""Kept addresses get at most this part of the bound, requests the rest."""
+"""Maximum share of the drain timeout spent on serving cached addresses."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainOptions:
-    """How long callers keep an address, and how long a stop may take, in seconds."""
+    """How long callers cache an address, and how long draining may take."""
 
     address_ttl_s: float
     timeout_s: float
 
 
 class DrainPhase(Enum):
-    """What a stopping entry does with requests."""
+    """What a draining entry does with requests."""
 
     SERVE = auto()
-    """Serve as before, under addresses that callers keep."""
+    """Serve requests as before, as callers may have this entry's address cached."""
     FINISH = auto()
-    """Refuse new requests, finish those in flight."""
+    """Refuse new requests and finish those in flight."""
     ABORT = auto()
-    """Give the rest its final answer now."""
+    """Give the remaining requests a final answer now."""
     STOP = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class EntryDrain:
-    """The course of one graceful stop."""
+    """Schedule of one graceful shutdown."""
 
     started_s: float
     address_ttl_s: float
@@ -54,7 +54,7 @@
 
     @property
     def serves_until_s(self) -> float:
-        """Return when the last kept address that names this entry expires."""
+        """Return when the last cached address of this entry expires."""
         kept_s = self.address_ttl_s + NOTICE_PROPAGATION_S
         return self.started_s + min(kept_s, SERVE_SHARE * self.timeout_s)
 
@@ -71,7 +71,7 @@
 
 
 class Drainable(Protocol):
-    """What takes requests and can be told to stop."""
+    """Application that can refuse new requests and abort those in flight."""
 
     in_flight: int
 
@@ -87,7 +87,10 @@
 async def run_drain(
     application: Drainable, options: DrainOptions, now_s: Callable[[], float]
 ) -> None:
-    """Return once this entry may stop; it is named to callers no more."""
+    """Drain the application, and return once the entry may stop.
+
+    The entry must already be excluded from the address lists.
+    """
     drain = EntryDrain(now_s(), options.address_ttl_s, options.timeout_s)
     last_phase = DrainPhase.SERVE
     while True:
--- a/reedspar/requests/endings.py
+++ b/reedspar/requests/endings.py
@@ -1,7 +1,7 @@
-"""The three endings as HTTP: status codes, headers and the JSON of a refusal.
+"""HTTP encoding of outcomes: status codes, headers and the JSON of a refusal.
 
-Status codes are those of RFC 9110; 429 is of RFC 6585.  The table for callers
-is in docs/requests.md.
+Status codes are those of RFC 9110, and 429 is from RFC 6585.  The table for
+callers is in docs/requests.md.
 """
 
 import json
@@ -48,17 +48,17 @@
 
 
 def make_not_run(failure: Failure) -> Answer:
-    """Return the answer that says: it was not run."""
+    """Return the answer for a request that provably was not run."""
     return Answer(Outcome.NOT_RUN, failure=failure)
 
 
 def make_unknown(failure: Failure) -> Answer:
-    """Return the answer that says: it may have run."""
+    """Return the answer for a request that may have run."""
     return Answer(Outcome.UNKNOWN, failure=failure)
 
 
 def status_of_failure(outcome: Outcome, failure: Failure) -> int:
-    """Return the status code of an ending that is no answer."""
+    """Return the status code of an outcome without a target's answer."""
     by_step = STATUS_BY_STEP_AND_REASON.get((failure.step, failure.reason))
     if by_step is not None:
         return by_step
@@ -70,7 +70,7 @@
 def encode_refusal(
     outcome: Outcome, failure: Failure
 ) -> tuple[int, list[Header], bytes]:
-    """Return status, headers and body that tell an ending that is no answer."""
+    """Return status, headers and body for an outcome without a target's answer."""
     status = status_of_failure(outcome, failure)
     headers = [Header("content-type", "application/json")]
     may_retry = outcome is Outcome.NOT_RUN or failure.retry_after_s is not None
@@ -94,7 +94,7 @@
     weights_digest: str,
     headers: Iterable[Header],
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer as ASGI takes them."""
+    """Return the headers of an answer in ASGI's format."""
     own = [Header(OUTCOME_HEADER, outcome.value)]
     own.append(Header(REQUEST_ID_HEADER, caller_request_id))
     if weights_digest:
--- a/reedspar/requests/event_stream.py
+++ b/reedspar/requests/event_stream.py
@@ -1,7 +1,7 @@
-"""Cutting a stream of server-sent events where an event ends.
+"""Splitting of a stream of server-sent events at event boundaries.
 
-The format is that of the HTML standard, section 9.2 (server-sent events): an
-event ends with a blank line, and a line ``id`` names it.
+In the format (HTML standard, section 9.2, server-sent events), an event ends
+with a blank line and its ``id`` field identifies it.
 """
 
 __all__ = ["EVENT_STREAM_TYPE", "LAST_EVENT_ID_HEADER", "EventSplitter"]
@@ -13,10 +13,10 @@
 
 
 class EventSplitter:
-    """Lets whole events through and keeps the rest back.
+    """Returns complete events and buffers an incomplete one.
 
-    A target may die in the middle of an event.  Had the caller got the first
-    half of it, an event of the next target would be joined to that half.
+    A target may crash in the middle of an event.  If the caller had received part
+    of that event, the next target's data would be appended to that part.
     """
 
     def __init__(self, last_event_id: str = "") -> None:
@@ -26,11 +26,11 @@
 
     @property
     def pending(self) -> bytes:
-        """Return the bytes of an event that has not ended."""
+        """Return the bytes of the incomplete event."""
         return self._pending
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes, and return the whole events that they complete."""
+        """Append bytes, and return the events that they complete."""
         self._pending += data
         end = max(self._find_end(mark) for mark in _EVENT_ENDS)
         whole, self._pending = self._pending[:end], self._pending[end:]
@@ -38,7 +38,7 @@
         return whole
 
     def drop_pending(self) -> None:
-        """Forget the event that was broken off."""
+        """Discard the incomplete event."""
         self._pending = b""
 
     def _find_end(self, mark: bytes) -> int:
--- a/reedspar/requests/filters.py
+++ b/reedspar/requests/filters.py
@@ -1,4 +1,4 @@
-"""The first filters: identify the workspace, bound the request, classify it."""
+"""The first filters: identify the workspace, apply limits, classify the request."""
 
 import hashlib
 import math
@@ -24,7 +24,7 @@
 
 
 class Identify:
-    """Find the pool and the workspace."""
+    """Finds the pool and the workspace of a request."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
         self._configuration = configuration
@@ -51,7 +51,7 @@
 
 
 class Bound:
-    """Bound the time and the size of a request."""
+    """Limits the time and the size of a request."""
 
     def __init__(
         self, timers: TimerService, deadline_s: float, body_limit_bytes: int
@@ -63,11 +63,11 @@
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Set the deadline; refuse bad deadlines and oversized bodies."""
         if len(request.body) > self._body_limit_bytes:
-            detail = f"the body has more than {self._body_limit_bytes} bytes"
+            detail = f"the body is larger than {self._body_limit_bytes} bytes"
             return make_not_run(Failure(Reason.OVERLOADED, Step.BOUND, detail=detail))
         allowed_s = self._read_deadline_s(request)
         if allowed_s is None:
-            detail = f"header {DEADLINE_HEADER} is no positive number of seconds"
+            detail = f"header {DEADLINE_HEADER} is not a positive number of seconds"
             return make_not_run(Failure(Reason.INVALID, Step.BOUND, detail=detail))
         request.deadline_s = request.arrived_s + allowed_s
         return await proceed(request)
@@ -86,13 +86,13 @@
 
 
 class Classify:
-    """Tell whether running the request twice does what running it once does."""
+    """Determines whether a request is idempotent, and its key and fingerprint."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
         self._configuration = configuration
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Set idempotency, key, fingerprint and the weights asked for."""
+        """Set idempotency, key, fingerprint and the requested weights."""
         key = request.header_map.get(KEY_HEADER, "")
         if len(key) > KEY_SIZE_MAX:
             detail = f"header {KEY_HEADER} has more than {KEY_SIZE_MAX} characters"
@@ -114,13 +114,13 @@
 
 
 def _is_below(path: str, prefix: str) -> bool:
-    """Tell whether `path` is `prefix` or below it, not merely spelled alike."""
+    """Return whether `path` is `prefix` or below it, by whole path segments."""
     path = path.partition("?")[0]
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
 
 def fingerprint_request(request: Request) -> str:
-    """Return what a repeat of the request has in common with it."""
+    """Return a digest that is the same for repeats of a request."""
     hashed = hashlib.blake2b(digest_size=16)
     for part in (request.pool, request.method, request.path):
         hashed.update(part.encode() + b"\0")
@@ -129,7 +129,7 @@
 
 
 def chain_filters(filters: list[Filter]) -> Proceed:
-    """Return one function that runs `filters` in order; the last must answer."""
+    """Return a function that runs `filters` in order; the last one must answer."""
 
     async def run_past_end(request: Request) -> Answer:
         failure = Failure(Reason.UNAVAILABLE, Step.RELAY, detail="no filter answered")
--- a/reedspar/requests/guards.py
+++ b/reedspar/requests/guards.py
@@ -1,4 +1,4 @@
-"""The filters that refuse early: quarantine, and admission to a pool."""
+"""Filters that refuse requests early: quarantine, and admission to a pool."""
 
 import anyio
 
@@ -21,7 +21,7 @@
 
 
 class QuarantineFilter:
-    """Refuse blamed requests; let suspects run one at a time."""
+    """Refuses requests that crash targets, and runs suspected ones one at a time."""
 
     def __init__(self, quarantine: Quarantine, timers: TimerService) -> None:
         self._quarantine = quarantine
@@ -29,7 +29,7 @@
         self._suspect_slot = anyio.Semaphore(1)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Let the request proceed as far as its standing allows."""
+        """Run or refuse the request according to its standing."""
         standing, after_s = self._get_standing(request)
         if standing is Standing.BLAMED:
             return _refuse_blamed(after_s)
@@ -38,12 +38,12 @@
         return await self._run(request, proceed)
 
     async def _run_alone(self, request: Request, proceed: Proceed) -> Answer:
-        """Wait for the turn: what ran before may have cleared or blamed this one."""
+        """Run a suspect alone; an earlier suspect may have cleared or blamed it."""
         remaining_s = request.deadline_s - self._timers.now_s()
         with anyio.move_on_after(remaining_s) as scope:
             await self._suspect_slot.acquire()
         if scope.cancelled_caught:
-            detail = "other suspects of crashes ran until the deadline"
+            detail = "other requests suspected of crashes ran until the deadline"
             failure = Failure(Reason.EXPIRED, Step.QUARANTINE, detail=detail)
             return make_not_run(failure)
         try:
@@ -74,7 +74,7 @@
 
 
 class AdmissionFilter:
-    """Refuse what the pool does not bear now, by priority and by workspace."""
+    """Refuses requests beyond the pool's capacity, by priority and workspace."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         timers.call_every(IDLE_REMOVAL_INTERVAL_S, self._remove_idle)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Hold a place of the pool while the request runs."""
+        """Hold an admission slot of the pool while the request runs."""
         control = self.pools.setdefault(request.pool, AdmissionControl())
         workspace = request.workspace
         started_s = self._timers.now_s()
--- a/reedspar/requests/messages.py
+++ b/reedspar/requests/messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other about requests, and agents about crashes."""
+"""Messages between entries about claims and crashes, and stored claim records."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -22,51 +22,51 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashNews:
-    """Passes on, from entry to entry, what an agent told of a crash."""
+    """Forwards the report of a target's crash from entry to entry."""
 
     crash_id: str
-    """The target's name and the boot that crashed: a crash counts once."""
+    """The target's name and boot id, so that repeated news of a crash count once."""
     fingerprints: tuple[str, ...]
     age_ms: int
-    """Time since the crash, so that clocks need not agree."""
+    """Time since the crash; an age, as the entries' clocks may differ."""
 
 
 class ClaimVerdict(Enum):
-    """What became of a claim."""
+    """Result of a claim."""
 
     GRANTED = "granted"
     """The record is written under this token: the order may run."""
     ANSWERED = "answered"
-    """An earlier one was answered; the answer comes with it, if it was kept."""
+    """An earlier order was answered; the reply has the answer."""
     RUNNING = "running"
-    """An earlier one may be running still."""
+    """An earlier order may still be running."""
     UNKNOWN = "unknown"
-    """An earlier one may have run."""
+    """An earlier order may have run."""
     MISMATCH = "mismatch"
-    """The key was used for another payload."""
+    """The key was used with another payload."""
     EXPIRED = "expired"
     """The record's time to live has passed."""
     UNAVAILABLE = "unavailable"
-    """The record could not be read or written; it may have been, unseen."""
+    """The write was not confirmed, and may or may not have taken effect."""
     NOT_WRITTEN = "not_written"
-    """Refused, and proved that nothing was written."""
+    """The claim was refused and provably not written."""
 
 
 class ClaimState(Enum):
-    """What a claim's record says."""
+    """State of a claim's record."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
     NOT_KEPT = "not_kept"
-    """Answered, but the answer was too large for the record."""
+    """The order was answered, but the answer was too large for the record."""
     UNKNOWN = "unknown"
     RELEASED = "released"
-    """Proved not run: the key may be claimed again."""
+    """The order was provably not run: the key may be claimed again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Asks the owner of a location for a claim; a repeat changes nothing."""
+    """Asks the owner of a location for a claim; repeats are idempotent."""
 
     claim_key: str
     token: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answers the claim request of the same token."""
+    """Replies to the claim request with the same token."""
 
     token: str
     verdict: ClaimVerdict
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimUpdate:
-    """Tells the owner how a claimed order ended."""
+    """Reports to the owner how a claimed order ended."""
 
     claim_key: str
     token: str
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimUpdated:
-    """Confirms that the update of the same token is written."""
+    """Confirms that the update with the same token is written."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """What the key-value service keeps of one order."""
+    """Record of one order in the key-value service."""
 
     claim_key: str
     token: str
@@ -133,7 +133,7 @@
 
 
 def register_messages(registry: MessageRegistry) -> None:
-    """Add these message types to `registry`."""
+    """Add the message types of claims and crashes to `registry`."""
     schema = load_schema(__file__, "requests.capnp")
     registry.add_all(
         schema,
--- a/reedspar/requests/requests.capnp
+++ b/reedspar/requests/requests.capnp
@@ -1,5 +1,5 @@
 @0xe7b2640f91ac38d5;
-# What entries tell each other about requests and crashes.
+# Messages between entries about claims and crashes, and stored claim records.
 
 struct CrashNews {
   crashId @0 :Text;
@@ -10,7 +10,7 @@
 struct ClaimRequest {
   claimKey @0 :Text;
   token @1 :Text;
-  # The request id that will run the order if it is granted.
+  # Id of the request that will run the order if the claim is granted.
   payload @2 :Text;
   location @3 :Text;
 }
@@ -59,5 +59,5 @@
 
 struct ClaimSlice {
   records @0 :List(Data);
-  # Each an encoded ClaimRecord, so that a writer encodes only what is new.
+  # Encoded ClaimRecords, so that a writer has to encode only the changed ones.
 }
