--- a/reedspar/requests/passing.py
+++ b/reedspar/requests/passing.py
@@ -1,4 +1,4 @@
-"""Passing a target's answer on to the caller while it arrives."""
+"""Streaming of a target's answer to the caller while it arrives."""
 
 from reedspar.attempts import AttemptHead, Header
 from reedspar.errors import Failure, Reason, Step
@@ -13,14 +13,14 @@
 
 STREAM_TYPES = (EVENT_STREAM_TYPE, "application/x-ndjson")
 BUFFERED_ANSWER_MAX_BYTES = 8 * 1024 * 1024
-"""A larger answer is passed on while it arrives."""
+"""Maximum size of an answer that is buffered; larger ones are streamed."""
 STREAM_BUFFER_BYTES = 1024 * 1024
 SUCCESS_STATUS = 200
 NON_SUCCESS_STATUS_MIN = 300
 
 
 def is_streamed(request: Request, head: AttemptHead, size_bytes: int) -> bool:
-    """Tell whether an answer goes to the caller before it is whole."""
+    """Return whether an answer is sent to the caller before it is complete."""
     if size_bytes > BUFFERED_ANSWER_MAX_BYTES:
         return True
     if request.idempotency_key or head.status >= NON_SUCCESS_STATUS_MIN:
@@ -29,10 +29,10 @@
 
 
 class StreamForwarder:
-    """One caller's stream, over as many targets as it takes.
+    """Forwards a stream to one caller, from several targets if necessary.
 
-    Where the stream may be resumed, only whole events go to the caller, so
-    that the next target can go on after the last of them.
+    If the stream can be resumed, only complete events are forwarded, so that the
+    next target can continue after the last of them.
     """
 
     def __init__(self, request: Request, client: AttemptOpener) -> None:
@@ -43,16 +43,16 @@
 
     @property
     def has_started(self) -> bool:
-        """Tell whether the caller has got a part of the stream."""
+        """Return whether the caller has received a part of the stream."""
         return self._request.responder.is_started
 
     @property
     def weights_digest(self) -> str:
-        """Return the weights that made the part the caller has, empty if none."""
+        """Return the weights that produced the part already sent; empty: none."""
         return self._weights_digest if self.has_started else ""
 
     def headers(self) -> tuple[Header, ...]:
-        """Return the request's headers, with the place to go on from."""
+        """Return the request's headers, with the event id to resume after."""
         headers = self._request.headers
         if not self.has_started:
             return headers
@@ -60,7 +60,7 @@
         return (*kept, Header(LAST_EVENT_ID_HEADER, self._splitter.last_event_id))
 
     async def forward(self, attempt: OpenAttempt, head: AttemptHead) -> Answer:
-        """Pass an answer on; its end only once it proved whole."""
+        """Forward an answer; end it only if it is complete."""
         attempt.buffer_limit_bytes = STREAM_BUFFER_BYTES
         attempt.is_streamed = True
         if self.has_started and head.status != SUCCESS_STATUS:
--- a/reedspar/requests/quarantine.py
+++ b/reedspar/requests/quarantine.py
@@ -1,9 +1,9 @@
-"""Decision: which fingerprints crash targets, and which merely ran beside them.
+"""Detection of requests that crash targets, by their fingerprints.
 
-A fingerprint that was in flight at two crashes is a suspect.  It is blamed if
-it was the only suspect at one of them; an answer clears it, because a request
-that crashes every target never gets one.  Suspects that cannot be told apart
-yet run one at a time, so the next crash or answer decides.
+A fingerprint that was in flight at two crashes is a suspect.  It is blamed if it
+was the only suspect in flight at one of them.  An answer clears it, because a
+request that crashes every target is never answered.  Suspects run one at a time,
+so that the next crash or answer identifies the cause.
 """
 
 from collections import OrderedDict
@@ -14,13 +14,15 @@
 __all__ = ["Crash", "Quarantine", "Standing"]
 
 QUARANTINE_S = 300.0
-"""How long a blamed fingerprint is refused, from its last crash on."""
+"""How long a blamed fingerprint is refused after its last crash."""
 CRASHES_MAX = 256
+"""Maximum number of crashes remembered."""
 CRASHES_TO_BLAME = 2
+"""Number of crashes that make a fingerprint a suspect."""
 
 
 class Standing(Enum):
-    """What a fingerprint may do."""
+    """Whether a fingerprint runs normally, runs alone or is refused."""
 
     CLEAR = auto()
     SUSPECT = auto()
@@ -29,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """One crash of a target, and what was in flight at it."""
+    """A crash of a target, and the fingerprints in flight at it."""
 
     crash_id: str
     at_s: float
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class Quarantine:
-    """What this entry knows of crashes."""
+    """Recent crashes known to this entry, and the standings that follow."""
 
     quarantine_s: float = QUARANTINE_S
     _crashes: OrderedDict[str, Crash] = field(default_factory=OrderedDict)
@@ -48,7 +50,7 @@
     def on_crash(
         self, crash_id: str, fingerprints: Iterable[str], at_s: float, now_s: float
     ) -> bool:
-        """Take the news of a crash; return whether it was news."""
+        """Record a crash; return whether it was not known before."""
         self._remove_expired(now_s)
         if crash_id in self._crashes or now_s - at_s > self.quarantine_s:
             return False
@@ -59,13 +61,13 @@
         return True
 
     def on_answered(self, fingerprint: str, now_s: float) -> None:
-        """Clear a fingerprint that a target lived through."""
+        """Clear a fingerprint that a target answered without crashing."""
         if any(fingerprint in crash.fingerprints for crash in self._crashes.values()):
             self._cleared_s[fingerprint] = now_s
             self._update_blamed()
 
     def standing(self, fingerprint: str, now_s: float) -> tuple[Standing, float]:
-        """Return what the fingerprint may do, and for how long if it is refused."""
+        """Return the fingerprint's standing, and the time it is still refused for."""
         self._remove_expired(now_s)
         blamed_s = self._blamed_s.get(fingerprint)
         if blamed_s is not None:
@@ -75,7 +77,7 @@
         return Standing.CLEAR, 0.0
 
     def list_recent(self, now_s: float) -> list[Crash]:
-        """Return the crashes that still count, newest first."""
+        """Return the crashes within the quarantine period, newest first."""
         self._remove_expired(now_s)
         return list(reversed(self._crashes.values()))
 
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -1,8 +1,8 @@
-"""The last filter: hand the request over, pass the whole answer on, or retry.
+"""The last filter: hands a request to a target, returns its answer, or retries.
 
-A non-idempotent request is handed over again only after word that the attempt
-did not run; an idempotent one also after a broken answer, as long as no byte
-of it went to the caller, or as the stream can go on where it broke.
+A non-idempotent request is retried only if the attempt provably did not run.  An
+idempotent one is also retried after a broken answer if no byte of it was sent to
+the caller, or if the stream can be resumed.
 """
 
 from dataclasses import dataclass, field
@@ -26,11 +26,12 @@
 __all__ = ["Relay"]
 
 BROKEN_ATTEMPTS_MAX = 2
-"""Targets that may break under one request; it may be what breaks them."""
+"""Maximum number of attempts of a request that break, as it may be the cause."""
 NOT_TARGET_FAULT_REASONS = frozenset({Reason.CORRUPT, Reason.TIMEOUT, Reason.CANCELLED})
-"""Ends for which the target itself did not break."""
+"""Reasons of unknown outcomes that don't count as a broken target."""
 TARGET_POLL_INTERVAL_S = 0.1
 RECENTLY_SERVED_S = 5.0
+"""Time since a pool last had a target within which a first attempt waits for one."""
 FINAL_REASONS = frozenset({Reason.QUARANTINED, Reason.EXPIRED, Reason.INVALID})
 """Another target would refuse for the same reason."""
 SERVER_ERROR_STATUS = 500
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class _RelayState:
-    """What has become of one request so far."""
+    """Attempts and results of one request so far."""
 
     forwarder: StreamForwarder
     tried: set[str] = field(default_factory=set)
@@ -49,7 +50,7 @@
 
 
 class Relay:
-    """Runs the attempts of a request."""
+    """Makes the attempts of a request until one succeeds or no retry is allowed."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         self._last_served_s: dict[str, float] = {}
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Return the answer; `proceed` is not called, for this filter is the last."""
+        """Return the answer; `proceed` is not called, as this is the last filter."""
         state = _RelayState(StreamForwarder(request, self._client))
         while True:
             chosen = await self._choose_or_wait(request, state)
@@ -86,7 +87,7 @@
                 return state.last
 
     def _is_within_budget(self, request: Request, state: _RelayState) -> bool:
-        """Tell whether the next attempt is a first one, or the budget has it."""
+        """Return whether the attempt is the first or the retry budget allows it."""
         budget = self._budgets.for_pool(request.pool)
         if not state.handed_over:
             if not state.unreached:
@@ -105,7 +106,7 @@
     async def _choose_or_wait(
         self, request: Request, state: _RelayState
     ) -> ChosenTarget | Failure:
-        """Choose a target; wait a moment for one if that may help."""
+        """Choose a target; if there is none, wait for one if that may help."""
         if state.forwarder.has_started:
             request.weights_digest = state.forwarder.weights_digest
         chosen = self._choose(request, state)
@@ -122,10 +123,10 @@
     def _should_wait(
         self, request: Request, failure: Failure, *, is_retry: bool
     ) -> bool:
-        """Tell whether a target may come back in a moment.
+        """Return whether a target is likely to become available soon.
 
-        A first attempt waits only where targets were there until just now,
-        for instance while the one target of a pool is restarted.
+        A first attempt waits only if the pool had a target recently, for example
+        while its only target is restarted.
         """
         if is_retry:
             return failure.reason is not Reason.EXPIRED
@@ -231,7 +232,7 @@
             return True
         if latest.is_sent and not request.can_resume:
             return False
-        # A request that crashes its target would crash one target per retry.
+        # A request that crashes targets would crash another one with each retry.
         now_s = self._timers.now_s()
         standing, _ = self._quarantine.standing(request.fingerprint, now_s)
         return request.is_idempotent and standing is not Standing.BLAMED
@@ -239,13 +240,13 @@
     def _is_failed_answer(
         self, request: Request, state: _RelayState, answer: Answer
     ) -> bool:
-        """Tell whether the target itself failed, and another may not."""
+        """Return whether the answer is a server error that a retry may avoid."""
         is_failed = answer.status >= SERVER_ERROR_STATUS and not answer.is_sent
         has_more = state.handed_over < request.attempts_max
         return is_failed and has_more and request.is_idempotent
 
     def _make_timeout(self, request: Request, attempt: OpenAttempt) -> Answer:
-        detail = f"no whole answer within the deadline; {attempt.assembly.phase.value}"
+        detail = f"no complete answer in time; attempt {attempt.assembly.phase.value}"
         failure = Failure(Reason.TIMEOUT, Step.RELAY, attempt.target, detail)
         is_started = request.responder.is_started
         return Answer(
@@ -257,7 +258,7 @@
 
 
 def _is_unreached(answer: Answer) -> bool:
-    """Tell whether an attempt ended before anything reached a target."""
+    """Return whether an attempt ended before anything reached a target."""
     failure = answer.failure
     is_not_run = answer.outcome is Outcome.NOT_RUN and failure is not None
     return is_not_run and failure is not None and failure.step is Step.LINK
@@ -291,11 +292,11 @@
 
 
 def _combine(earlier: Answer | None, latest: Answer) -> Answer:
-    """Return what both attempts together prove.
+    """Return the answer that follows from both attempts.
 
     An idempotent request whose first attempt broke may have run, even if the
-    second was refused: to say "not run" then would be untrue.  What a caller
-    was sent, and a target's own failure, say more than a later break.
+    second was refused, so "not run" would be false.  An earlier server error, or
+    a part already sent to the caller, takes precedence over a later failure.
     """
     if earlier is None or latest.outcome is Outcome.ANSWERED:
         return latest
--- a/reedspar/requests/request.py
+++ b/reedspar/requests/request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the filters, and the answer on its way back."""
+"""Types of requests, answers and filters."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass, field
@@ -13,21 +13,21 @@
 
 
 class Outcome(Enum):
-    """The three endings that a caller can tell apart."""
+    """Outcome of a request, as reported to the caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
-    """Proved never to have started, and never will."""
+    """The request provably did not start and never will."""
     UNKNOWN = "unknown"
-    """May have run; never run again by the system."""
+    """The request may have run, and the system will not run it again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
     """How a request ended.
 
-    `is_sent` tells that a stream went to the caller while it arrived;
-    `is_truncated` that such a stream broke, so that the connection must be aborted.
+    If `is_sent`, the answer has already been streamed to the caller.  If
+    `is_truncated`, that stream broke, so the connection must be aborted.
     """
 
     outcome: Outcome
@@ -41,17 +41,17 @@
 
 
 class Responder(Protocol):
-    """Passes a stream on to the caller while it arrives."""
+    """Sends a stream to the caller."""
 
     @property
     def is_started(self) -> bool:
-        """Tell whether the head went to the caller."""
+        """Return whether the status and headers were sent."""
         ...
 
     async def start(
         self, status: int, headers: Iterable[Header], weights_digest: str
     ) -> None:
-        """Send the head of an answer of unknown length."""
+        """Send the status and headers of an answer of unknown length."""
         ...
 
     async def send(self, data: bytes, *, is_last: bool = False) -> None:
@@ -61,15 +61,18 @@
 
 @dataclass(slots=True)
 class Request:
-    """What the filters learn of a request; times are the timer service's."""
+    """A caller's request, completed by the filters.
+
+    Times are those of the timer service.
+    """
 
     request_id: str
-    """Unique in the whole system, whatever the caller sent."""
+    """Internal id, unique across all entries and independent of the caller's id."""
     caller_request_id: str
     method: str
     pool: str
     path: str
-    """Path and query as the target gets them."""
+    """Path and query as sent to the target."""
     headers: tuple[Header, ...]
     body: bytes
     responder: Responder
@@ -83,34 +86,34 @@
     fingerprint: str = ""
     weights_digest: str = ""
     host: str = ""
-    """Host that the caller asked for, where routes go by it."""
+    """Requested host, used if routes are found by host."""
     allowed_s: float | None = None
-    """How long the caller will wait, where it says so."""
+    """How long the caller will wait; None: not specified."""
     route_timeout_s: float = 0.0
-    """How long the operator lets a caller be kept waiting."""
+    """Maximum time that the route lets a caller wait."""
     attempts_max: int = 4
-    """Targets that the request may be handed to at most."""
+    """Maximum number of times that the request may be handed to a target."""
     latency_goal_s: float = 0.0
-    """Time to the first byte that the caller waits gladly; 0: not known."""
+    """Desired time to the first byte of the answer; 0: not known."""
     gap_s: float = 0.0
-    """Pause between events that the caller bears gladly; 0: not known."""
+    """Desired maximum gap between events of a stream; 0: not known."""
     regions: frozenset[str] | None = None
-    """Regions whose targets may serve it; None: all."""
+    """Regions whose targets may serve the request; None: all."""
     is_stream: bool = False
     can_resume: bool = False
-    """A broken stream may go on at another target after its last event."""
+    """Whether another target can continue a broken stream after its last event."""
     last_event_id: str = ""
-    """Event after which the caller wants the stream to go on."""
+    """Event after which the caller wants the stream to resume."""
     model: str = ""
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    """Bound on the answer's length, or the caller's estimate of it."""
+    """Limit of the answer's length, or the caller's estimate of it."""
     can_signal_truncation: bool = True
-    """The caller's protocol tells a broken stream from a whole one."""
+    """Whether the caller's HTTP version shows that a stream was truncated."""
     targets: list[str] = field(default_factory=list)
-    """Targets that it was handed to, in order."""
+    """Targets that the request was handed to, in order."""
     may_have_run: bool = False
-    """It was handed over, and nothing proves that it did not run."""
+    """Whether the request was handed over without proof that it did not run."""
     header_map: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -121,8 +124,8 @@
 
 
 class Filter(Protocol):
-    """One step of the chain: answers by itself or lets the rest proceed."""
+    """A step of the chain, which answers a request or passes it to the next step."""
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Return the answer to `request`."""
+        """Return the answer to `request`; `proceed` runs the remaining filters."""
         ...
--- a/reedspar/requests/retries.py
+++ b/reedspar/requests/retries.py
@@ -1,38 +1,40 @@
-"""Decision: how many retries first attempts pay for."""
+"""Retry budgets: token buckets that are filled by first attempts."""
 
 __all__ = ["RetryBudget", "RetryBudgets"]
 
-BURST = 10.0
+DEFAULT_BURST = 10.0
+"""Default capacity of a retry budget."""
 
 
 class RetryBudget:
-    """Retries as a share of first attempts, so that a fault isn't multiplied.
+    """Limits retries to a share of first attempts, so they can't amplify an outage.
 
-    Each first attempt pays in `share`, each retry takes out 1; at most `burst`
-    is saved up, so that a quiet hour does not pay for a storm.
+    Each first attempt adds `share` tokens, and each retry takes 1.  The budget
+    holds at most `burst` tokens, which limits the retries after a long period
+    without failures.
     """
 
-    def __init__(self, share: float, burst: float = BURST) -> None:
+    def __init__(self, share: float, burst: float = DEFAULT_BURST) -> None:
         self._share = share
         self._burst = burst
         self._tokens = burst
         self.refused = 0
 
     def set_share(self, share: float) -> None:
-        """Change what a first attempt pays in."""
+        """Change the number of tokens that a first attempt adds."""
         self._share = share
 
     def set_burst(self, burst: float) -> None:
-        """Change what may be saved up."""
+        """Change the capacity."""
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def on_first_attempt(self) -> None:
-        """Pay in for a first attempt."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def try_spend(self) -> bool:
-        """Take out one retry, if there is one."""
+        """Take the token of one retry; return whether there was one."""
         if self._tokens < 1.0:
             self.refused += 1
             return False
@@ -41,9 +43,9 @@
 
 
 class RetryBudgets:
-    """A budget for each pool: one pool's fault spends nothing of another's."""
+    """One budget for each pool, so that failures in a pool don't affect others."""
 
-    def __init__(self, share: float, burst: float = BURST) -> None:
+    def __init__(self, share: float, burst: float = DEFAULT_BURST) -> None:
         self._share = share
         self._burst = burst
         self._budgets: dict[str, RetryBudget] = {}
@@ -56,13 +58,13 @@
         return budget
 
     def set_share(self, share: float) -> None:
-        """Change what each first attempt pays in."""
+        """Change the number of tokens that each first attempt adds."""
         self._share = share
         for budget in self._budgets.values():
             budget.set_share(share)
 
     def set_burst(self, burst: float) -> None:
-        """Change what each budget may save up, as entries come and go."""
+        """Change the capacity of each budget when the number of entries changes."""
         self._burst = burst
         for budget in self._budgets.values():
             budget.set_burst(burst)
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -1,4 +1,4 @@
-"""Decision: the target of an attempt, by the power of two random choices.
+"""Selection of an attempt's target, by the power of two random choices.
 
 Mitzenmacher, "The power of two choices in randomized load balancing" (IEEE
 Transactions on Parallel and Distributed Systems, 2001).
@@ -20,20 +20,22 @@
 __all__ = ["PoolChooser", "Router"]
 
 FULL_TARGET_LOAD = 1.0
-"""Load from which a target is full; its agent queues or refuses beyond."""
+"""Load at which a target is full; its agent queues or refuses further requests."""
 QUEUE_LIMIT_LOAD = 1.5
-"""Load from which another request would only wait out its deadline."""
+"""Load at which a further request would wait in the queue until its deadline."""
 AFFINITY_MAX_LOAD = 0.75
-"""Load up to which a prefix keeps going to the target that has it cached."""
+"""Load below which requests are sent to the target that has their prefix cached."""
 AFFINITY_PREFIX_BYTES = 256
+"""Length of the prompt prefix that identifies the target with the cached prefix."""
 NO_TARGET_RETRY_S = 1.0
 LATENCY_MIN_S = 0.001
 BACKOFF_REASONS = frozenset(
     {Reason.DRAINING, Reason.ZONE_OUT, Reason.STALE, Reason.COLD}
 )
 BACKOFF_S = 0.25
-"""How long a target is left alone that refused for its own state."""
+"""Default time for which a target that refused for its own state is not used."""
 BACKOFF_MAX_S = 1.0
+"""Maximum of that time when the refusal says how long to wait."""
 
 
 class Router:
@@ -52,7 +54,7 @@
         document: ConfigurationDocument,
         tried: Collection[str] = (),
     ) -> TargetView | Failure:
-        """Return the target of the next attempt, own zone first."""
+        """Return the target of the next attempt, preferring the entry's own zone."""
         views = [
             view
             for view in self._directory.usable(request.pool)
@@ -97,7 +99,7 @@
 
     def _make_no_target(self, request: Request) -> Failure:
         known = self._directory.count(request.pool)
-        detail = f"none of {known} known targets of {request.pool} may be given work"
+        detail = f"none of {known} known targets of {request.pool} accepts work"
         return Failure(
             Reason.NO_TARGET,
             Step.ROUTE,
@@ -122,27 +124,27 @@
     def choose(
         self, request: Request, tried: Collection[str]
     ) -> ChosenTarget | Failure:
-        """Return the target of the next attempt, or why there is none."""
+        """Return the target of the next attempt, or a failure if there is none."""
         document = self._configuration.document
-        # Without a fresh confirmation a zone may have been taken out without
-        # our knowing; it would go on getting new work from this entry.
+        # Without a recent confirmation, a zone may have been taken out unnoticed,
+        # and this entry would keep sending work there.
         if document is None or not self._configuration.is_fresh():
             detail = "no recent confirmation of the configuration"
             return Failure(Reason.STALE, Step.ROUTE, detail=detail, retry_after_s=1.0)
         return self._router.choose(request, document, tried)
 
     def on_started(self, request: Request, chosen: ChosenTarget) -> None:
-        """Count the attempt among this entry's own."""
+        """Count the attempt as in flight from this entry."""
         assert isinstance(chosen, TargetView)
         chosen.own_in_flight += 1
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
-        """Learn nothing: agents report their targets' load."""
+        """Do nothing, as agents report their targets' load."""
 
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
-        """Uncount the attempt, and leave a target alone that refused it."""
+        """Stop counting the attempt; back off from a target that refused it."""
         assert isinstance(chosen, TargetView)
         chosen.own_in_flight -= 1
         if answer is None or answer.outcome is not Outcome.NOT_RUN:
@@ -153,7 +155,7 @@
             chosen.backoff_until_s = self._timers.now_s() + after_s
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
-        """Leave a target alone that has no link."""
+        """Back off from a target without a link."""
         assert isinstance(chosen, TargetView)
         chosen.backoff_until_s = self._timers.now_s() + BACKOFF_S
 
@@ -168,7 +170,7 @@
 
 
 def _cost(view: TargetView) -> float:
-    """Return the time that one more request can expect at a target.
+    """Return a relative cost of one more request: load times latency.
 
     A slow target with few requests may cost more than a fast one with many.
     """
@@ -177,7 +179,7 @@
 
 
 def _drain_time_s(views: list[TargetView]) -> float:
-    """Return the time until a full target has worked off one queue's length."""
+    """Return the shortest expected time until a full target can accept a request."""
     waits = [
         view.report.latency_s
         * max(0.0, view.load - FULL_TARGET_LOAD + 1 / view.report.limit)
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -1,4 +1,4 @@
-"""Composition of the entry side: the filters, their state and the application."""
+"""Construction of the entry role: filters, their state and the application."""
 
 import random
 import time
@@ -35,12 +35,12 @@
 __all__ = ["RequestService", "create_request_service"]
 
 RUNNING_MARGIN_S = 5.0
-"""After its deadline and this, an order without an outcome counts as unknown."""
+"""Time after its deadline when an order without an outcome counts as unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestService:
-    """The parts that a daemon needs to reach."""
+    """The parts of the entry role that the daemon uses."""
 
     application: RequestApplication
     addresses: AddressList
@@ -52,11 +52,14 @@
     settings: RequestSettings
 
     async def run(self) -> None:
-        """Write claims until cancelled; start it in the daemon's task group."""
+        """Write claims until cancelled; run this in the daemon's task group."""
         await self.ledger.run()
 
     async def drain(self) -> None:
-        """Return once this entry may stop; announce its leaving before."""
+        """Drain requests, and return once this entry may stop.
+
+        Announce that the entry is leaving before this call.
+        """
         self.addresses.exclude_self()
         options = DrainOptions(
             self.settings.address_ttl_s, self.settings.drain_timeout_s
@@ -80,7 +83,7 @@
     first_filter: Filter | None = None,
     extra_routes: Sequence[BaseRoute] = (),
 ) -> RequestService:
-    """Build the entry side on the daemon's network, timers and configuration."""
+    """Build the entry role on the daemon's network, timers and configuration."""
     client = create_attempt_client(network, timers)
     directory = create_target_directory(network, timers)
     directory.on_incarnation(client.on_incarnation)
--- a/reedspar/requests/target_directory.py
+++ b/reedspar/requests/target_directory.py
@@ -1,4 +1,4 @@
-"""Soft state of the targets: their agents' reports, and our own part of the load."""
+"""Soft state about targets: agents' reports, and this entry's requests in flight."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -11,23 +11,26 @@
 __all__ = ["TargetDirectory", "TargetView", "create_target_directory"]
 
 REPORT_TTL_S = 5.0
+"""Time after its last report for which a target is used."""
 VIEW_RETENTION_S = 60.0
+"""Time after its last report for which a target is remembered."""
 SPARE_CAPACITY_MAX_LOAD = 0.75
+"""Load of a pool up to which it has spare capacity."""
 IncarnationListener = Callable[[str, int], None]
 
 
 @dataclass(slots=True)
 class TargetView:
-    """What this entry knows of one target."""
+    """State of one target as known to this entry."""
 
     report: TargetReport
     incarnation: int
     received_s: float
     own_in_flight: int = 0
     own_in_flight_at_report: int = 0
-    """Our own part when the report came; the report may count it already."""
+    """Own requests in flight when the report arrived, which may count them."""
     backoff_until_s: float = 0.0
-    """The agent refused us for its state; it is left alone until then."""
+    """Time until which the target is not used, as it refused a request."""
 
     @property
     def name(self) -> str:
@@ -36,22 +39,23 @@
 
     @property
     def weights_digest(self) -> str:
-        """Return nothing: agents choose the weights that they offer."""
+        """Return an empty digest, as agents choose the weights that they offer."""
         return ""
 
     @property
     def count(self) -> float:
-        """Return the estimated requests that it has."""
+        """Return the estimated number of requests at the target."""
         report = self.report
         since = self.own_in_flight - self.own_in_flight_at_report
         return max(self.own_in_flight, report.in_flight + report.queued + since)
 
     @property
     def load(self) -> float:
-        """Return the estimated requests per place of its limit.
+        """Return the estimated number of requests relative to the target's limit.
 
-        The report counts everybody's requests with a lag; our own hand-overs
-        since then are added, and our own answers since then taken off.
+        The report counts the requests of all entries but is delayed.  Requests
+        that this entry has handed over since are added, and those answered since
+        are subtracted.
         """
         return self.count / max(1, self.report.limit)
 
@@ -73,15 +77,15 @@
         timers.call_every(VIEW_RETENTION_S, self._remove_old)
 
     def on_incarnation(self, listener: IncarnationListener) -> None:
-        """Call `listener` with name and incarnation when an agent was restarted."""
+        """Call `listener` with name and incarnation when an agent has restarted."""
         self._listeners.append(listener)
 
     def get(self, target: str) -> TargetView | None:
-        """Return what is known of `target`."""
+        """Return the state of `target`, or None if it is not known."""
         return self._views.get(target)
 
     def usable(self, pool: str) -> Iterator[TargetView]:
-        """Yield the targets of `pool` that may be given work now."""
+        """Yield the targets of `pool` that accept work now."""
         now_s = self._timers.now_s()
         for view in self._by_pool.get(pool, {}).values():
             if view.report.status not in (TargetStatus.READY, TargetStatus.COLD):
@@ -92,7 +96,7 @@
                 yield view
 
     def has_spare_capacity(self, pool: str) -> bool:
-        """Tell whether the pool's targets are, as far as known, far from full."""
+        """Return whether the pool is estimated to be well below its limit."""
         limit = 0
         count = 0.0
         for view in self.usable(pool):
@@ -101,15 +105,15 @@
         return count + 1 <= SPARE_CAPACITY_MAX_LOAD * limit
 
     def count(self, pool: str) -> int:
-        """Return how many targets of `pool` are known, usable or not."""
+        """Return the number of known targets of `pool`, usable or not."""
         return len(self._by_pool.get(pool, {}))
 
     def usable_count(self) -> int:
-        """Return how many targets of all pools may be given work now."""
+        """Return the number of targets of all pools that accept work now."""
         return sum(1 for pool in self._by_pool for _ in self.usable(pool))
 
     def remove(self, target: str) -> None:
-        """Drop what is known, since its agent left or the link is gone."""
+        """Remove a target whose agent left or whose link is down."""
         view = self._views.pop(target, None)
         if view is not None:
             self._by_pool[view.report.pool].pop(target, None)
@@ -127,8 +131,8 @@
             self._by_pool.setdefault(report.pool, {})[report.target] = view
             return
         known = (view.incarnation, view.report.sequence)
-        # Two connections to one agent may deliver reports crossed.  An older
-        # one would bring back a status (ready, not leaving) that has ended.
+        # Two connections to an agent may deliver reports out of order.  An older
+        # one would restore an outdated status, such as ready instead of leaving.
         if (sender.incarnation, report.sequence) <= known:
             self.stale_reports += 1
             return
@@ -164,5 +168,5 @@
 def create_target_directory(
     network: Network, timers: TimerService, report_ttl_s: float = REPORT_TTL_S
 ) -> TargetDirectory:
-    """Make a directory and subscribe it to the agents' reports."""
+    """Create a directory and subscribe it to the agents' reports."""
     return TargetDirectory(network, timers, report_ttl_s)
--- a/reedspar/requests/views.py
+++ b/reedspar/requests/views.py
@@ -1,4 +1,4 @@
-"""Protocols of what requests need to know of the configuration and the entries."""
+"""Protocols for the configuration and the entries, as used by this package."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,15 +9,15 @@
 
 
 class ConfigurationView(Protocol):
-    """The configuration in force, and whether that is confirmed."""
+    """The configuration in force, and whether it was confirmed recently."""
 
     @property
     def document(self) -> ConfigurationDocument | None:
-        """Return the document in force, or None before it was learned."""
+        """Return the document in force, or None before one has been received."""
         ...
 
     def is_fresh(self) -> bool:
-        """Tell whether a recent confirmation allows new work to start."""
+        """Return whether a recent confirmation allows new work to start."""
         ...
 
 
@@ -33,8 +33,8 @@
 
 
 class EntryDirectory(Protocol):
-    """The entries that are known to live, this one among them."""
+    """The live entries, including this one."""
 
     def entries(self) -> tuple[EntryAddress, ...]:
-        """Return the entries, leaving ones marked."""
+        """Return the live entries; those shutting down are marked as leaving."""
         ...
