--- a/reedspar/requests/tests/fakes.py
+++ b/reedspar/requests/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes: a network in memory, and agents that answer as a test says."""
+"""Fakes of the network, the key-value service and the views, and message makers."""
 
 import hashlib
 import random
@@ -40,12 +40,12 @@
 
 
 class FakeNetwork:
-    """Takes messages; delivers those that a test gives it."""
+    """Records sent messages, and delivers messages that a test passes to it."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Any]] = []
         self.link_listeners: list[Callable] = []
-        self.linked_entries: tuple[str, ...] = ()
+        self.linked_peers: tuple[str, ...] = ()
         self.down: set[str] = set()
         self.handlers: dict[type, list[Callable]] = {}
         self.on_send: Callable[[str, Any], None] = lambda peer, message: None
@@ -61,7 +61,7 @@
         self.handlers.setdefault(message_class, []).append(handler)
 
     def peers(self, role: object = None) -> tuple[str, ...]:
-        return self.linked_entries
+        return self.linked_peers
 
     def on_link_event(self, listener: Callable) -> None:
         self.link_listeners.append(listener)
@@ -76,11 +76,11 @@
 
 
 class FakeKeyValue:
-    """Keeps entries in memory; a fault may meet each write before or after it."""
+    """In-memory key-value service, which can fail before or after each write."""
 
     def __init__(self) -> None:
         self.entries: dict[str, KeyValueEntry] = {}
-        self.older: dict[str, KeyValueEntry] = {}
+        self.previous_entries: dict[str, KeyValueEntry] = {}
         self.revision = 0
         self.writes = 0
         self.before_write: Callable[[str], Failure | None] = lambda key: None
@@ -90,8 +90,8 @@
 
     async def get(self, key: str) -> KeyValueEntry | Failure | None:
         await anyio.sleep(self.delay_s)
-        if self.is_stale() and key in self.older:
-            return self.older[key]
+        if self.is_stale() and key in self.previous_entries:
+            return self.previous_entries[key]
         return self.entries.get(key)
 
     async def compare_and_swap(
@@ -105,7 +105,7 @@
         if expected_revision != (current.revision if current else 0):
             return Failure(Reason.CONFLICT, Step.KEY_VALUE)
         if current is not None:
-            self.older[key] = current
+            self.previous_entries[key] = current
         self.revision += 1
         self.writes += 1
         self.entries[key] = KeyValueEntry(key, value, self.revision)
@@ -160,7 +160,7 @@
 def make_answer(
     start: AttemptStart, body: bytes, content_type: str = "text/plain", cut: int = 1
 ) -> list[Any]:
-    """Return the messages of a whole answer, its body in `cut` pieces."""
+    """Return the messages of a complete answer, with its body in `cut` pieces."""
     key = (start.request_id, start.attempt)
     step = max(1, -(-len(body) // cut))
     data = [
--- a/reedspar/requests/tests/mesh.py
+++ b/reedspar/requests/tests/mesh.py
@@ -1,4 +1,4 @@
-"""Entries and real agents in one process, joined by links that may fail."""
+"""Network in memory between entries and real agents, with faulty links."""
 
 import asyncio
 import random
@@ -37,7 +37,7 @@
 
 
 class PlainOffers:
-    """A plain service needs no weights."""
+    """Offers of a plain service, which needs no weights."""
 
     def offered(self) -> tuple:
         return ()
@@ -50,7 +50,7 @@
 
 
 class Links(FakeNetwork):
-    """One daemon's links in a mesh."""
+    """The network of one daemon in a mesh."""
 
     def __init__(self, mesh: "Mesh", name: str, incarnation: int) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
         self.incarnation = incarnation
 
     def send(self, peer: str, message: Any, priority: int = 0) -> Failure | None:
-        return self.mesh.carry(self, peer, message)
+        return self.mesh.transmit(self, peer, message)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
         names = self.mesh.entries if role is Role.ENTRY else self.mesh.agents
@@ -70,7 +70,10 @@
 
 @dataclass
 class Mesh:
-    """Carries messages; links go silent, are replaced, and lose or cross some."""
+    """Transmits messages over links that lose, delay and reorder some of them.
+
+    Links can also go silent and be replaced.
+    """
 
     entries: tuple[str, ...]
     agents: tuple[str, ...]
@@ -84,15 +87,15 @@
         self.daemons[name] = Links(self, name, incarnation)
         return self.daemons[name]
 
-    def carry(self, sender: Links, peer: str, message: Any) -> Failure | None:
+    def transmit(self, sender: Links, peer: str, message: Any) -> Failure | None:
         if self.daemons.get(sender.name) is not sender or peer not in self.daemons:
             return Failure(Reason.UNAVAILABLE, Step.LINK, peer)
         pair = frozenset((sender.name, peer))
         is_silent = self.silent_until_s.get(pair, 0.0) > anyio.current_time()
         if is_silent or self.rng.random() < self.loss:
             return None
-        is_crossed = self.rng.random() < self.loss
-        delay_s = self.rng.uniform(0, 3.0) if is_crossed else self.delay_s
+        is_delayed = self.rng.random() < self.loss
+        delay_s = self.rng.uniform(0, 3.0) if is_delayed else self.delay_s
         loop = asyncio.get_running_loop()
         loop.call_later(delay_s, self._deliver, sender, peer, message)
         return None
@@ -103,14 +106,14 @@
             for handler in receiver.handlers.get(type(message), []):
                 handler(Sender(sender.name, sender.incarnation, 1), message)
 
-    async def silence(self, one: str, two: str, for_s: float) -> None:
-        """Let a link go silent, then tell both ends that it was replaced."""
-        self.silent_until_s[frozenset((one, two))] = anyio.current_time() + for_s
+    async def silence_link(self, first: str, second: str, for_s: float) -> None:
+        """Drop all messages of a link for `for_s`, then report it as replaced."""
+        self.silent_until_s[frozenset((first, second))] = anyio.current_time() + for_s
         await anyio.sleep(for_s)
-        self.tell(one, two, LinkChange.REPLACED)
-        self.tell(two, one, LinkChange.REPLACED)
+        self.notify_link_change(first, second, LinkChange.REPLACED)
+        self.notify_link_change(second, first, LinkChange.REPLACED)
 
-    def tell(self, listener: str, peer: str, change: LinkChange) -> None:
+    def notify_link_change(self, listener: str, peer: str, change: LinkChange) -> None:
         reason = Reason.UNAVAILABLE if change is LinkChange.DOWN else None
         incarnation = self.daemons[peer].incarnation if peer in self.daemons else 0
         event = LinkEvent(peer, incarnation, change, reason)
--- a/reedspar/requests/tests/test_agent_stop.py
+++ b/reedspar/requests/tests/test_agent_stop.py
@@ -1,4 +1,4 @@
-"""Tests that a stopping agent does not wait for entries that are gone."""
+"""Tests that an agent's graceful stop does not wait for entries that are gone."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 class AgentStopTest(unittest.TestCase):
-    def stop_after_kill(self, restarts: bool) -> float:
+    def measure_stop_after_kill(self, restarts: bool) -> float:
         """Return how long the agent's stop takes after its entry was killed."""
         return run_virtual(self._run, restarts)
 
@@ -56,14 +56,14 @@
         return took_s
 
     def test_entry_that_was_killed(self) -> None:
-        # An entry is killed before it acknowledged an answer.  Nobody can take
-        # that answer any more; operators who stop the agent need not wait.
-        self.assertLess(self.stop_after_kill(restarts=False), 5.0)
+        # An entry is killed before it acknowledged an answer.  The answer can't
+        # be delivered any more, so the agent's stop must not wait for it.
+        self.assertLess(self.measure_stop_after_kill(restarts=False), 5.0)
 
     def test_entry_that_was_restarted(self) -> None:
-        # The restarted entry knows nothing of the attempt and says so when it
-        # is reminded.
-        self.assertLess(self.stop_after_kill(restarts=True), 5.0)
+        # The restarted entry has no record of the attempt and acknowledges its
+        # answer when the agent sends the end again.
+        self.assertLess(self.measure_stop_after_kill(restarts=True), 5.0)
 
 
 if __name__ == "__main__":
--- a/reedspar/requests/tests/test_application.py
+++ b/reedspar/requests/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the application over ASGI, with agents that answer as a test says."""
+"""Tests of the application over ASGI, with agents that run a test's script."""
 
 import unittest
 from collections.abc import Callable
@@ -70,7 +70,7 @@
 
 
 class AnswerTest(ApplicationTestCase):
-    def test_whole_answer_with_its_headers(self) -> None:
+    def test_complete_answer_with_its_headers(self) -> None:
         self.answer_with(lambda peer, start: make_answer(start, b"quote 12", cut=3))
         headers = {**SHOP, "x-request-id": "mine"}
         response = self.call("POST", "/v1/pools/orders/o/1?x=%20y", headers=headers)
@@ -80,7 +80,7 @@
         self.assertEqual(response.headers["x-weights-digest"], "d1")
         self.assertEqual(self.starts()[0].path, "/o/1?x=%20y")
 
-    def test_refusals_tell_step_reason_and_when_to_come_back(self) -> None:
+    def test_refusals_have_step_reason_and_retry_after(self) -> None:
         cases = [
             ("/v1/pools/nowhere/x", SHOP, 404, "identify", "not_found"),
             ("/v1/pools/orders/x", {}, 400, "identify", "invalid"),
@@ -98,14 +98,14 @@
         self.assertEqual(self.starts(), [])
 
     def test_unconfirmed_configuration_starts_no_work(self) -> None:
-        # The entry has heard no confirmation of its configuration for a while;
-        # a zone may be out by now.  The caller is told to come back.
+        # The configuration was not confirmed recently, so a zone may have been
+        # taken out.  The entry must refuse work, and tell callers to retry.
         self.configuration.fresh = False
         response = self.call("GET", "/v1/pools/orders/x", headers=SHOP)
         self.assertEqual(response.status_code, 503)
         self.assertEqual(response.json()["reason"], "stale")
 
-    def test_refused_order_is_run_by_the_other_target(self) -> None:
+    def test_refused_order_is_run_by_another_target(self) -> None:
         def script(peer: str, start: AttemptStart) -> list[Any]:
             if len(self.starts()) == 1:
                 return [make_refusal(start, Reason.DRAINING)]
@@ -117,8 +117,8 @@
         self.assertEqual(len({start.attempt for start in self.starts()}), 2)
 
     def test_broken_order_is_not_run_again(self) -> None:
-        # The target dies in the middle of an order.  Whether the deposit was
-        # booked cannot be known, so the shop is told just that.
+        # The target crashes while it runs an order, which may or may not have
+        # taken effect.  The order must not run again, and its outcome is unknown.
         self.answer_with(self._break_first)
         response = self.call("POST", "/v1/pools/orders/o", headers=SHOP)
         self.assertEqual(response.status_code, 504)
@@ -131,8 +131,8 @@
         self.assertEqual((response.status_code, response.content), (200, b"ok"))
 
     def test_refusal_after_a_broken_attempt_is_no_proof(self) -> None:
-        # The first target breaks off, the second refuses.  The request may
-        # have run at the first, so the caller must not read "not run".
+        # The first target crashes, the second one refuses.  The request may have
+        # run at the first, so its outcome must not be "not-run".
         def script(peer: str, start: AttemptStart) -> list[Any]:
             if len(self.starts()) == 1:
                 return self._break_first(peer, start)
@@ -143,8 +143,8 @@
         self.assertEqual(response.headers["x-reedspar-outcome"], "unknown")
 
     def test_late_answer_of_another_attempt_is_dropped(self) -> None:
-        # The answer of an abandoned first attempt comes while the second
-        # runs.  Mixed in, the caller would read two answers in one.
+        # The answer of an abandoned first attempt arrives during the second
+        # attempt.  The two must not be mixed in the answer to the caller.
         def script(peer: str, start: AttemptStart) -> list[Any]:
             if len(self.starts()) == 1:
                 return self._break_first(peer, start)
@@ -167,8 +167,8 @@
 
 class QuarantineTest(ApplicationTestCase):
     def test_request_that_crashed_two_targets_is_refused(self) -> None:
-        # A caller sends a request that crashes its target, and sends it again
-        # when it breaks off.  The third time no target may meet it.
+        # A caller repeats a request that crashes its target.  After two crashes,
+        # it must not reach a target again.
         def crash(peer: str, start: AttemptStart) -> list[Any]:
             boot_id = f"boot-{len(self.starts())}"
             notice = CrashNotice(peer, "orders", boot_id, (start.fingerprint,))
@@ -176,7 +176,7 @@
             end = AttemptEnd(*key, EndKind.BROKEN, 0, "", Reason.UNAVAILABLE, "")
             return [notice, end]
 
-        self.network.linked_entries = ("entry-1", "entry-2")
+        self.network.linked_peers = ("entry-1", "entry-2")
         self.answer_with(crash)
         for status in (504, 504, 503):
             response = self.call("POST", "/v1/pools/orders/deadly", headers=SHOP)
@@ -226,7 +226,7 @@
         anyio.run(self.service.application, scope, receive, send)
         return sent
 
-    def test_all_frames_of_one_turn_go_out_in_one_piece(self) -> None:
+    def test_messages_of_one_loop_iteration_are_sent_together(self) -> None:
         stream = "text/event-stream"
         sent = self.run_stream(
             lambda peer, start: make_answer(start, b"abcdefgh", stream, cut=8)
@@ -237,8 +237,8 @@
         self.assertFalse(sent[-1]["more_body"])
 
     def test_broken_stream_is_never_finished(self) -> None:
-        # The target dies in mid-stream.  If the entry finished the body
-        # properly, the caller would take the half for the whole.
+        # The target crashes during a stream.  If the entry ended the response
+        # normally, the caller would take the partial answer for a complete one.
         def break_off(message: dict) -> None:
             if message["type"] == "http.response.body":
                 start = self.starts()[0]
@@ -255,10 +255,10 @@
         self.assertTrue(all(message.get("more_body", True) for message in sent))
         self.assertEqual(len(self.starts()), 1)
 
-    def test_versions_that_cannot_show_a_cut_are_refused(self) -> None:
-        # A stream breaks.  Under HTTP/1.0 its end looks like any other end,
-        # and under HTTP/2 the server leaves the stream open: the caller takes
-        # the half for the whole, or waits until its own timeout.
+    def test_http_versions_that_hide_truncation_are_refused(self) -> None:
+        # When a stream breaks under HTTP/1.0, its end looks normal, and under
+        # HTTP/2 the server leaves the stream open.  The caller would take the
+        # partial answer for a complete one, or wait until its own timeout.
         for version in ("1.0", "2"):
             sent = self.run_stream(
                 lambda peer, start: make_answer(start, b"a"), version=version
@@ -266,14 +266,14 @@
             self.assertEqual(sent[0]["status"], 505)
         self.assertEqual(self.starts(), [])
 
-    def test_caller_that_goes_away_cancels_its_attempt(self) -> None:
+    def test_disconnect_of_the_caller_cancels_its_attempt(self) -> None:
         self.run_stream(lambda peer, start: [], disconnect=True)
         self.assertEqual(len(self.network.sent_of(AttemptCancel)), 1)
         self.assertEqual(self.service.client.open_count, 0)
 
 
 class AddressesTest(ApplicationTestCase):
-    def test_own_zone_first_and_no_leaving_or_taken_out_entries(self) -> None:
+    def test_own_zone_is_first_and_leaving_or_out_entries_are_omitted(self) -> None:
         self.entries.addresses = [
             EntryAddress("e1", "a", "10.0.0.1", 80),
             EntryAddress("e2", "b", "10.0.0.2", 80),
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests that an order with a key runs at most once, whatever meets its claim."""
+"""Tests that an order with an idempotency key runs at most once despite faults."""
 
 import random
 import unittest
@@ -33,7 +33,7 @@
 
 
 def make_key(at_s: float, number: int) -> str:
-    """Return a UUID of version 7 dated `at_s` after the history's start."""
+    """Return a version 7 UUID dated `at_s` seconds after the start."""
     stamp = int((EPOCH_S + at_s) * 1000)
     bits = stamp << 80 | 7 << 76 | 2 << 62 | number
     return str(uuid.UUID(int=bits))
@@ -58,14 +58,14 @@
 
 @dataclass
 class Shop:
-    """What callers were told and what ran, by key."""
+    """The orders that ran and the answers to callers, by idempotency key."""
 
     ran: dict[str, list[str]] = field(default_factory=dict)
-    told: dict[str, list[Answer]] = field(default_factory=dict)
+    answers: dict[str, list[Answer]] = field(default_factory=dict)
 
 
-class Mesh:
-    """Networks of several entries that lose, delay and cross messages."""
+class FaultyMesh:
+    """Networks of several entries that lose, delay and reorder messages."""
 
     def __init__(self, rng: random.Random, is_faulty: bool) -> None:
         self.rng = rng
@@ -74,24 +74,24 @@
 
     def add(self, name: str) -> FakeNetwork:
         network = self.networks[name] = FakeNetwork()
-        network.on_send = lambda peer, message: self._carry(name, peer, message)
+        network.on_send = lambda peer, message: self._transmit(name, peer, message)
         return network
 
-    def _carry(self, sender: str, peer: str, message: Any) -> None:
+    def _transmit(self, sender: str, peer: str, message: Any) -> None:
         import asyncio
 
-        draw = self.rng.random() if self.is_faulty else 1.0
-        if draw < 0.08:
+        fault = self.rng.random() if self.is_faulty else 1.0
+        if fault < 0.08:
             return
         delay_s = self.rng.uniform(0.001, 0.01)
-        if draw < 0.2:
+        if fault < 0.2:
             delay_s = self.rng.choice([0.3, 1.5, 6.0, 40.0, 2 * TTL_S])
         loop = asyncio.get_running_loop()
         loop.call_later(delay_s, self.networks[peer].deliver, sender, message)
 
 
 class History:
-    """Three entries, one key-value service, and orders sent again and again."""
+    """Simulation of three entries, a key-value service and repeated orders."""
 
     def __init__(self, seed: int, is_faulty: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -99,26 +99,26 @@
         self.key_value = FakeKeyValue()
         self.shop = Shop()
         self.frozen_s = 0.0
-        self.patience_s = 30.0
+        self.timeout_s = 30.0
         self.filters: dict[str, Deduplicate] = {}
         if is_faulty:
-            self.key_value.before_write = lambda key: self._fault(0.1)
-            self.key_value.after_write = lambda key: self._fault(0.15, lost=True)
+            self.key_value.before_write = lambda key: self._draw_failure(0.1)
+            self.key_value.after_write = lambda key: self._draw_failure(0.15, lost=True)
             self.key_value.is_stale = lambda: self.rng.random() < 0.2
 
-    def _fault(self, share: float, lost: bool = False) -> Failure | None:
+    def _draw_failure(self, share: float, lost: bool = False) -> Failure | None:
         if self.rng.random() >= share:
             return None
-        is_lost = lost or self.rng.random() < 0.5
-        reason = Reason.OUTCOME_UNKNOWN if is_lost else Reason.UNAVAILABLE
+        is_outcome_lost = lost or self.rng.random() < 0.5
+        reason = Reason.OUTCOME_UNKNOWN if is_outcome_lost else Reason.UNAVAILABLE
         return Failure(reason, Step.KEY_VALUE)
 
     def unix_time(self) -> float:
         return EPOCH_S + self.frozen_s + anyio.current_time()
 
-    async def run(self, sendings: list[tuple[float, str, str]]) -> None:
-        """Send (when, entry, key) and wait for every end."""
-        mesh = Mesh(self.rng, self.is_faulty)
+    async def run(self, submissions: list[tuple[float, str, str]]) -> None:
+        """Submit (time, entry, key) orders, and wait for all outcomes."""
+        mesh = FaultyMesh(self.rng, self.is_faulty)
         entries = FakeEntries([EntryAddress(n, "a", "h", 1) for n in ENTRIES])
         async with anyio.create_task_group() as tasks:
             for name in ENTRIES:
@@ -130,17 +130,17 @@
                 tasks.start_soon(ledger.run)
                 tasks.start_soon(timers.run)
             async with anyio.create_task_group() as orders:
-                for number, sending in enumerate(sendings):
-                    orders.start_soon(self._send, number, *sending)
+                for number, submission in enumerate(submissions):
+                    orders.start_soon(self._send, number, *submission)
             await anyio.sleep(60)
             tasks.cancel_scope.cancel()
 
     async def _send(self, number: int, at_s: float, entry: str, key: str) -> None:
         await anyio.sleep(at_s)
         order = make_order(f"{entry}:1:{number}", key)
-        order.deadline_s = anyio.current_time() + self.patience_s
+        order.deadline_s = anyio.current_time() + self.timeout_s
         answer = await self.filters[entry].apply(order, self._proceed)
-        self.shop.told.setdefault(key, []).append(answer)
+        self.shop.answers.setdefault(key, []).append(answer)
 
     async def _proceed(self, request: Request) -> Answer:
         ending = self.rng.random()
@@ -159,10 +159,10 @@
 
 
 class ClaimHistoryTest(unittest.TestCase):
-    # An order is sent again and again to three entries while messages between
-    # them are lost, late by minutes and crossed, two of them own its claim at
-    # once, writes to the key-value service fail, lose their answers, and reads
-    # are stale.  Were it run twice, a customer would pay the deposit twice.
+    # An order is submitted repeatedly to three entries while messages between them
+    # are lost, reordered and delayed by minutes, two of them own its claim at once,
+    # writes to the key-value service fail or lose their responses, and reads are
+    # stale.  If it ran twice, a customer would pay the deposit twice.
     @settings(max_examples=40, deadline=None, derandomize=True)
     @given(st.integers(min_value=0, max_value=2**32), st.booleans())
     def test_runs_at_most_once_and_repeats_the_first_answer(
@@ -172,11 +172,11 @@
         rng = history.rng
         keys = [make_key(i, i) if is_dated else f"order-{i}" for i in range(6)]
         times = [0.5, 1.0, 4.0, 10.0, 60.0, TTL_S - 30, TTL_S + 30, 2 * TTL_S]
-        sendings = [
+        submissions = [
             (rng.uniform(0, rng.choice(times)), rng.choice(ENTRIES), rng.choice(keys))
             for _ in range(40)
         ]
-        run_virtual(history.run, sendings)
+        run_virtual(history.run, submissions)
         for key in keys:
             self.check(history.shop, key)
 
@@ -185,21 +185,23 @@
         self.assertLessEqual(len(ran), 1, f"{key} ran {ran}")
         bodies = {
             answer.body
-            for answer in shop.told.get(key, [])
+            for answer in shop.answers.get(key, [])
             if answer.outcome is Outcome.ANSWERED
         }
         self.assertLessEqual(bodies, {item.encode() for item in ran})
 
 
 class ClaimTest(unittest.TestCase):
-    def send(self, *sendings: tuple[float, str, str], is_faulty: bool = False) -> Any:
+    def send(
+        self, *submissions: tuple[float, str, str], is_faulty: bool = False
+    ) -> Any:
         history = History(3, is_faulty)
-        run_virtual(history.run, list(sendings))
+        run_virtual(history.run, list(submissions))
         return history
 
-    def test_outage_of_the_service_refuses_and_gives_the_key_back(self) -> None:
-        # The key-value service is down while an order comes in.  The shop is
-        # told that it was not run, and its repeat of the same key later runs.
+    def test_key_value_outage_refuses_and_releases_the_key(self) -> None:
+        # An order arrives while the key-value service is down.  It must be refused
+        # as not run, and a later repeat with the same key must run.
         history = History(1, is_faulty=False)
         down = Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
         history.key_value.before_write = lambda key: (
@@ -207,26 +209,26 @@
         )
         key = make_key(0, 1)
         run_virtual(history.run, [(0.1, "e1", key), (8.0, "e2", key)])
-        first, second = history.shop.told[key]
+        first, second = history.shop.answers[key]
         assert first.failure is not None
         self.assertIs(first.outcome, Outcome.NOT_RUN)
         self.assertIs(first.failure.step, Step.CLAIM)
         self.assertIs(second.outcome, Outcome.ANSWERED)
 
     def test_repeat_after_the_time_to_live_is_refused(self) -> None:
-        # A shop's till comes back after a long weekend and sends an old order
-        # again.  Its record is gone or about to go; it must not run.
+        # A caller that was offline repeats an old order whose record has expired
+        # or is about to.  The order must not run again.
         for key in (make_key(0, 1), "order-1"):
             with self.subTest(key=key):
                 history = self.send((0, "e1", key), (TTL_S + 1, "e2", key))
-                failure = history.shop.told[key][-1].failure
+                failure = history.shop.answers[key][-1].failure
                 self.assertIs(failure.reason, Reason.EXPIRED)
                 self.assertEqual(len(history.shop.ran[key]), 1)
 
-    def test_write_that_was_frozen_past_the_time_to_live_grants_nothing(self) -> None:
-        # An entry is frozen between looking at a key's date and writing its
-        # claim.  When it thaws, the records of that date are gone with their
-        # lease, and the write succeeds although the order ran elsewhere.
+    def test_write_paused_beyond_the_time_to_live_is_not_granted(self) -> None:
+        # An entry is paused between the check of a key's date and the write of its
+        # claim.  When it continues, the records of that date have expired, so the
+        # write succeeds although the order may have run elsewhere.
         history = History(1, is_faulty=False)
         key = make_key(0, 1)
 
@@ -236,30 +238,30 @@
         history.key_value.before_write = freeze
         run_virtual(history.run, [(0.1, "e1", key)])
         self.assertEqual(history.shop.ran, {})
-        failure = history.shop.told[key][0].failure
+        failure = history.shop.answers[key][0].failure
         assert failure is not None
         self.assertIs(failure.reason, Reason.EXPIRED)
 
     def test_repeat_while_the_first_runs_gets_the_first_answer(self) -> None:
-        # A shop's clerk presses the button twice.  The second sending used to
-        # end as "unknown" while the first was about to be answered, and the
-        # till, which shows the last answer, told the clerk that nobody knew.
+        # A user submits an order twice.  If the repeat ended as "unknown" while
+        # the first was about to be answered, a client that shows only the last
+        # answer would report an unknown outcome.
         key = make_key(0, 1)
         history = self.send((0.0, "e1", key), (0.05, "e2", key), (0.1, "e1", key))
-        answers = history.shop.told[key]
+        answers = history.shop.answers[key]
         self.assertEqual([a.outcome for a in answers], [Outcome.ANSWERED] * 3)
         self.assertEqual({a.body for a in answers}, {b"e1:1:0"})
 
     def test_repeat_that_cannot_wait_is_unknown_at_its_deadline(self) -> None:
-        # The first one runs for longer than the second one's caller waits.
+        # The first order runs for longer than the repeat's deadline.
         history = History(3, is_faulty=False)
-        history.patience_s = 0.3
+        history.timeout_s = 0.3
         key = make_key(0, 1)
         run_virtual(history.run, [(0.0, "e1", key), (0.05, "e2", key)])
-        endings = {a.outcome for a in history.shop.told[key]}
+        endings = {a.outcome for a in history.shop.answers[key]}
         self.assertEqual(endings, {Outcome.ANSWERED, Outcome.UNKNOWN})
 
-    def test_key_of_another_payload_is_refused(self) -> None:
+    def test_key_with_another_payload_is_refused(self) -> None:
         table = ClaimTable(TTL_S, 35.0)
         table.claim(ClaimRequest("k", "e1:1:1", "deposit of 10", "l"), EPOCH_S)
         repeat = ClaimRequest("k", "e2:1:1", "deposit of 99", "l")
@@ -268,9 +270,9 @@
         self.assertFalse(is_changed)
 
     def test_late_claim_is_not_granted_after_its_release(self) -> None:
-        # A claim request is held up in the network; its entry meanwhile gave
-        # up and told the shop "not run".  Granted now, the key would be
-        # blocked, and its next repeat would hear "unknown" instead of running.
+        # A claim request is delayed in the network until its entry has given up
+        # and told the caller "not run".  If it were granted now, the key would be
+        # blocked, and the next repeat would end as "unknown" instead of running.
         table = ClaimTable(TTL_S, 35.0)
         late = ClaimRequest("k", "e1:1:1", "p", "l")
         release = ClaimUpdate("k", "e1:1:1", "l", ClaimState.RELEASED, 0, (), b"", "")
@@ -287,16 +289,16 @@
         self.assertLess(history.key_value.writes, 150)
 
     def test_undated_keys_beyond_the_write_budget_are_refused_at_once(self) -> None:
-        # A shop's software sends plain order numbers as keys, and a busy hour
-        # brings more than the key-value service can write one by one.  Each
-        # caller used to wait for seconds, and nearly all in vain.
+        # A caller uses plain order numbers as keys and sends more orders than the
+        # key-value service can write one by one.  Without a limit, each request
+        # would wait for seconds, and nearly all would time out.
         history = self.send(*[(1.0, "e1", f"order-{i}") for i in range(200)])
         ran = len(history.shop.ran)
         self.assertTrue(20 < ran < 150)
         self.assertEqual(history.key_value.writes, 2 * ran)
         refused = [
             answer.failure
-            for answers in history.shop.told.values()
+            for answers in history.shop.answers.values()
             for answer in answers
             if answer.outcome is Outcome.NOT_RUN
         ]
--- a/reedspar/requests/tests/test_decisions.py
+++ b/reedspar/requests/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions of admission, quarantine, retries and routing."""
+"""Tests of admission, quarantine, retry budgets and routing."""
 
 import heapq
 import random
@@ -28,8 +28,8 @@
     def test_retries_stay_a_share_of_first_attempts(
         self, steps: list[bool], share: float
     ) -> None:
-        # Every request fails, as in an outage.  Without a bound, retries
-        # would multiply the load just when the targets bear the least.
+        # All requests fail in an outage.  Without a limit, retries would multiply
+        # the load while the targets have the least capacity.
         budget = RetryBudget(share, burst=5)
         firsts = retries = 0
         for is_first in steps:
@@ -41,14 +41,14 @@
             self.assertLessEqual(retries, 5 + share * firsts + 1e-6)
 
 
-class Pool:
-    """Requests at one entry, before places and a queue as agents have them."""
+class SimulatedPool:
+    """Simulation of admission at one entry, and targets with slots and a queue."""
 
-    def __init__(self, places: int, seed: int) -> None:
-        self.places = places
+    def __init__(self, capacity: int, seed: int) -> None:
+        self.capacity = capacity
         self.rng = random.Random(seed)
         self.control = AdmissionControl()
-        self.free_s = [0.0] * places
+        self.free_s = [0.0] * capacity
         self.busy: list[tuple[float, float, str]] = []
         self.offered: dict[str, int] = {}
         self.answered: dict[str, int] = {}
@@ -56,7 +56,7 @@
     def run(
         self, rates: dict[str, float], terms: dict[str, WorkspaceLimits], seconds: float
     ) -> None:
-        """Offer `rates` requests a second, each of 0.1 s, after a warm-up."""
+        """Send `rates` requests a second of 0.1 s each; count after half the time."""
         names = list(rates)
         now_s = 0.0
         while now_s < seconds:
@@ -67,7 +67,7 @@
                 self.offered[name] = self.offered.get(name, 0) + 1
             if self.control.try_admit(name, terms[name], now_s) is not None:
                 continue
-            if len(self.busy) >= 2 * self.places:
+            if len(self.busy) >= 2 * self.capacity:
                 self.control.on_refused(name, now_s)
             else:
                 end_s = max(now_s, heapq.heappop(self.free_s)) + 0.1
@@ -83,25 +83,25 @@
                 self.answered[name] = self.answered.get(name, 0) + 1
 
     def share(self, name: str) -> float:
-        """Return the answered share of what a workspace offered."""
+        """Return the answered share of the requests that a workspace sent."""
         return self.answered.get(name, 0) / self.offered[name]
 
 
 class AdmissionTest(unittest.TestCase):
     def test_large_workspace_does_not_starve_a_small_one(self) -> None:
-        # One workspace sends four times what the pool bears.  The tailor's
-        # few requests are within its share and must hardly notice.
+        # One workspace sends four times the pool's capacity.  Nearly all of the
+        # small workspace's requests must be answered, as they are within its share.
         for seed in range(5):
-            pool = Pool(20, seed)
+            pool = SimulatedPool(20, seed)
             terms = dict.fromkeys(("big", "small"), WorkspaceLimits())
             pool.run({"big": 800, "small": 40}, terms, 20)
             self.assertGreater(pool.share("small"), 0.85)
             total = sum(pool.answered.values()) / 10
             self.assertGreater(total, 0.95 * 200)
 
-    def test_long_streams_are_admitted_while_targets_have_room(self) -> None:
-        # Many streams begin within a second, each for minutes.  A window that
-        # grows by answers alone would refuse nearly all before idle targets.
+    def test_long_streams_are_admitted_while_targets_have_spare_capacity(self) -> None:
+        # Many streams that take minutes start within a second.  A window that
+        # grows only with answers would refuse nearly all, with targets idle.
         control = AdmissionControl()
         terms = WorkspaceLimits(max_in_flight=1000)
         for number in range(400):
@@ -111,7 +111,7 @@
             self.assertIsNone(failure)
 
     def test_low_priority_is_refused_first(self) -> None:
-        pool = Pool(20, 1)
+        pool = SimulatedPool(20, 1)
         terms = {
             "counter": WorkspaceLimits(share=4, priority=9),
             "batch": WorkspaceLimits(priority=0),
@@ -122,7 +122,7 @@
 
     @DETERMINISTIC
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 3)), max_size=200))
-    def test_places_are_never_lost_nor_exceeded(
+    def test_slots_are_neither_leaked_nor_exceeded(
         self, steps: list[tuple[int, int]]
     ) -> None:
         control = AdmissionControl(window=4)
@@ -137,8 +137,12 @@
                     self.assertLessEqual(len(held), max(1, window))
             elif held:
                 name = held.pop()
-                ends = (control.on_refused, control.on_neutral_end, control.on_answered)
-                end = ends[step - 3]
+                handlers = (
+                    control.on_refused,
+                    control.on_neutral_end,
+                    control.on_answered,
+                )
+                end = handlers[step - 3]
                 arguments = ((now_s / 10,), (), (0.1, now_s / 10))[step - 3]
                 end(name, *arguments)
             self.assertEqual(control.in_flight, len(held))
@@ -148,14 +152,14 @@
 class QuarantineTest(unittest.TestCase):
     @DETERMINISTIC
     @given(st.integers(0, 2**32))
-    def test_deadly_is_found_and_innocents_go_free(self, seed: int) -> None:
-        # One request crashes each target that runs it, its caller sends it
-        # again, and popular ones are in flight beside it.  The deadly one is
-        # refused from the second crash on, or runs alone once more; the
-        # others, answered since, are not touched.
+    def test_only_the_crashing_request_is_blamed(self, seed: int) -> None:
+        # A caller repeats a request that crashes every target that runs it, while
+        # other requests are in flight there.  The crashing one must be refused
+        # after the second crash, or after it has run alone once more.  The others
+        # must be clear once they are answered.
         rng = random.Random(seed)
         quarantine = Quarantine()
-        innocents = [f"i{number}" for number in range(6)]
+        bystanders = [f"i{number}" for number in range(6)]
         now_s = crashes = 0.0
         for _ in range(8):
             now_s += rng.uniform(1, 5)
@@ -165,16 +169,18 @@
             is_alone = standing is Standing.SUSPECT
             suspects = {
                 name
-                for name in innocents
+                for name in bystanders
                 if quarantine.standing(name, now_s)[0] is not Standing.CLEAR
             }
-            beside = {name for name in innocents if rng.random() < 0.4}
-            beside -= suspects if is_alone else set()
+            in_flight_bystanders = {name for name in bystanders if rng.random() < 0.4}
+            in_flight_bystanders -= suspects if is_alone else set()
             crashes += 1
             crash_id = f"t/{crashes}"
             for _ in range(2):
-                quarantine.on_crash(crash_id, {"deadly", *beside}, now_s, now_s)
-            for name in innocents:
+                quarantine.on_crash(
+                    crash_id, {"deadly", *in_flight_bystanders}, now_s, now_s
+                )
+            for name in bystanders:
                 if rng.random() < 0.7:
                     quarantine.on_answered(name, now_s + 0.5)
                     self.assertIs(
@@ -201,9 +207,7 @@
 
     @DETERMINISTIC
     @given(st.integers(0, 1000))
-    def test_only_targets_that_take_work_and_the_own_zone_first(
-        self, seed: int
-    ) -> None:
+    def test_only_targets_that_accept_work_and_own_zone_first(self, seed: int) -> None:
         leaving = {"status": TargetStatus.LEAVING}
         chosen = self.choose(
             seed,
@@ -217,7 +221,7 @@
         assert not isinstance(chosen, Failure)
         self.assertEqual(chosen.name, "t5")
 
-    def test_all_full_tells_when_to_come_back(self) -> None:
+    def test_refusal_by_full_targets_has_retry_after(self) -> None:
         failure = self.choose(1, {"in_flight": 4, "queued": 4, "latency_s": 4.0})
         assert isinstance(failure, Failure) and failure.retry_after_s
         self.assertGreater(failure.retry_after_s, 4.0)
--- a/reedspar/requests/tests/test_draining.py
+++ b/reedspar/requests/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's graceful stop, in virtual time."""
+"""Tests of an entry's graceful shutdown, in virtual time."""
 
 import unittest
 from typing import Any
@@ -22,10 +22,10 @@
 
 
 class DrainTest(unittest.TestCase):
-    """Each answer takes as long as its path says; the stop begins at 10 s."""
+    """The path gives the duration of an answer in seconds; draining starts at 10 s."""
 
     def run_calls(self, *calls: tuple[float, str]) -> float:
-        """Make (when, path) calls and return when the entry stopped."""
+        """Make (time, path) calls, and return the time when the entry stopped."""
         self.responses: dict[float, httpx.Response] = {}
         return run_virtual(self._run, calls)
 
@@ -69,9 +69,9 @@
             tasks.cancel_scope.cancel()
         return stopped_s
 
-    def test_serves_kept_addresses_then_finishes_then_stops(self) -> None:
-        # An operator replaces an entry.  Callers that keep its address for
-        # five seconds are served; those already waiting get their answer.
+    def test_serves_cached_addresses_then_finishes_then_stops(self) -> None:
+        # An operator replaces an entry.  Callers that cached its address for five
+        # seconds must be served, and requests in flight must be answered.
         stopped_s = self.run_calls(
             (1, "/v1/addresses"),
             (11, "/v1/addresses"),
@@ -87,15 +87,15 @@
         self.assertEqual(self.responses[16.5].json()["reason"], "draining")
         self.assertAlmostEqual(stopped_s, 18.0, delta=0.2)
 
-    def test_at_the_bound_callers_get_the_truth(self) -> None:
-        # An answer takes longer than the stop may.  Its caller is told that
-        # the outcome is unknown instead of meeting a connection that closes.
+    def test_requests_in_flight_at_the_timeout_end_as_unknown(self) -> None:
+        # An answer takes longer than the drain timeout.  Its caller must get an
+        # unknown outcome instead of a closed connection.
         stopped_s = self.run_calls((9, "/v1/pools/orders/50"))
         self.assertEqual(self.responses[9].status_code, 504)
         self.assertEqual(self.responses[9].json()["step"], "drain")
         self.assertLess(stopped_s, 31.5)
 
-    def test_an_idle_entry_outlasts_kept_addresses_only(self) -> None:
+    def test_idle_entry_waits_for_cached_addresses_only(self) -> None:
         self.assertAlmostEqual(self.run_calls(), 16.0, delta=0.2)
 
 
--- a/reedspar/requests/tests/virtual.py
+++ b/reedspar/requests/tests/virtual.py
@@ -1,6 +1,7 @@
-"""An event loop whose time jumps to the next timer, so that hours take no time.
+"""Event loop in virtual time, which jumps to the next timer instead of waiting.
 
-Histories of many tasks run the same way each time, whatever the machine does.
+Simulated hours take little real time, and simulations of many tasks are
+deterministic whatever the load of the machine.
 """
 
 import asyncio
@@ -18,14 +19,14 @@
 TICK_S = 0.25
 
 
-class JumpSelector(selectors.SelectSelector):
-    """Takes a wait for timers as a jump of the loop's time."""
+class TimeJumpSelector(selectors.SelectSelector):
+    """Advances the loop's time by the timeout instead of waiting."""
 
     now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("every task waits and no timer is left")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         self.now_s += max(0.0, timeout)
         return super().select(0)
 
@@ -34,15 +35,15 @@
     """An event loop in virtual time."""
 
     def __init__(self) -> None:
-        self._jumps = JumpSelector()
-        super().__init__(self._jumps)
+        self._time_selector = TimeJumpSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
-        return self._jumps.now_s
+        return self._time_selector.now_s
 
 
 class LoopClock:
-    """The running loop's time."""
+    """Clock of the running event loop."""
 
     def now_s(self) -> float:
         return anyio.current_time()
@@ -53,6 +54,6 @@
 
 
 def run_virtual(function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
-    """Run an async function to its end in virtual time."""
+    """Run an async function in virtual time, and return its result."""
     options = {"loop_factory": VirtualLoop}
     return anyio.run(function, *arguments, backend_options=options)
