--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -1,8 +1,8 @@
-"""Shell around the assembly of answers: sends attempts and keeps them going.
+"""Client that sends attempts to agents and receives their answers.
 
-Handlers of the network are synchronous: they feed the assembly and wake the
-one task that waits for it.  All messages that arrive in one turn of the event
-loop thus cost one wake-up and one write to the caller.
+Message handlers are synchronous: they update the assembly and wake the one task
+that waits for it.  All messages of one event loop iteration thus cost one wake-up
+and one write to the caller.
 """
 
 from collections.abc import Callable
@@ -31,23 +31,26 @@
 
 __all__ = ["AttemptClient", "ClientCounts", "OpenAttempt", "create_attempt_client"]
 
-SWEEP_S = 0.25
-RESUME_AFTER_S = 1.0
-"""Silence on an attempt after which its agent is asked for more."""
-GAP_RESUME_S = 0.1
-LOST_AFTER_S = 3.0
-"""Silence after which an idempotent request is better run elsewhere."""
-ROOM_BYTES = 16 * 1024 * 1024
-"""Most bytes of one answer that wait for the caller."""
-ACK_EVERY_BYTES = 256 * 1024
+SWEEP_INTERVAL_S = 0.25
+RESUME_AFTER_SILENCE_S = 1.0
+"""Time without a message after which the agent is asked to resume the answer."""
+GAP_RESUME_INTERVAL_S = 0.1
+"""Minimum time between two requests to resume an answer after a gap."""
+LOST_AFTER_SILENCE_S = 3.0
+"""Time without a message after which an idempotent attempt is given up.
+
+The request is then run by another target."""
+ANSWER_BUFFER_BYTES = 16 * 1024 * 1024
+"""Maximum size of the unread part of one answer."""
+ACK_INTERVAL_BYTES = 256 * 1024
 
 
 @dataclass(slots=True)
 class ClientCounts:
-    """What the client met, for the metrics."""
+    """Event counts of the client, for the metrics."""
 
     dropped: int = 0
-    """Messages that matched no open attempt."""
+    """Messages that belonged to no open attempt."""
     gaps: int = 0
     resumed: int = 0
     corrupt: int = 0
@@ -55,7 +58,7 @@
 
 
 class OpenAttempt:
-    """One attempt that waits for its answer; one task may wait at a time."""
+    """An attempt whose answer is being received; only one task may wait for it."""
 
     def __init__(self, assembly: AnswerAssembly, now_s: float) -> None:
         self.assembly = assembly
@@ -63,19 +66,19 @@
         self.last_received_s = now_s
         self.last_resume_s = now_s
         self.acked_bytes = 0
-        self.buffer_limit_bytes = ROOM_BYTES
+        self.buffer_limit_bytes = ANSWER_BUFFER_BYTES
         self.is_streamed = False
         self.is_buffer_full = False
         self._event: anyio.Event | None = None
 
     @property
     def target(self) -> str:
-        """Return the name of the agent that it was handed to."""
+        """Return the name of the agent that the attempt was handed to."""
         return self.assembly.target
 
     @property
     def acknowledgeable_bytes(self) -> int:
-        """Return how much of the answer the agent need not keep any longer."""
+        """Return how many bytes of the answer the agent may discard."""
         assembly = self.assembly
         waiting = assembly.pending_bytes if self.is_streamed else 0
         return assembly.size_bytes - waiting
@@ -87,21 +90,21 @@
             self._event = None
 
     async def wait(self) -> None:
-        """Wait for news."""
+        """Wait until `wake` is called."""
         self._event = anyio.Event()
         await self._event.wait()
 
 
 class AttemptClient:
-    """Hands requests over to agents and matches what they answer."""
+    """Hands requests over to agents and matches their messages to attempts."""
 
     def __init__(
         self,
         network: Network,
         timers: TimerService,
         *,
-        resume_after_s: float = RESUME_AFTER_S,
-        lost_after_s: float = LOST_AFTER_S,
+        resume_after_s: float = RESUME_AFTER_SILENCE_S,
+        lost_after_s: float = LOST_AFTER_SILENCE_S,
     ) -> None:
         self._network = network
         self._timers = timers
@@ -115,15 +118,15 @@
         network.subscribe(AttemptRefused, self._on_refused)
         network.subscribe(AttemptStatus, self._on_status)
         network.on_link_event(self._on_link_event)
-        timers.call_every(SWEEP_S, self.sweep)
+        timers.call_every(SWEEP_INTERVAL_S, self.sweep)
 
     @property
     def open_count(self) -> int:
-        """Return how many attempts wait for their answer."""
+        """Return the number of open attempts."""
         return len(self._open)
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
-        """Hand a request over; a failure means that nothing was handed over."""
+        """Hand a request over, or return a failure if nothing was handed over."""
         key = (start.request_id, start.attempt)
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
         self._open[key] = attempt
@@ -134,7 +137,7 @@
         return attempt
 
     def close(self, attempt: OpenAttempt) -> None:
-        """Let go of an attempt; an unfinished one is cancelled at its agent."""
+        """Close an attempt; cancel it at its agent if it is unfinished."""
         start = attempt.assembly.start
         if self._open.pop((start.request_id, start.attempt), None) is None:
             return
@@ -144,7 +147,7 @@
             self.cancel(attempt)
 
     def cancel(self, attempt: OpenAttempt) -> None:
-        """Ask the agent to revoke or cancel; its word is awaited as before."""
+        """Ask the agent to revoke or cancel the attempt, without closing it."""
         start = attempt.assembly.start
         attempt.assembly.is_cancelled = True
         message = AttemptCancel(
@@ -153,7 +156,7 @@
         self._network.send(attempt.target, message)
 
     def read_available(self, attempt: OpenAttempt) -> bytes:
-        """Return the bytes that arrived, and tell the agent now and then."""
+        """Return the bytes that arrived, and acknowledge them at intervals."""
         data = attempt.assembly.read_available()
         self._ack_progress(attempt)
         if attempt.is_buffer_full:
@@ -162,13 +165,13 @@
         return data
 
     def on_incarnation(self, target: str, incarnation: int) -> None:
-        """Give up the attempts at predecessors of a restarted agent."""
-        for attempt in self._open_at(target):
+        """Give up attempts that earlier incarnations of a restarted agent had."""
+        for attempt in self._list_open_at(target):
             if 0 < attempt.assembly.start.agent_incarnation < incarnation:
                 self._give_up(attempt, "the agent was restarted")
 
     def sweep(self) -> None:
-        """Resume what went silent, and give up what is better run elsewhere."""
+        """Resume silent attempts; give up idempotent ones after a longer silence."""
         now_s = self._timers.now_s()
         for attempt in list(self._open.values()):
             if not attempt.assembly.is_open:
@@ -183,18 +186,18 @@
                 self._resume(attempt)
 
     def _on_link_event(self, event: LinkEvent) -> None:
-        """Resume on a new link; give up where no process is left to ask."""
+        """Resume attempts on a new link; give up those whose agent is gone."""
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
             is_gone = event.reason is Reason.UNAVAILABLE
-            for attempt in self._open_at(event.peer):
+            for attempt in self._list_open_at(event.peer):
                 if is_gone or attempt.assembly.start.is_idempotent:
                     self._give_up(attempt, "the link to its agent is down")
             return
         self.on_incarnation(event.peer, event.incarnation)
-        for attempt in self._open_at(event.peer):
+        for attempt in self._list_open_at(event.peer):
             self._resume(attempt)
 
-    def _open_at(self, target: str) -> list[OpenAttempt]:
+    def _list_open_at(self, target: str) -> list[OpenAttempt]:
         return [
             attempt
             for attempt in self._open.values()
@@ -221,11 +224,12 @@
         self._network.send(attempt.target, message)
 
     def _ack_progress(self, attempt: OpenAttempt) -> None:
-        """Open the agent's window as far as a stream's caller has read on.
+        """Acknowledge the answer if enough of it is new, to open the agent's window.
 
-        An answer that is passed on as a whole is acknowledged as it arrives.
+        A stream is acknowledged as its caller reads it, any other answer as it
+        arrives.
         """
-        if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_EVERY_BYTES:
+        if attempt.acknowledgeable_bytes - attempt.acked_bytes >= ACK_INTERVAL_BYTES:
             self._ack(attempt, is_complete=False)
 
     def _ack(self, attempt: OpenAttempt, *, is_complete: bool) -> None:
@@ -240,10 +244,10 @@
         self._feed(sender, message, lambda assembly: assembly.on_head(message))
 
     def _on_data(self, sender: Sender, message: AttemptData) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
             progress = attempt.assembly.on_data(message, attempt.buffer_limit_bytes)
-            self._react(attempt, progress)
+            self._apply_progress(attempt, progress)
             if not attempt.is_streamed:
                 self._ack_progress(attempt)
 
@@ -251,11 +255,11 @@
         self._feed(sender, message, lambda assembly: assembly.on_end(message))
 
     def _on_refused(self, sender: Sender, message: AttemptRefused) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
             age_s = attempt.last_received_s - attempt.started_s
             progress = attempt.assembly.on_refused(message, sender.incarnation, age_s)
-            self._react(attempt, progress)
+            self._apply_progress(attempt, progress)
 
     def _on_status(self, sender: Sender, message: AttemptStatus) -> None:
         self._feed(
@@ -267,30 +271,30 @@
     def _feed(
         self, sender: Sender, message: Any, feed: Callable[[AnswerAssembly], Progress]
     ) -> None:
-        attempt = self._find(sender, message)
+        attempt = self._find_attempt(sender, message)
         if attempt is not None:
-            self._react(attempt, feed(attempt.assembly))
+            self._apply_progress(attempt, feed(attempt.assembly))
 
-    def _find(self, sender: Sender, message: Any) -> OpenAttempt | None:
+    def _find_attempt(self, sender: Sender, message: Any) -> OpenAttempt | None:
         attempt = self._open.get((message.request_id, message.attempt))
         if attempt is None or attempt.target != sender.name:
             self.counts.dropped += 1
-            self._let_go(sender, message)
+            self._discard_answer(sender, message)
             return None
         attempt.last_received_s = self._timers.now_s()
         return attempt
 
-    def _let_go(self, sender: Sender, message: Any) -> None:
-        """Tell the agent that nobody waits for this answer any more.
+    def _discard_answer(self, sender: Sender, message: Any) -> None:
+        """Acknowledge an answer that no attempt waits for any more.
 
-        Else it would keep the answer, and its graceful stop would wait for it.
+        Otherwise the agent would keep the answer and delay its graceful stop.
         """
         if isinstance(message, AttemptEnd):
             key = (message.request_id, message.attempt)
             ack = AttemptAck(*key, message.length_bytes, is_complete=True)
             self._network.send(sender.name, ack)
 
-    def _react(self, attempt: OpenAttempt, progress: Progress) -> None:
+    def _apply_progress(self, attempt: OpenAttempt, progress: Progress) -> None:
         if progress is Progress.NEWS:
             attempt.wake()
         elif progress is Progress.MISSING:
@@ -299,10 +303,10 @@
             attempt.is_buffer_full = True
         elif progress is Progress.GAP and not attempt.is_buffer_full:
             self.counts.gaps += 1
-            if attempt.last_received_s - attempt.last_resume_s >= GAP_RESUME_S:
+            if attempt.last_received_s - attempt.last_resume_s >= GAP_RESUME_INTERVAL_S:
                 self._resume(attempt)
 
 
 def create_attempt_client(network: Network, timers: TimerService) -> AttemptClient:
-    """Make a client and subscribe it to the answers of agents."""
+    """Create a client and subscribe it to the messages of agents."""
     return AttemptClient(network, timers)
--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -1,7 +1,8 @@
-"""Shell around the quarantine: hears of crashes and passes the news on.
+"""Gossip between entries about crashes of targets, as input of the quarantine.
 
-News goes at once to a few entries, and again now and then for as long as it
-counts, so that entries that were cut off or started later hear of it, too.
+News of a crash is sent to a few entries at once.  Recent crashes are also sent
+to a random entry at intervals, so that entries that were unreachable or started
+later learn of them.
 """
 
 import random
@@ -17,13 +18,15 @@
 
 __all__ = ["CrashGossip", "create_crash_gossip"]
 
-FANOUT = 4
-REPEAT_S = 2.0
-REPEATED_MAX = 16
+NEWS_FANOUT = 4
+"""Number of entries to which news of a crash is sent at once."""
+REPEAT_INTERVAL_S = 2.0
+REPEATED_CRASHES_MAX = 16
+"""Maximum number of recent crashes sent in one repetition."""
 
 
 class CrashGossip:
-    """Feeds one entry's quarantine."""
+    """Exchanges crash news with other entries and updates the quarantine."""
 
     def __init__(
         self,
@@ -42,32 +45,32 @@
         self._rng = rng
         network.subscribe(CrashNotice, self._on_notice)
         network.subscribe(CrashNews, self._on_news)
-        timers.call_every(REPEAT_S, self._repeat)
+        timers.call_every(REPEAT_INTERVAL_S, self._repeat_recent)
 
     def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
-        """Take in a crash that this entry has noticed by itself."""
-        self._take(CrashNews(crash_id, fingerprints, 0))
+        """Add a crash that this entry detected itself, and send it to others."""
+        self._handle_news(CrashNews(crash_id, fingerprints, 0))
 
     def _on_notice(self, sender: Sender, notice: CrashNotice) -> None:
         crash_id = f"{notice.target}/{notice.boot_id}"
-        self._take(CrashNews(crash_id, notice.fingerprints, 0))
+        self._handle_news(CrashNews(crash_id, notice.fingerprints, 0))
 
     def _on_news(self, sender: Sender, news: CrashNews) -> None:
-        self._take(news)
+        self._handle_news(news)
 
-    def _take(self, news: CrashNews) -> None:
+    def _handle_news(self, news: CrashNews) -> None:
         now_s = self._timers.now_s()
         at_s = now_s - news.age_ms / 1000
         is_new = self._quarantine.on_crash(
             news.crash_id, news.fingerprints, at_s, now_s
         )
         if is_new:
-            for peer in self._pick_entries(FANOUT):
+            for peer in self._pick_entries(NEWS_FANOUT):
                 self._network.send(peer, news)
 
-    def _repeat(self) -> None:
+    def _repeat_recent(self) -> None:
         now_s = self._timers.now_s()
-        crashes = self._quarantine.recent(now_s)[:REPEATED_MAX]
+        crashes = self._quarantine.list_recent(now_s)[:REPEATED_CRASHES_MAX]
         if not crashes:
             return
         for peer in self._pick_entries(1):
@@ -93,8 +96,9 @@
     rng: random.Random,
     list_entries: Callable[[], Iterable[str]] | None = None,
 ) -> CrashGossip:
-    """Make the gossip of entry `name` and subscribe it to notices.
+    """Create the gossip of entry `name` and subscribe it to crash notices.
 
-    News goes to the entries that a link is open to, or to those listed.
+    News is sent to the entries that `list_entries` returns, by default to those
+    with an open link.
     """
     return CrashGossip(name, quarantine, network, timers, rng, list_entries)
