--- a/reedspar/weights/__init__.py
+++ b/reedspar/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weights: manifests, their distribution among agents, and activation in engines."""
+"""Distribution of model weights among agents, and their activation in engines."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/weights/activation.py
+++ b/reedspar/weights/activation.py
@@ -1,4 +1,4 @@
-"""Activation: when a target may switch to a version, decided from what peers say."""
+"""Coordination of the agents of a pool, so that few targets switch versions at once."""
 
 import math
 from collections.abc import Iterable
@@ -9,139 +9,143 @@
 from reedspar.utils import rank_by_rendezvous
 
 from .messages import VersionNotice, VersionPhase
-from .succession import SWITCH_S
+from .succession import SWITCH_DURATION_S
 
 __all__ = ["SwitchDecision", "SwitchGate", "choose_cohort"]
 
-COHORT_MIN = 8
-"""Least size of a cohort, so that a share of it is a whole number of targets."""
-SILENT_AFTER_S = 5.0
-"""A peer that waits or switches repeats it each second; after this it is silent."""
-ANSWER_WAIT_S = 3.0
-"""How long a target that could switch waits for its peers to answer."""
+COHORT_SIZE_MIN = 8
+"""Minimum size of a cohort; a share of it then corresponds to whole targets."""
+PEER_SILENCE_TIMEOUT_S = 5.0
+"""Waiting and switching peers repeat their notice every second.
+
+A peer is considered silent if none arrives for this time."""
+PEER_ANSWER_TIMEOUT_S = 3.0
+"""Maximum time that a target ready to switch waits for its peers to answer."""
 
 
 class SwitchGate(Protocol):
-    """The agent's side of a switch: no request may see two versions."""
+    """Admission control during a switch, so that no request sees two versions."""
 
     async def begin_switch(self, model: str) -> Failure | None:
-        """Admit no more for a model, and return once none in flight uses it."""
+        """Stop admitting requests for a model, and return once none is in flight."""
         ...
 
     def end_switch(self, model: str) -> None:
-        """Admit again whatever is offered."""
+        """Resume admission of requests for a model."""
         ...
 
 
 def choose_cohort(me: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Return the peers that take turns with this target, without itself.
+    """Return the other members of this target's cohort.
 
-    A pool is cut into cohorts of 8 to 15, by the order of a hash: each keeps
-    the share within itself, so the pool does, and what a target sends for a
-    switch does not grow with the pool.
+    A pool is divided into cohorts of 8 to 15 targets in the order of a hash.  Each
+    cohort limits its own share of switching targets, which also limits that of the
+    pool, and the messages that a target sends per switch do not grow with the pool.
     """
-    ring = rank_by_rendezvous("cohort", {me, *names})
-    count = max(1, len(ring) // COHORT_MIN)
-    cohort = ring.index(me) * count // len(ring)
+    ranking = rank_by_rendezvous("cohort", {me, *names})
+    count = max(1, len(ranking) // COHORT_SIZE_MIN)
+    cohort = ranking.index(me) * count // len(ranking)
     return tuple(
         name
-        for place, name in enumerate(ring)
-        if place * count // len(ring) == cohort and name != me
+        for position, name in enumerate(ranking)
+        if position * count // len(ranking) == cohort and name != me
     )
 
 
 @dataclass(frozen=True, slots=True)
-class _Word:
+class _PeerPhase:
     phase: VersionPhase
-    heard_s: float
+    received_s: float
 
 
 class SwitchDecision:
-    """Whether this target may switch a model now, so that its cohort keeps serving.
+    """Decides when this target may switch a model while its cohort keeps serving.
 
-    Those that could switch take turns by rank.  A peer that is dead is not in
-    the view; one that is silent takes up a turn, but never the last one: the
-    roll-out slows down while peers are frozen, and does not stop.
+    Targets that are ready to switch do so in the order of their rank.  Dead peers are
+    not in the cohort.  A silent peer occupies one of the switches allowed at a time,
+    but never the last one, so frozen peers slow the roll-out down without stopping it.
     """
 
     def __init__(self, me: str, share: float) -> None:
         self._me = me
         self._share = share
         self._cohort: tuple[str, ...] = ()
-        self._words: dict[str, _Word] = {}
+        self._peer_phases: dict[str, _PeerPhase] = {}
         self._root_digest = ""
-        self._since_s = 0.0
+        self._waiting_since_s = 0.0
         self._deadline_s = float("inf")
 
     @property
     def cohort(self) -> tuple[str, ...]:
-        """Return the peers that take turns with this target."""
+        """Return the other members of this target's cohort."""
         return self._cohort
 
-    def allowed(self, now_s: float) -> int:
-        """Return how many of the cohort may switch at once; at least one.
+    def max_switching(self, now_s: float) -> int:
+        """Return how many targets of the cohort may switch at once; at least one.
 
-        Where the older version has to go by a time, the cohort takes as many
-        turns as fit before it, and one more that begins then.
+        If the older version has a deadline, the cohort switches in as many rounds as
+        fit before it, plus one that begins at the deadline.
         """
         size = len(self._cohort) + 1
         count = max(1, int(self._share * size))
         if self._deadline_s == float("inf"):
             return count
-        turns = 1 + max(0, math.ceil((self._deadline_s - now_s) / SWITCH_S))
+        turns = 1 + max(0, math.ceil((self._deadline_s - now_s) / SWITCH_DURATION_S))
         return max(count, math.ceil(size / turns))
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Take the live agents of the pool."""
+        """Set the live agents of the pool."""
         self._cohort = choose_cohort(self._me, names)
-        self._words = {n: w for n, w in self._words.items() if n in self._cohort}
+        self._peer_phases = {
+            n: w for n, w in self._peer_phases.items() if n in self._cohort
+        }
 
-    def note(self, peer: str, notice: VersionNotice, now_s: float) -> None:
-        """Take a peer's word."""
+    def record_notice(self, peer: str, notice: VersionNotice, now_s: float) -> None:
+        """Record the phase that a peer has announced."""
         if peer in self._cohort:
-            self._words[peer] = _Word(notice.phase, now_s)
+            self._peer_phases[peer] = _PeerPhase(notice.phase, now_s)
 
     def set_deadline(self, deadline_s: float) -> None:
-        """Take the time from which the older version serves nobody any more."""
+        """Set the time from which the older version may not be served."""
         self._deadline_s = deadline_s
 
     def begin_waiting(self, root_digest: str, now_s: float) -> None:
-        """Note that this target could switch from now on."""
+        """Record that this target is ready to switch to a version."""
         if root_digest != self._root_digest:
-            # What was heard before says nothing of who could switch now: two
-            # that went by it would switch at once.  Each peer answers anew.
-            self._words.clear()
+            # Phases received earlier do not show which peers are ready now: two
+            # targets that relied on them would switch at the same time.
+            self._peer_phases.clear()
             self._root_digest = root_digest
-            self._since_s = now_s
+            self._waiting_since_s = now_s
 
     def handle_pause(self, now_s: float) -> None:
-        """Forget what peers said before a pause; wait for them to answer again."""
-        self._words.clear()
-        self._since_s = now_s
+        """Discard phases from before a pause, and wait for new answers."""
+        self._peer_phases.clear()
+        self._waiting_since_s = now_s
 
     def may_switch(self, now_s: float) -> bool:
-        """Tell whether it is this target's turn."""
+        """Return whether this target may switch now."""
         if now_s >= self._deadline_s:
             return True
-        has_waited = now_s - self._since_s >= ANSWER_WAIT_S
-        if len(self._words) < len(self._cohort) and not has_waited:
+        has_waited = now_s - self._waiting_since_s >= PEER_ANSWER_TIMEOUT_S
+        if len(self._peer_phases) < len(self._cohort) and not has_waited:
             return False
         ranked = rank_by_rendezvous(self._root_digest, [self._me, *self._cohort])
         before_me = set(ranked[: ranked.index(self._me)])
-        words = [(peer, self._words.get(peer)) for peer in self._cohort]
-        silent = sum(w is None or self._is_silent(w, now_s) for _, w in words)
+        peer_phases = [(peer, self._peer_phases.get(peer)) for peer in self._cohort]
+        silent = sum(w is None or self._is_silent(w, now_s) for _, w in peer_phases)
         ahead = sum(
-            self._is_ahead(word, peer in before_me)
-            for peer, word in words
-            if word is not None and not self._is_silent(word, now_s)
+            self._is_ahead(peer_phase, peer in before_me)
+            for peer, peer_phase in peer_phases
+            if peer_phase is not None and not self._is_silent(peer_phase, now_s)
         )
-        return ahead < max(1, self.allowed(now_s) - silent)
+        return ahead < max(1, self.max_switching(now_s) - silent)
 
-    def _is_ahead(self, word: _Word, is_before_me: bool) -> bool:
-        if word.phase is VersionPhase.WAITING:
+    def _is_ahead(self, peer_phase: _PeerPhase, is_before_me: bool) -> bool:
+        if peer_phase.phase is VersionPhase.WAITING:
             return is_before_me
-        return word.phase is VersionPhase.SWITCHING
+        return peer_phase.phase is VersionPhase.SWITCHING
 
-    def _is_silent(self, word: _Word, now_s: float) -> bool:
-        is_repeated = word.phase in (VersionPhase.WAITING, VersionPhase.SWITCHING)
-        return is_repeated and now_s - word.heard_s > SILENT_AFTER_S
+    def _is_silent(self, peer_phase: _PeerPhase, now_s: float) -> bool:
+        is_repeated = peer_phase.phase in (VersionPhase.WAITING, VersionPhase.SWITCHING)
+        return is_repeated and now_s - peer_phase.received_s > PEER_SILENCE_TIMEOUT_S
--- a/reedspar/weights/announcing.py
+++ b/reedspar/weights/announcing.py
@@ -1,4 +1,4 @@
-"""Keeping few neighbours told of what an agent holds, in batches."""
+"""Announcement of held chunks to a bounded set of neighbours, in batches."""
 
 from collections import OrderedDict
 
@@ -10,37 +10,37 @@
 
 __all__ = ["Announcer", "EarlyMaps"]
 
-ASK_AGAIN_S = 1.0
-LINK_WAIT_S = 0.2
-EARLY_MAX = 64
-"""Maps kept of versions that this agent does not know yet."""
+MAP_REQUEST_INTERVAL_S = 1.0
+LINK_RETRY_DELAY_S = 0.2
+EARLY_MAPS_MAX = 64
 
 
 class EarlyMaps:
-    """Maps of versions that this agent does not know yet.
+    """Stores maps of versions whose manifest this agent has not read yet.
 
-    A version is named to all at once, and some read its manifest sooner.  Dropped, the
-    map of one that asks would be sent again after a second, a fifth of a transfer.
+    All agents learn of a version at the same time, but some read its manifest sooner.
+    If their maps were discarded, they would be sent again only after 1 s, which is a
+    fifth of the duration of a transfer.
     """
 
     def __init__(self) -> None:
         self._maps: OrderedDict[tuple[str, str], HaveMap] = OrderedDict()
 
-    def keep(self, peer: str, message: HaveMap | HaveUpdate) -> None:
-        """Keep a peer's map until its version is known."""
+    def store(self, peer: str, message: HaveMap | HaveUpdate) -> None:
+        """Store a peer's map until the manifest of its version is read."""
         if isinstance(message, HaveMap):
             self._maps[message.root_digest, peer] = message
-            while len(self._maps) > EARLY_MAX:
+            while len(self._maps) > EARLY_MAPS_MAX:
                 self._maps.popitem(last=False)
 
-    def take(self, root_digest: str) -> list[tuple[str, HaveMap]]:
-        """Return and forget the maps of a version, by peer."""
+    def pop(self, root_digest: str) -> list[tuple[str, HaveMap]]:
+        """Remove and return the maps of a version, with the peer of each."""
         found = [key for key in self._maps if key[0] == root_digest]
         return [(peer, self._maps.pop((root, peer))) for root, peer in found]
 
 
 class Announcer:
-    """Exchange maps of one version with its neighbours."""
+    """Exchanges the maps of one version with neighbours."""
 
     def __init__(
         self, transfer: Transfer, placement: Placement, actions: list[Action]
@@ -49,15 +49,15 @@
         self._placement = placement
         self._actions = actions
 
-    def join(self, now_s: float, *, is_asking: bool) -> None:
-        """Take the live agents of the region, and ask the chosen ones for maps."""
+    def update_neighbours(self, now_s: float, *, is_requesting: bool) -> None:
+        """Update the neighbours to the live agents, and request maps from new ones."""
         table = self._transfer.table
         placement = self._placement
         live = set(placement.region_names)
         for name in list(table.neighbours):
             if name not in live:
                 table.remove(name)
-        if not is_asking:
+        if not is_requesting:
             return
         names = [
             name
@@ -71,18 +71,18 @@
             [name for name in names if placement.is_cache(name)],
         ):
             neighbour = table.add(name)
-            if neighbour is not None and not neighbour.asked_s:
+            if neighbour is not None and not neighbour.map_requested_s:
                 self.send_map(neighbour, now_s, is_reply_wanted=True)
 
     def send_map(
         self, neighbour: Neighbour, now_s: float, *, is_reply_wanted: bool
     ) -> None:
-        """Tell a neighbour everything."""
+        """Send this agent's complete maps to a neighbour."""
         transfer = self._transfer
         chunk_count = len(transfer.digests)
         neighbour.sent_sequence += 1
         if is_reply_wanted:
-            neighbour.asked_s = now_s
+            neighbour.map_requested_s = now_s
         message = HaveMap(
             transfer.root_digest,
             neighbour.sent_sequence,
@@ -92,8 +92,8 @@
         )
         self._actions.append(SendMessage(neighbour.name, message))
 
-    def tell_dropped(self) -> None:
-        """Tell the neighbours that nothing more of this version is needed here."""
+    def announce_not_needed(self) -> None:
+        """Announce to the neighbours that this agent needs no more chunks."""
         transfer = self._transfer
         chunk_count = len(transfer.digests)
         for neighbour in transfer.table.neighbours.values():
@@ -108,27 +108,27 @@
             self._actions.append(SendMessage(neighbour.name, message))
 
     def handle_send_failure(self, peer: str) -> None:
-        """Ask a neighbour again soon, as no link to it is open yet."""
+        """Schedule another map request to a neighbour whose link is not open yet."""
         neighbour = self._transfer.table.neighbours.get(peer)
         if neighbour is not None:
-            neighbour.asked_s -= ASK_AGAIN_S - LINK_WAIT_S
+            neighbour.map_requested_s -= MAP_REQUEST_INTERVAL_S - LINK_RETRY_DELAY_S
 
-    def ask_again(self, now_s: float) -> None:
-        """Ask the neighbours that have not answered yet."""
+    def repeat_requests(self, now_s: float) -> None:
+        """Repeat the requests to neighbours that have not answered."""
         for neighbour in self._transfer.table.neighbours.values():
-            is_due = now_s - neighbour.asked_s >= ASK_AGAIN_S
+            is_due = now_s - neighbour.map_requested_s >= MAP_REQUEST_INTERVAL_S
             if not neighbour.has_answered and is_due:
                 self.send_map(neighbour, now_s, is_reply_wanted=True)
 
-    def take(self, peer: str, message: HaveMap | HaveUpdate, now_s: float) -> None:
-        """Take what a peer tells of itself."""
+    def handle(self, peer: str, message: HaveMap | HaveUpdate, now_s: float) -> None:
+        """Handle an announcement of a peer."""
         if isinstance(message, HaveMap):
-            self.take_map(peer, message, now_s)
+            self.handle_map(peer, message, now_s)
         else:
-            self.take_update(peer, message, now_s)
+            self.handle_update(peer, message, now_s)
 
-    def take_map(self, peer: str, message: HaveMap, now_s: float) -> None:
-        """Take a peer's maps, and answer with the own ones if it asks."""
+    def handle_map(self, peer: str, message: HaveMap, now_s: float) -> None:
+        """Store a peer's complete maps, and reply with the local maps if requested."""
         table = self._transfer.table
         neighbour = table.add(peer, is_source=self._placement.is_source(peer))
         if neighbour is None:
@@ -138,32 +138,32 @@
         seen_before = table.seen_map
         table.set_maps(neighbour, held, decode_map(message.obtained), now_s)
         if table.seen_map != seen_before:
-            self._transfer.note_progress(now_s)
+            self._transfer.record_progress(now_s)
         if message.is_reply_wanted:
             self.send_map(neighbour, now_s, is_reply_wanted=False)
 
-    def take_update(self, peer: str, message: HaveUpdate, now_s: float) -> None:
-        """Take a peer's changes; ask for its whole maps if some were missed."""
+    def handle_update(self, peer: str, message: HaveUpdate, now_s: float) -> None:
+        """Apply a peer's changes; request its complete maps if an update was lost."""
         table = self._transfer.table
         neighbour = table.neighbours.get(peer)
         if neighbour is None:
             return
         if message.sequence != neighbour.seen_sequence + 1:
-            # A link died with an update in it.  Chunks that the peer gained
-            # would never be asked of it again, so its maps are read anew.
+            # An update was lost with a broken link.  The chunks in it would never be
+            # requested from this peer, so its complete maps are requested.
             self.send_map(neighbour, now_s, is_reply_wanted=True)
         neighbour.seen_sequence = message.sequence
         if table.update(neighbour, message.gained, message.dropped, now_s):
-            self._transfer.note_progress(now_s)
+            self._transfer.record_progress(now_s)
 
-    def is_lacking(self, peer: str) -> bool:
-        """Tell whether a neighbour still needs a chunk."""
+    def needs_more(self, peer: str) -> bool:
+        """Return whether a neighbour still needs a chunk."""
         table = self._transfer.table
         neighbour = table.neighbours.get(peer)
         return neighbour is not None and neighbour.obtained != table.full_map
 
     def flush(self, now_s: float) -> None:
-        """Tell the neighbours that still lack chunks what has changed."""
+        """Send pending changes to the neighbours that still lack chunks."""
         transfer = self._transfer
         if now_s < transfer.flush_at_s or not (transfer.gained or transfer.dropped):
             return
@@ -183,7 +183,7 @@
             self._actions.append(SendMessage(neighbour.name, message))
 
     def due_s(self) -> float | None:
-        """Return when the next batch is due, or None if there is none."""
+        """Return the time of the next batch, or None if there are no changes."""
         transfer = self._transfer
-        has_news = transfer.gained or transfer.dropped
-        return transfer.flush_at_s if has_news else None
+        has_changes = transfer.gained or transfer.dropped
+        return transfer.flush_at_s if has_changes else None
--- a/reedspar/weights/assembly.py
+++ b/reedspar/weights/assembly.py
@@ -1,4 +1,4 @@
-"""Assembly of an object from pieces that arrive in order."""
+"""Assembly and verification of objects that arrive as ordered pieces."""
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.utils import digest_bytes
@@ -9,11 +9,11 @@
 __all__ = ["OBJECT_LIMIT_BYTES", "Assembly", "split_into_pieces"]
 
 OBJECT_LIMIT_BYTES = 2 * CHUNK_LIMIT_BYTES
-"""Largest object; a manifest of 65,536 chunks stays below it."""
+"""Maximum object size; a manifest of 65,536 chunks is smaller."""
 
 
 class Assembly:
-    """The pieces of one request, and the check of the whole."""
+    """Collects the pieces of one request and verifies the complete object."""
 
     def __init__(self, digest: str, size_bytes: int | None) -> None:
         self._digest = digest
@@ -22,38 +22,37 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the whole."""
+        """Return the digest of the complete object."""
         return self._digest
 
     @property
     def received_bytes(self) -> int:
-        """Return how much has arrived."""
+        """Return the number of bytes received so far."""
         return len(self._data)
 
     @property
     def size_bytes(self) -> int | None:
-        """Return the size of the whole, None until it is known."""
+        """Return the size of the complete object, or None if it is not known yet."""
         return self._size_bytes
 
     def add(self, piece: ChunkPiece, peer: str) -> bytes | Failure | None:
-        """Take the next piece; return the checked object once it is whole.
+        """Add the next piece, and return the object once it is complete and verified.
 
-        `CORRUPT` if the sender broke the order or the sizes, or if the digest
-        does not fit: nothing that fails the check ever leaves here.
+        Return a `CORRUPT` failure if the order, a size or the digest is wrong.
         """
         expected_bytes = self._size_bytes or piece.total_bytes
         end = piece.offset + len(piece.data)
         is_in_order = piece.offset == len(self._data) and piece.data
         is_in_bounds = end <= piece.total_bytes <= OBJECT_LIMIT_BYTES
         if not (is_in_order and is_in_bounds and piece.total_bytes == expected_bytes):
-            return self._fail(peer, f"piece at {piece.offset} does not fit")
+            return self._fail(peer, f"unexpected piece at offset {piece.offset}")
         self._size_bytes = piece.total_bytes
         self._data += piece.data
         if end < piece.total_bytes:
             return None
         data = bytes(self._data)
         if digest_bytes(data) != self._digest:
-            return self._fail(peer, "digest does not fit")
+            return self._fail(peer, "digest does not match")
         return data
 
     def _fail(self, peer: str, detail: str) -> Failure:
@@ -62,7 +61,7 @@
 
 
 def split_into_pieces(digest: str, request_id: int, data: bytes) -> list[ChunkPiece]:
-    """Return the messages that carry an object."""
+    """Return the messages that carry an object, in order."""
     return [
         ChunkPiece(
             digest,
--- a/reedspar/weights/cache.py
+++ b/reedspar/weights/cache.py
@@ -1,13 +1,14 @@
-"""Copies of the named versions on an entry, for the agents of its region.
+"""Cache of weight chunks on an entry, for the agents of its region.
 
-An entry's link is many times as wide as those of the machines beside targets.  Agents
-that send each other chunks fill their narrow links in both directions, and the answers
-of their targets wait there.  From a cache all agents of a region get a copy at the full
-rate of their own links at the same time.
+An entry's link has many times the bandwidth of the links of target machines.  Agents
+that exchange chunks with each other fill their links in both directions and delay the
+answers of their targets.  From a cache, all agents of a region can receive a copy at
+the same time, each at the full rate of its own link.
 
-A cache gets a version as soon as it is named, for the origin may go away.  One that was
-named before its own start, or before it took the place of another cache, it gets when
-an agent asks: mostly nobody lacks it any more.
+A cache fetches a version as soon as it is named, because the origin may become
+unavailable.  A version that was named before the cache started, or before it replaced
+another cache, is fetched only when an agent requests it, since usually no agent still
+needs it.
 """
 
 import logging
@@ -27,23 +28,23 @@
 from .manifest import Manifest
 from .manifest_exchange import CachePeers, VersionedOrigin
 from .messages import DISTRIBUTION_MESSAGES
-from .pump import TICK_S, DistributionPump
+from .pump import TICK_INTERVAL_S, ActionRunner
 from .swarm import SwarmDistribution
 from .views import AgentSettings
 
 __all__ = ["WeightCache", "create_weight_cache"]
 
-PEER_REFRESH_S = 0.5
-RETRY_MIN_S = 0.1
-RETRY_MAX_S = 0.5
-VERSIONS_KEPT = 2
-"""As many of a model as may be on their way at once."""
+PEER_REFRESH_INTERVAL_S = 0.5
+MANIFEST_RETRY_MIN_S = 0.1
+MANIFEST_RETRY_MAX_S = 0.5
+VERSIONS_PER_MODEL = 2
+"""Maximum number of versions of a model that are transferred at the same time."""
 
 _logger = logging.getLogger(__name__)
 
 
 class WeightCache:
-    """Holds each named version, and serves its chunks."""
+    """Holds chunks of the named versions and serves them to agents."""
 
     def __init__(
         self,
@@ -61,15 +62,15 @@
         self._peers = peers
         self._distribution = distribution
         self._rng = rng
-        self._pump = DistributionPump(
+        self._runner = ActionRunner(
             distribution, network, origin, timers, tasks, self._release
         )
         self._named: dict[str, list[int]] = {}
-        """The newest versions by model, in the order in which they were named."""
-        self._new: set[tuple[str, int]] = set()
-        """Versions that were named while this daemon held copies."""
-        self._gone: set[tuple[str, int]] = set()
-        """Earlier versions that the origin does not hold any more."""
+        """The newest versions of each model, in the order of naming."""
+        self._named_while_caching: set[tuple[str, int]] = set()
+        """Versions named while this daemon was a cache."""
+        self._removed_from_origin: set[tuple[str, int]] = set()
+        """Earlier versions that the origin no longer holds."""
         self._manifests: dict[str, list[Manifest]] = {}
         self._wakeup = anyio.Event()
 
@@ -77,88 +78,90 @@
         """Subscribe to messages and timers."""
         for message_class in DISTRIBUTION_MESSAGES:
             self._network.subscribe(message_class, self._receive)
-        self._timers.call_every(TICK_S, self._tick)
-        self._timers.call_every(PEER_REFRESH_S, self._refresh_peers)
+        self._timers.call_every(TICK_INTERVAL_S, self._tick)
+        self._timers.call_every(PEER_REFRESH_INTERVAL_S, self._refresh_peers)
         self._timers.on_pause(
             lambda gap_s: self._distribution.handle_pause(self._now_s())
         )
 
     def set_named_version(self, model: str, version: int) -> None:
-        """Take the version of a model that targets are to serve; it only goes up."""
+        """Set the version that targets are to serve; ignore older versions."""
         named = self._named.setdefault(model, [])
         if named and version <= named[-1]:
             return
         if named and self._peers.is_cache():
-            self._new.add((model, version))
+            self._named_while_caching.add((model, version))
         named.append(version)
-        del named[:-VERSIONS_KEPT]
+        del named[:-VERSIONS_PER_MODEL]
         self._wakeup.set()
 
     async def run(self) -> None:
-        """Get what is named until cancelled."""
+        """Cache named versions until cancelled."""
         while True:
             self._wakeup = anyio.Event()
             failures = [
-                await self._get(model, version)
-                for model, version in self._list_needed()
+                await self._cache_version(model, version)
+                for model, version in self._list_uncached()
             ]
             if not any(failures):
                 await self._wakeup.wait()
                 continue
-            with anyio.move_on_after(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)):
+            with anyio.move_on_after(
+                self._rng.uniform(MANIFEST_RETRY_MIN_S, MANIFEST_RETRY_MAX_S)
+            ):
                 await self._wakeup.wait()
 
-    def _list_needed(self) -> list[tuple[str, int]]:
-        """Return the versions to get; each region needs few caches.
+    def _list_uncached(self) -> list[tuple[str, int]]:
+        """Return the named versions that are not cached yet, if this daemon is a cache.
 
-        A cache takes the place of another one while versions are on their way.  The
-        part that was the other's of an earlier one would be read by nobody.
+        They include earlier versions: a cache may replace another one during a
+        transfer, and no other daemon would read the chunks assigned to that one.
         """
         if not self._peers.is_cache():
             return []
         held = {(m, k.sequence) for m, kept in self._manifests.items() for k in kept}
         named = {(m, version) for m, kept in self._named.items() for version in kept}
-        return sorted(named - held - self._gone)
+        return sorted(named - held - self._removed_from_origin)
 
-    async def _get(self, model: str, version: int) -> Failure | None:
+    async def _cache_version(self, model: str, version: int) -> Failure | None:
         manifest = await self._origin.read_manifest(model, version)
         if isinstance(manifest, Failure):
             extra = {"model": model, "version": version, "failure": str(manifest)}
             _logger.warning("manifest was not read", extra=extra)
             if manifest.reason is Reason.NOT_FOUND and version < self._named[model][-1]:
-                self._gone.add((model, version))
+                self._removed_from_origin.add((model, version))
             return manifest
         _logger.info("weights cached", extra={"model": model, "version": version})
         manifests = self._manifests.setdefault(model, [])
         manifests.append(manifest)
         manifests.sort(key=lambda kept: kept.sequence)
         now_s = self._now_s()
-        for older in manifests[:-VERSIONS_KEPT]:
+        for older in manifests[:-VERSIONS_PER_MODEL]:
             self._distribution.remove_version(older.root_digest, now_s)
-        del manifests[:-VERSIONS_KEPT]
+        del manifests[:-VERSIONS_PER_MODEL]
         self._set_peers(model)
         self._distribution.register_version(manifest, now_s)
-        if (model, version) in self._new:
+        if (model, version) in self._named_while_caching:
             self._distribution.fetch_chunks(manifest, now_s)
-        self._pump.run()
+        self._runner.run()
         return None
 
     def _release(self, digest: str) -> None:
-        """Let a chunk be evicted, if the memory for chunks is full."""
+        """Allow a chunk to be evicted when the chunk memory is full."""
         self._distribution.release(digest, self._now_s())
 
     def _receive(self, sender: Sender, message: Any) -> None:
         self._distribution.receive(sender.name, message, self._now_s())
-        self._pump.run()
+        self._runner.run()
 
     def _tick(self) -> None:
         self._distribution.tick(self._now_s())
-        self._pump.run()
+        self._runner.run()
 
     def _refresh_peers(self) -> None:
         for model in self._manifests:
             self._set_peers(model)
-        if self._list_needed():
+        if self._list_uncached():
             self._wakeup.set()
 
     def _set_peers(self, model: str) -> None:
@@ -179,7 +182,7 @@
     peers: CachePeers,
     rng: random.Random,
 ) -> WeightCache:
-    """Make the cache of an entry; call `start` next, and `run` in a task."""
+    """Create the cache of an entry; call `start` next, and `run` in a task."""
     me = WeightPeer(settings.name, settings.region, settings.zone, is_cache=True)
     distribution = SwarmDistribution(
         me, create_swarm_limits(settings), random.Random(settings.name)
--- a/reedspar/weights/catalog.py
+++ b/reedspar/weights/catalog.py
@@ -1,7 +1,7 @@
-"""Named versions of models, made into the configuration that weights go by.
+"""Configuration documents for versions that the operator names by number.
 
-On a site the operator names a version by its number alone.  The digests that
-everything else here goes by come from the version's manifest at the origin.
+On a site, the operator names only the number of a version.  Its digests are read from
+its manifest at the origin.
 """
 
 import logging
@@ -23,22 +23,22 @@
 from reedspar.utils import digest_bytes
 
 from .manifest import Manifest, encode_manifest
-from .succession import LOAD_S, Succession, should_finish_first
+from .succession import LOAD_DURATION_S, Succession, should_finish_current
 
 __all__ = ["KnownVersion", "ManifestReader", "VersionCatalog"]
 
-RETRY_MIN_S = 0.1
-RETRY_MAX_S = 0.5
-WAIT_POLL_S = 0.1
-"""Pause before a manifest is asked for again, drawn anew each time, and between two
-looks at the version that is finished first."""
+MANIFEST_RETRY_MIN_S = 0.1
+MANIFEST_RETRY_MAX_S = 0.5
+"""Bounds of the random delay before a manifest is read again."""
+SUCCESSION_POLL_S = 0.1
+"""Interval of checks whether the version being transferred is still finished first."""
 
 _logger = logging.getLogger(__name__)
 Listener = Callable[[ConfigurationDocument], None]
 
 
 class ManifestReader(Protocol):
-    """Reads manifests at the origin by the version's number."""
+    """Reads manifests by model and version number."""
 
     async def read_manifest(self, model: str, version: int) -> Manifest | Failure:
         """Return the manifest of a version."""
@@ -47,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownVersion:
-    """A version whose manifest is known."""
+    """A version whose manifest has been read."""
 
     manifest: Manifest
     encoded: bytes
     digest: str
-    """Of the encoded manifest."""
+    """Digest of the encoded manifest."""
 
 
 class VersionCatalog:
-    """Learns the manifests of named versions (see `ConfigurationView`)."""
+    """Reads the manifests of named versions and implements `ConfigurationView`."""
 
     def __init__(
         self,
@@ -70,15 +70,15 @@
         self._pool = pool
         self._reader = reader
         self._timers = timers
-        self._bound_s = bound_s
+        self._version_bound_s = bound_s
         self._link_bytes_per_s = link_bytes_per_s
-        self._hold: Callable[[str, bytes], None] = lambda digest, data: None
+        self._store_object: Callable[[str, bytes], None] = lambda digest, data: None
         self._left_s: Callable[[str], float | None] = lambda model: None
         self._prefetch: Callable[[Manifest], None] = lambda manifest: None
         self._prefetched: set[tuple[str, int]] = set()
         self._named_s: dict[tuple[str, int], float] = {}
         self._rng = rng
-        self._wanted: dict[str, int] = {}
+        self._named_versions: dict[str, int] = {}
         self._known: dict[tuple[str, int], KnownVersion] = {}
         self._published: dict[str, KnownVersion] = {}
         self._document: ConfigurationDocument | None = None
@@ -96,44 +96,45 @@
 
     def set_callbacks(
         self,
-        hold: Callable[[str, bytes], None],
+        store_object: Callable[[str, bytes], None],
         left_s: Callable[[str], float | None],
         prefetch: Callable[[Manifest], None],
     ) -> None:
-        """Give manifests to `hold`, and ask `left_s` how far a model's version is.
+        """Set the callbacks of the weight controller.
 
-        A version that has to wait for the one before it to be loaded goes to
-        `prefetch`.
+        `store_object` receives encoded manifests, and `left_s` returns the remaining
+        transfer time of a model's current version.  `prefetch` receives the manifest of
+        a version that is loaded only after the current one.
         """
-        self._hold = hold
+        self._store_object = store_object
         self._left_s = left_s
         self._prefetch = prefetch
 
     def service_deadline_s(self, model: str, served: int) -> float:
-        """Return until when a version may serve: the next one's naming ends it."""
+        """Return when a version may no longer be served, as a newer one was named."""
         newer = [
             named_s
             for (name, version), named_s in self._named_s.items()
             if name == model and version > served
         ]
-        return min(newer, default=float("inf")) + self._bound_s
+        return min(newer, default=float("inf")) + self._version_bound_s
 
     def set_named_version(self, model: str, version: int) -> None:
-        """Take the version that a model is to be brought to; it only goes up."""
-        if version > self._wanted.get(model, 0):
-            if model in self._wanted:
+        """Set the version that targets are to serve; ignore older versions."""
+        if version > self._named_versions.get(model, 0):
+            if model in self._named_versions:
                 self._named_s[model, version] = self._timers.now_s()
-            self._wanted[model] = version
+            self._named_versions[model] = version
             self._wakeup.set()
 
     def record_naming_time(self, model: str, version: int, named_s: float) -> None:
-        """Take it that a version was named earlier than this agent heard of it."""
+        """Record that a version was named earlier than this agent learned of it."""
         known_s = self._named_s.get((model, version))
         if known_s is not None and named_s < known_s:
             self._named_s[model, version] = named_s
 
     def find_version(self, root_digest: str) -> tuple[str, int] | None:
-        """Return model and version with a root digest."""
+        """Return the model and version with a root digest, or None if unknown."""
         found = (
             key
             for key, known in self._known.items()
@@ -150,33 +151,34 @@
         """Fetch the manifests of named versions until cancelled."""
         while True:
             self._wakeup = anyio.Event()
-            is_done = await self._learn(self._unpublished())
+            is_done = await self._read_manifests(self._unpublished())
             for key in self._unpublished():
                 if key in self._known:
-                    self._move_on(*key)
+                    self._publish_or_prefetch(*key)
             if not self._unpublished():
                 await self._wakeup.wait()
                 continue
-            pause_s = self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
-            with anyio.move_on_after(WAIT_POLL_S if is_done else pause_s):
+            pause_s = self._rng.uniform(MANIFEST_RETRY_MIN_S, MANIFEST_RETRY_MAX_S)
+            with anyio.move_on_after(SUCCESSION_POLL_S if is_done else pause_s):
                 await self._wakeup.wait()
 
-    def _move_on(self, model: str, version: int) -> None:
-        """Publish a version, or fetch it ahead beside the one before it.
+    def _publish_or_prefetch(self, model: str, version: int) -> None:
+        """Publish a version, or prefetch it while the current one is transferred.
 
-        What is nearly whole is asked for first, so the earlier one is not held up.
-        Where it lacks chunks that nobody has, the link would idle.
+        Prefetching uses the link while the current version lacks chunks that no peer
+        holds.  It does not delay that version, since the distribution requests the
+        version with the fewest missing chunks first.
         """
         known = self._known[model, version]
-        if not self._is_to_wait(model, version):
+        if not self._should_defer(model, version):
             self._publish(known)
         elif (model, version) not in self._prefetched:
             self._prefetched.add((model, version))
-            self._hold(known.digest, known.encoded)
+            self._store_object(known.digest, known.encoded)
             self._prefetch(known.manifest)
 
-    def _is_to_wait(self, model: str, version: int) -> bool:
-        """Tell whether the version on its way is to be finished first."""
+    def _should_defer(self, model: str, version: int) -> bool:
+        """Return whether the current transfer is to be finished first."""
         current = self._published.get(model)
         left_s = self._left_s(model)
         if current is None or left_s is None:
@@ -187,30 +189,30 @@
         if named_s is None or next_named_s is None:
             return False
         copy_s = current.manifest.size_bytes / self._link_bytes_per_s
-        current_until_s = next_named_s + self._bound_s
-        # By what this agent lacks, half of the fleet would drop a version and the
-        # others keep to it, and neither would come in time.  The times at which the
-        # two were named are the same everywhere.
+        current_until_s = next_named_s + self._version_bound_s
+        # Decided by the times of naming, which are the same on all agents.  If each
+        # agent used its own missing chunks, half of the fleet would drop the version
+        # while the others finish it, and neither version would arrive in time.
         succession = Succession(
             next_named_s,
             max(0.0, named_s + copy_s - next_named_s),
             copy_s,
-            named_s + self._bound_s,
+            named_s + self._version_bound_s,
             current_until_s,
         )
-        is_in_time = self._timers.now_s() + left_s + LOAD_S < current_until_s
-        return is_in_time and should_finish_first(succession)
+        is_in_time = self._timers.now_s() + left_s + LOAD_DURATION_S < current_until_s
+        return is_in_time and should_finish_current(succession)
 
     def _unpublished(self) -> list[tuple[str, int]]:
         return [
             (model, version)
-            for model, version in self._wanted.items()
+            for model, version in self._named_versions.items()
             if self._published.get(model) is not self._known.get((model, version))
             or (model, version) not in self._known
         ]
 
-    async def _learn(self, keys: list[tuple[str, int]]) -> bool:
-        """Fetch the manifests that are missing; tell whether every read went well."""
+    async def _read_manifests(self, keys: list[tuple[str, int]]) -> bool:
+        """Read the missing manifests; return whether all reads succeeded."""
         for model, version in keys:
             if (model, version) in self._known:
                 continue
@@ -228,8 +230,8 @@
     def _publish(self, known: KnownVersion) -> None:
         manifest = known.manifest
         self._published[manifest.model] = known
-        self._hold(known.digest, known.encoded)
-        self._document = self._make_document()
+        self._store_object(known.digest, known.encoded)
+        self._document = self._build_document()
         _logger.info(
             "weights wanted",
             extra={
@@ -241,7 +243,7 @@
         for listener in self._listeners:
             listener(self._document)
 
-    def _make_document(self) -> ConfigurationDocument:
+    def _build_document(self) -> ConfigurationDocument:
         number = self._document.version + 1 if self._document is not None else 1
         models = {
             model: ModelVersion(
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -1,4 +1,4 @@
-"""The agent's shell around the decisions on weights: links, origin, engine, timers."""
+"""Controller that connects the weight distribution to links, origin and engine."""
 
 import logging
 import random
@@ -22,9 +22,9 @@
 from .loading import Loader
 from .manifest import Manifest, decode_manifest
 from .messages import DISTRIBUTION_MESSAGES, VersionNotice, VersionPhase
-from .offers import OfferBook
+from .offers import OfferTracker
 from .progress import ProgressLog
-from .pump import TICK_S, DistributionPump
+from .pump import TICK_INTERVAL_S, ActionRunner
 from .rollout import Rollout
 from .staged import StagedReader, StagedRecovery
 from .stager import Stager
@@ -35,15 +35,15 @@
 
 __all__ = ["WeightController", "create_weight_controller"]
 
-PEER_REFRESH_S = 0.5
-CHUNKS_LOST = (Reason.INVALID, Reason.NOT_FOUND, Reason.CORRUPT)
-"""Refusals of a load after which the engine is given every chunk again."""
+PEER_REFRESH_INTERVAL_S = 0.5
+RESTAGE_REASONS = (Reason.INVALID, Reason.NOT_FOUND, Reason.CORRUPT)
+"""Reasons of a failed load after which all chunks are staged again."""
 
 _logger = logging.getLogger(__name__)
 
 
 class WeightController:
-    """Bring the configured models into the target's engine, and say what is offered."""
+    """Loads the configured versions into the target's engine and offers them."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
     ) -> None:
         self._deadlines = deadlines
         if settings.target is None:
-            raise ValueError("weights are for agents: the settings have no target")
+            raise ValueError("the weight controller requires settings with a target")
         self._target = settings.target
         self._network = network
         self._timers = timers
@@ -72,10 +72,10 @@
         self._peers = peers
         self._configuration = configuration
         self._distribution = distribution
-        self._book = OfferBook()
+        self._offers = OfferTracker()
         self._staged: dict[str, StagedVersion] = {}
         self._verifier = StagedVerifier(
-            staged_reader, timers, self._staged, distribution.left_s, self._note_corrupt
+            staged_reader, timers, self._staged, distribution.left_s, self._on_corrupt
         )
         self._loader = Loader(
             settings.target,
@@ -83,13 +83,13 @@
             engine,
             fencing,
             gate,
-            self._book,
+            self._offers,
             self.record_engine_state,
             self._notify,
             self._verifier,
         )
         self._recovery = StagedRecovery(
-            staged_reader, self.add_object, timers.now_s, lambda: self._book.boot_id
+            staged_reader, self.add_object, timers.now_s, lambda: self._offers.boot_id
         )
         self._rollout = Rollout(
             settings.name, settings.weights.switch_share, self._phase_of
@@ -98,94 +98,94 @@
             engine,
             self._staged,
             self._distribution.object_bytes,
-            lambda: self._book.boot_id,
-            self._note_staged,
+            lambda: self._offers.boot_id,
+            self._on_staged,
             timers.now_s,
         )
         self._listeners: list[Callable[[], None]] = []
-        self._pump = DistributionPump(
-            distribution, network, origin, timers, tasks, self._take_object
+        self._runner = ActionRunner(
+            distribution, network, origin, timers, tasks, self._on_object
         )
         self._progress = ProgressLog(distribution.left_s)
         self._last_offered: tuple[LoadedWeights, ...] = ()
 
     def offered(self) -> tuple[LoadedWeights, ...]:
-        """Return the versions that requests may be given to now."""
-        return self._book.offered()
+        """Return the versions that may serve requests now."""
+        return self._offers.offered()
 
     @property
     def is_switching(self) -> bool:
-        """Tell whether the engine is being switched to another version."""
+        """Return whether the engine is loading another version."""
         return self._loader.is_loading
 
     def on_offer_change(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of what is offered."""
+        """Call `listener` after each change of the offered versions."""
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Subscribe to messages, timers and the configuration, and start to work."""
+        """Subscribe to messages, timers and the configuration, and start the tasks."""
         for message_class in DISTRIBUTION_MESSAGES:
             self._network.subscribe(message_class, self._receive)
-        self._network.subscribe(VersionNotice, self._take_notice)
-        self._timers.call_every(TICK_S, self._tick)
-        self._timers.call_every(PEER_REFRESH_S, self._refresh_peers)
+        self._network.subscribe(VersionNotice, self._on_notice)
+        self._timers.call_every(TICK_INTERVAL_S, self._tick)
+        self._timers.call_every(PEER_REFRESH_INTERVAL_S, self._refresh_peers)
         self._timers.on_pause(self._handle_pause)
-        self._configuration.on_change(self._adopt)
+        self._configuration.on_change(self._apply_configuration)
         self._tasks.start_soon(self._stager.run)
         self._tasks.start_soon(self._verifier.run)
-        self._tasks.start_soon(self._loader.settle)
+        self._tasks.start_soon(self._loader.recover)
         if self._configuration.document is not None:
-            self._adopt(self._configuration.document)
+            self._apply_configuration(self._configuration.document)
 
     def add_object(self, digest: str, data: bytes) -> None:
-        """Take a checked object that did not come from a peer or the origin."""
+        """Add a verified object from another source than a peer or the origin."""
         self._distribution.add_object(digest, data, self._timers.now_s())
-        self._pump.run()
+        self._runner.run()
 
     def prefetch(self, manifest: Manifest) -> None:
-        """Get the chunks of a version that is to be loaded after the present one."""
+        """Fetch the chunks of a version that is to be loaded after the current one."""
         now_s = self._timers.now_s()
         self._distribution.register_version(manifest, now_s)
         self._distribution.fetch_chunks(manifest, now_s)
-        self._pump.run()
+        self._runner.run()
 
     def record_engine_state(self, state: EngineState) -> None:
-        """Take what the agent's poll has read; call it with every report."""
-        confirmed = {m for m in self._staged if self._book.is_confirmed(m)}
-        is_new_boot = self._book.note_state(state)
+        """Record the state that the agent has read from the engine."""
+        confirmed = {m for m in self._staged if self._offers.is_confirmed(m)}
+        is_new_boot = self._offers.record_state(state)
         for staged in self._staged.values():
             is_lost = staged.model in confirmed
-            is_lost = is_lost and not self._book.is_confirmed(staged.model)
+            is_lost = is_lost and not self._offers.is_confirmed(staged.model)
             if is_new_boot or is_lost:
                 self._restage(staged)
-        self._pump.run()
-        self._advance()
+        self._runner.run()
+        self._start_switches()
         self._notify()
 
     def record_engine_lost(self) -> None:
-        """Withdraw every offer: the engine does not answer the agent's poll."""
-        self._book.note_lost()
+        """Withdraw all offers because the engine does not answer."""
+        self._offers.record_engine_lost()
         self._notify()
 
-    def _adopt(self, document: ConfigurationDocument) -> None:
+    def _apply_configuration(self, document: ConfigurationDocument) -> None:
         pool = document.pools.get(self._target.pool)
         models = pool.models if pool is not None else ()
         wanted = {m: document.models[m] for m in models if m in document.models}
-        self._book.set_wanted(wanted)
+        self._offers.set_wanted(wanted)
         for model, staged in list(self._staged.items()):
             version = wanted.get(model)
             if version != staged.version:
-                self._let_go(staged)
+                self._abandon(staged)
                 if version is None or version.root_digest != staged.root_digest:
                     self._tasks.start_soon(self._engine.drop_staged, staged.root_digest)
         for model, version in wanted.items():
             if model not in self._staged:
-                self._get(model, version)
-        self._pump.run()
+                self._start_version(model, version)
+        self._runner.run()
         self._notify()
 
-    def _get(self, model: str, version: ModelVersion) -> None:
-        if not self._book.is_forward(model, version.sequence):
+    def _start_version(self, model: str, version: ModelVersion) -> None:
+        if not self._offers.is_forward(model, version.sequence):
             _logger.error("version is older than the one served: %s %s", model, version)
             return
         staged = self._staged[model] = StagedVersion(model, version)
@@ -194,33 +194,33 @@
         now_s = self._timers.now_s()
         self._distribution.fetch_object(model, version.manifest_digest, now_s)
 
-    def _let_go(self, staged: StagedVersion) -> None:
+    def _abandon(self, staged: StagedVersion) -> None:
         del self._staged[staged.model]
         self._distribution.remove_version(staged.root_digest, self._timers.now_s())
 
     def _restage(self, staged: StagedVersion) -> None:
-        """Give the engine a version again: it has lost what it was given."""
+        """Stage a version again after the engine has lost its chunks."""
         staged.reset()
-        self._want_chunks(staged)
+        self._fetch_chunks(staged)
 
-    def _want_chunks(self, staged: StagedVersion) -> None:
-        """Get the chunks, unless the engine is unknown or serves them already."""
-        is_needed = self._book.boot_id and not self._book.is_confirmed(staged.model)
+    def _fetch_chunks(self, staged: StagedVersion) -> None:
+        """Fetch the chunks, unless the engine is unknown or already serves them."""
+        is_needed = self._offers.boot_id and not self._offers.is_confirmed(staged.model)
         if staged.manifest is not None and is_needed:
             self._distribution.fetch_chunks(staged.manifest, self._timers.now_s())
 
     def _receive(self, sender: Sender, message: Any) -> None:
         self._distribution.receive(sender.name, message, self._timers.now_s())
-        self._pump.run()
+        self._runner.run()
 
     def _tick(self) -> None:
         self._distribution.tick(self._timers.now_s())
-        self._pump.run()
-        self._advance()
+        self._runner.run()
+        self._start_switches()
         for action in self._rollout.tick(self._timers.now_s()):
-            self._pump.send(action)
-        self._progress.note(
-            self._staged.values(), self._pump.origin_reads, self._timers.now_s()
+            self._runner.send(action)
+        self._progress.log(
+            self._staged.values(), self._runner.origin_reads, self._timers.now_s()
         )
 
     def _refresh_peers(self) -> None:
@@ -230,8 +230,8 @@
     def _set_peers(self, model: str) -> None:
         peers = self._peers.agents_of(model)
         self._distribution.set_peers(model, peers, self._timers.now_s())
-        # Another pool may serve the model, too.  Counted together, a small pool
-        # could switch as a whole while the larger one's share allows it.
+        # Other pools may serve the same model.  If they were counted together, all
+        # targets of a small pool could switch within the share of a large one.
         pool = self._target.pool
         same_pool = [
             peer.name for peer in peers if peer.pool in ("", pool) and not peer.is_cache
@@ -244,18 +244,18 @@
             staged.expire_verified(self._timers.now_s())
         self._rollout.handle_pause(self._timers.now_s())
 
-    def _take_object(self, digest: str) -> None:
+    def _on_object(self, digest: str) -> None:
         orders = []
         for staged in list(self._staged.values()):
             if staged.manifest is None and staged.version.manifest_digest == digest:
-                self._take_manifest(staged)
-            orders += staged.orders_for(digest, self._book.boot_id)
+                self._decode_manifest(staged)
+            orders += staged.orders_for(digest, self._offers.boot_id)
         if orders:
             self._stager.add(orders)
         else:
             self._distribution.release(digest, self._timers.now_s())
 
-    def _take_manifest(self, staged: StagedVersion) -> None:
+    def _decode_manifest(self, staged: StagedVersion) -> None:
         digest = staged.version.manifest_digest
         data = self._distribution.object_bytes(digest)
         if data is None:
@@ -263,54 +263,54 @@
         manifest = decode_manifest(data, digest)
         if isinstance(manifest, Failure):
             staged.is_invalid = True
-            _logger.error("manifest can't be used: %s", manifest)
+            _logger.error("manifest is invalid: %s", manifest)
         elif not staged.set_manifest(manifest):
-            _logger.error("manifest is of another version: %s", digest)
+            _logger.error("manifest belongs to another version: %s", digest)
         else:
             self._distribution.register_version(manifest, self._timers.now_s())
             self._tasks.start_soon(self._recover, staged)
 
     async def _recover(self, staged: StagedVersion) -> None:
-        """Take what lies beside the engine at the start, then get the rest."""
+        """Recover the staged chunks at startup, then fetch the others."""
         await self._recovery.run(staged, lambda: self._is_current(staged))
         if self._is_current(staged):
-            self._want_chunks(staged)
-            self._pump.run()
+            self._fetch_chunks(staged)
+            self._runner.run()
 
     def _is_current(self, staged: StagedVersion) -> bool:
         return self._staged.get(staged.model) is staged
 
     def left_s(self, model: str) -> float | None:
-        """Return when a version on its way will have come; None if none is."""
+        """Return the remaining transfer time of a model, or None if it is confirmed."""
         staged = self._staged.get(model)
-        if staged is None or self._book.is_confirmed(model):
+        if staged is None or self._offers.is_confirmed(model):
             return None
         if staged.manifest is None:
             return float("inf")
         return self._distribution.left_s(staged.root_digest)
 
-    def _note_staged(self, order: StagingOrder) -> None:
-        """Let go of a chunk that no version lacks any more."""
+    def _on_staged(self, order: StagingOrder) -> None:
+        """Release a staged chunk that no version still needs."""
         staged = self._staged.get(order.model)
         if staged is not None:
-            self._verifier.note_staged(staged)
+            self._verifier.record_staged(staged)
         if staged is not None and staged.is_whole:
-            sequence, reads = staged.version.sequence, self._pump.origin_reads
+            sequence, reads = staged.version.sequence, self._runner.origin_reads
             extra = {"version": sequence, "origin_reads": reads}
             _logger.info("weights staged", extra=extra)
         if not any(s.needs(order.digest) for s in self._staged.values()):
             self._distribution.release(order.digest, self._timers.now_s())
-            self._pump.run()
-        self._advance()
+            self._runner.run()
+        self._start_switches()
 
-    def _note_corrupt(self, staged: StagedVersion, index: int) -> None:
-        """Request a staged chunk again after it was found corrupt."""
-        staged.lose(index)
-        self._want_chunks(staged)
-        self._pump.run()
+    def _on_corrupt(self, staged: StagedVersion, index: int) -> None:
+        """Fetch a staged chunk again after it was found corrupt."""
+        staged.mark_lost(index)
+        self._fetch_chunks(staged)
+        self._runner.run()
 
-    def _advance(self) -> None:
-        """Start the switch of each version that is whole in the engine."""
+    def _start_switches(self) -> None:
+        """Start the switch of each completely staged version that may switch."""
         for staged in self._staged.values():
             if self._may_switch(staged):
                 self._loader.reserve(staged)
@@ -319,29 +319,29 @@
     def _may_switch(self, staged: StagedVersion) -> bool:
         if not staged.is_whole or not self._loader.may_start(staged):
             return False
-        if not self._book.is_serving(staged.model):
+        if not self._offers.is_serving(staged.model):
             return True
         deadline_s = float("inf")
         if self._deadlines is not None:
-            served = self._book.served_sequence(staged.model)
+            served = self._offers.served_sequence(staged.model)
             deadline_s = self._deadlines.service_deadline_s(staged.model, served)
         return self._rollout.may_switch(staged, self._timers.now_s(), deadline_s)
 
     def _phase_of(self, model: str) -> VersionPhase:
-        """Return what the cohort is told of a model."""
+        """Return the phase of a model that is announced to the cohort."""
         staged = self._staged.get(model)
         if self._loader.is_busy_with(model):
             return VersionPhase.SWITCHING
-        if staged is None or self._book.is_confirmed(model):
+        if staged is None or self._offers.is_confirmed(model):
             return VersionPhase.SERVING
-        if staged.is_whole and self._book.is_serving(model):
+        if staged.is_whole and self._offers.is_serving(model):
             return VersionPhase.WAITING
         return VersionPhase.FETCHING
 
-    def _take_notice(self, sender: Sender, notice: VersionNotice) -> None:
+    def _on_notice(self, sender: Sender, notice: VersionNotice) -> None:
         now_s = self._timers.now_s()
         for action in self._rollout.receive(sender.name, notice, now_s):
-            self._pump.send(action)
+            self._runner.send(action)
 
     async def _switch(self, staged: StagedVersion) -> None:
         failure = await self._loader.load(staged)
@@ -350,9 +350,9 @@
         _logger.warning(
             "%s %s was not loaded: %s", staged.model, staged.version, failure
         )
-        if self._is_current(staged) and failure.reason in CHUNKS_LOST:
+        if self._is_current(staged) and failure.reason in RESTAGE_REASONS:
             self._restage(staged)
-            self._pump.run()
+            self._runner.run()
 
     def _notify(self) -> None:
         offered = self.offered()
@@ -378,7 +378,7 @@
     staged_reader: StagedReader | None = None,
     deadlines: VersionDeadlines | None = None,
 ) -> WeightController:
-    """Make the controller of an agent before a model engine; call `start` next."""
+    """Create the controller of an agent with a model engine; call `start` next."""
     me = WeightPeer(settings.name, settings.region, settings.zone)
     distribution = SwarmDistribution(
         me, create_swarm_limits(settings), random.Random(settings.name)
--- a/reedspar/weights/distribution.py
+++ b/reedspar/weights/distribution.py
@@ -1,7 +1,7 @@
-"""What a distribution decides: which object to get next, from whom, for whom.
+"""Interface of a weight distribution, which decides what to fetch and to send.
 
-A distribution takes messages, results and the time, and leaves actions for
-the controller to carry out.  It does no I/O.
+A distribution is a state machine without I/O: it receives messages, results and the
+time, and returns actions for the caller to execute.
 """
 
 from collections.abc import Iterable
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class WeightPeer:
-    """A live agent whose target needs or holds a model."""
+    """A live agent whose target serves a model, or a cache."""
 
     name: str
     region: str
     zone: str
     pool: str = ""
     is_cache: bool = False
-    """Holds copies for others, on a wide link, and has no target of its own."""
+    """Whether the peer is an entry that holds chunks for agents and has no target."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadOrigin:
-    """Read a whole object from the origin, then call `complete_read`."""
+    """Read a complete object from the origin, then call `complete_read`."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectReady:
-    """A checked object is in memory, and stays there until it is released."""
+    """Report a verified object, which stays in memory until it is released."""
 
     digest: str
 
@@ -61,77 +61,77 @@
 
 
 class Distribution(Protocol):
-    """The decisions of one agent about objects of weights; times in seconds."""
+    """Decides which objects an agent fetches and sends; times are in seconds."""
 
     def set_peers(self, model: str, peers: Iterable[WeightPeer], now_s: float) -> None:
-        """Replace the live agents, without this one, that need or hold a model."""
+        """Set the other live agents and caches of a model."""
         ...
 
     def fetch_object(self, model: str, digest: str, now_s: float) -> None:
-        """Get one object, a manifest, and report it ready."""
+        """Fetch a single object, such as a manifest; report it with `ObjectReady`."""
         ...
 
     def add_object(self, digest: str, data: bytes, now_s: float) -> None:
-        """Take a checked object that was found beside the engine."""
+        """Add a verified object from another source than a peer or the origin."""
         ...
 
     def register_version(self, manifest: Manifest, now_s: float) -> None:
-        """Take a version whose chunks peers may ask for, without needing them."""
+        """Register a version whose chunks peers may request, without fetching them."""
         ...
 
     def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
-        """Get every chunk of a version, and report each ready once.
+        """Fetch every chunk of a version, and report each with one `ObjectReady`.
 
-        Calling it again gets every chunk again: the engine has lost them.
+        A further call reports every chunk again, after the engine has lost them.
         """
         ...
 
     def left_s(self, root_digest: str) -> float:
-        """Return how long the missing chunks take over this machine's link."""
+        """Return the transfer time of the missing chunks over this machine's link."""
         ...
 
     def remove_version(self, root_digest: str, now_s: float) -> None:
-        """Stop getting chunks that only this version needs."""
+        """Stop fetching the chunks that only this version needs."""
         ...
 
     def receive(self, peer: str, message: WeightMessage, now_s: float) -> None:
-        """Take a message of a peer."""
+        """Handle a message of a peer."""
         ...
 
     def complete_read(self, digest: str, result: bytes | Failure, now_s: float) -> None:
-        """Take the outcome of a `ReadOrigin`."""
+        """Handle the result of a `ReadOrigin`."""
         ...
 
     def object_bytes(self, digest: str) -> bytes | None:
-        """Return an object that is in memory."""
+        """Return an object, or None if it is not in memory."""
         ...
 
     def release(self, digest: str, now_s: float) -> None:
-        """Let an object that was ready be evicted: it is staged or decoded."""
+        """Allow an object to be evicted after it was staged or decoded."""
         ...
 
     def handle_send_failure(
         self, peer: str, message: WeightMessage, now_s: float
     ) -> None:
-        """Take back a message for which no link is open yet."""
+        """Handle a message that was not sent because no link is open."""
         ...
 
     def handle_link_lost(self, peer: str, now_s: float) -> None:
-        """Give up what a peer was asked for: the link to it is gone."""
+        """Cancel the requests to a peer whose link was lost."""
         ...
 
     def handle_pause(self, now_s: float) -> None:
-        """Drop every timed claim after a pause of the process."""
+        """Restart all timeouts after a pause of the process."""
         ...
 
     def tick(self, now_s: float) -> None:
-        """Act on whatever has become due."""
+        """Handle expired timeouts and continue."""
         ...
 
     def due_s(self, now_s: float) -> float:
-        """Return when `tick` should be called next."""
+        """Return the time at which `tick` should be called next."""
         ...
 
     def take_actions(self) -> list[Action]:
-        """Return and forget the actions decided since the last call."""
+        """Return and clear the pending actions."""
         ...
--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/drawing.py
@@ -1,4 +1,4 @@
-"""Getting what no neighbour holds: draws by duty, and fallbacks when they fail."""
+"""Fetches of chunks from the origin and other regions, with fallbacks."""
 
 import logging
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 from reedspar.utils import TokenBucket
 
-from .fetches import ORIGIN, Fetch, FetchBook, PeerBook
+from .fetches import ORIGIN, Fetch, FetchTable, PeerBackoff
 from .limits import SwarmLimits
 from .memory import ChunkMemory
 from .neighbours import iterate_bits
@@ -14,145 +14,156 @@
 from .requested_chunks import RequestedChunks
 from .transfers import Transfer
 
-__all__ = ["Drawing"]
+__all__ = ["RemoteFetcher"]
 
 REGION_BURST_PIECES = 4
-SEEK_SAMPLE = 32
-SEEK_INTERVAL_S = 0.05
-SHORT_WAIT_S = 0.5
-ORIGIN_TIMEOUT_S = 8.0
-"""Bound on a read that gets on; the client gives up a silent origin sooner.
-
-A read that is given up goes on at the origin, and the next one comes on top of it."""
-ORIGIN_RETURN_S = 2.0
-"""After a failed read, those that draw for all are left alone with the origin."""
-TAKE_OVER_NEAR_S = 0.25
-TAKE_OVER_FAR_S = 0.6
-"""How long a cache that has its part waits for those of the others, from the origin or
-over a link between regions: some are slower, and a chunk drawn twice costs twice."""
-TAKE_OVER_CHUNKS = 8
-KEEPERS_TRIED = 2
-KEEPER_ANSWER_S = 0.6
-"""A keeper that is there sends a chunk, or refuses, so long after its patience ends."""
-ACROSS_RETRY_S = 0.3
-"""Between two questions near the origin for a chunk that another region may hold.
-
-One costs 200 bytes both ways; for a third of a copy of 96 chunks that is 5% of a link
-of 3.65 Mbit/s."""
-PROGRESS_INTERVAL_S = 1.0
-"""Between two lines on a version that a cache draws."""
+REPLICA_FETCH_SAMPLE = 32
+REPLICA_FETCH_INTERVAL_S = 0.05
+SHORT_BACKOFF_S = 0.5
+ORIGIN_READ_TIMEOUT_S = 8.0
+"""Timeout of a read in progress; the client ends reads from a silent origin sooner.
+
+The origin continues to send an abandoned read, in addition to the next one."""
+ORIGIN_RECOVERY_S = 2.0
+"""Time after a failed read in which only the assigned agents read from the origin."""
+ORIGIN_TAKEOVER_DELAY_S = 0.25
+REGION_TAKEOVER_DELAY_S = 0.6
+"""Delay before a cache that has fetched its assigned chunks takes over those of other
+caches, from the origin or another region.  Other caches may be slower, and fetching a
+chunk twice doubles its cost."""
+TAKEOVER_CHUNKS_MAX = 8
+UNANSWERED_REPLICAS_MIN = 2
+REPLICA_ANSWER_TIMEOUT_S = 0.6
+"""A live replica sends or refuses a chunk within this time after its own wait limit."""
+REGION_RETRY_DELAY_S = 0.3
+"""Interval of requests in the origin's region for a chunk that another region may hold.
+
+A request and its refusal take 200 bytes.  For a third of a version of 96 chunks, that
+is 5% of a link of 3.65 Mbit/s."""
+PROGRESS_LOG_INTERVAL_S = 1.0
+"""Interval of progress messages of a cache, per version."""
 
 _logger = logging.getLogger(__name__)
 
 
-class Drawing:
-    """Decide on draws from the origin and across, and on asking keepers."""
+class RemoteFetcher:
+    """Decides on requests to the origin, to other regions and to replicas."""
 
     def __init__(
         self,
         limits: SwarmLimits,
-        fetches: FetchBook,
-        peers: PeerBook,
+        fetches: FetchTable,
+        peers: PeerBackoff,
         memory: ChunkMemory,
     ) -> None:
         self._limits = limits
         self._fetches = fetches
         self._peers = peers
         self._regions: dict[str, TokenBucket] = {}
-        self._requested = RequestedChunks(limits, fetches, peers, memory, self._start)
+        self._requested = RequestedChunks(
+            limits, fetches, peers, memory, self._start_fetch
+        )
 
     @property
     def requested(self) -> RequestedChunks:
-        """Return the chunks that peers have asked this agent to get."""
+        """Return the chunks that peers have requested this agent to fetch."""
         return self._requested
 
-    def draw(self, transfer: Transfer, placement: Placement, now_s: float) -> None:
-        """Draw the next of the chunks that are this agent's to draw."""
-        if not placement.pulls:
-            self._write_progress(transfer, placement, now_s)
-        if not self._knows_neighbours(transfer, now_s):
+    def fetch_assigned(
+        self, transfer: Transfer, placement: Placement, now_s: float
+    ) -> None:
+        """Start fetches of the next chunks assigned to this agent."""
+        if not placement.fetches_all:
+            self._log_progress(transfer, placement, now_s)
+        if not self._has_neighbour_maps(transfer, now_s):
             return
         self._take_over(transfer, placement, now_s)
-        limit = self._limits.limit(transfer, now_s)
+        limit = self._limits.window_end(transfer, now_s)
         needed_map = _needed_map(transfer, placement)
-        for place in range(len(transfer.draws) - 1, -1, -1):
-            index = transfer.draws[place]
+        for place in range(len(transfer.assigned) - 1, -1, -1):
+            index = transfer.assigned[place]
             if not needed_map >> index & 1:
                 continue
             digest = transfer.digests[index]
-            if not transfer.is_missing(index) or _is_here(transfer, placement, index):
-                del transfer.draws[place]
+            if not transfer.is_missing(index) or _is_nearby(transfer, placement, index):
+                del transfer.assigned[place]
             elif not self._fetches.is_blocked(digest, now_s):
                 if index >= limit:
                     return
-                fetch = self._fetches.ensure(digest, transfer.sizes[digest])
-                if placement.is_drawn_here(index) and fetch.has_origin_failed:
-                    del transfer.draws[place]
-                elif not self._start(fetch, index, placement, now_s) and self._is_full(
-                    placement, now_s
-                ):
+                fetch = self._fetches.get_or_create(digest, transfer.sizes[digest])
+                if placement.is_fetched_from_origin(index) and fetch.has_origin_failed:
+                    del transfer.assigned[place]
+                elif not self._start_fetch(
+                    fetch, index, placement, now_s
+                ) and self._are_sources_full(placement, now_s):
                     return
 
-    def _write_progress(
+    def _log_progress(
         self, transfer: Transfer, placement: Placement, now_s: float
     ) -> None:
-        """Write what a cache holds, is still to draw, and waits for, now and then."""
-        if now_s - transfer.written_s < PROGRESS_INTERVAL_S:
+        """Log the progress of a cache once per interval."""
+        if now_s - transfer.logged_s < PROGRESS_LOG_INTERVAL_S:
             return
-        transfer.written_s = now_s
-        lacking_map = _needed_map(transfer, placement) & ~transfer.held
-        if not transfer.draws or not lacking_map:
+        transfer.logged_s = now_s
+        missing_map = _needed_map(transfer, placement) & ~transfer.held
+        if not transfer.assigned or not missing_map:
             return
         regions = placement.other_regions
         extra = {
             "version": transfer.manifest.sequence,
             "held": transfer.held.bit_count(),
-            "lacked": lacking_map.bit_count(),
-            "to_draw": len(transfer.draws),
+            "lacked": missing_map.bit_count(),
+            "to_draw": len(transfer.assigned),
             "asked_for": self._requested.count,
             "origin_open": self._fetches.far_open(ORIGIN),
             "far_open": {region: self._fetches.far_open(region) for region in regions},
             "avoided": self._peers.list_avoided(now_s),
         }
-        _logger.info("weights drawn", extra=extra)
+        _logger.info("fetching weights", extra=extra)
 
     def _take_over(
         self, transfer: Transfer, placement: Placement, now_s: float
     ) -> None:
-        """Draw what other caches of the region were to draw, after the own part.
+        """Take over chunks assigned to other caches of the region, after the own ones.
 
-        One that is cut off or frozen stays in the view for seconds.  The origin would
-        idle meanwhile, and may be away when the view has lost it.
+        A partitioned or frozen cache stays in the view for seconds.  The origin would
+        be idle until then, and may become unavailable before.
         """
-        if placement.pulls or not transfer.is_wanted:
+        if placement.fetches_all or not transfer.is_wanted:
             return
-        if transfer.draws:
+        if transfer.assigned:
             transfer.idle_since_s = None
             return
         if transfer.idle_since_s is None:
             transfer.idle_since_s = now_s
-        wait_s = TAKE_OVER_NEAR_S if placement.is_drawn_here(0) else TAKE_OVER_FAR_S
-        if transfer.table.has_silent_source:
+        wait_s = (
+            ORIGIN_TAKEOVER_DELAY_S
+            if placement.is_fetched_from_origin(0)
+            else REGION_TAKEOVER_DELAY_S
+        )
+        if transfer.table.has_unanswered_source:
             wait_s = 0.0
         if now_s - transfer.idle_since_s < wait_s:
             return
-        lacking_map = transfer.missing_map & ~transfer.table.available_map
-        lacking_map &= _needed_map(transfer, placement)
-        transfer.draws = list(islice(iterate_bits(lacking_map), TAKE_OVER_CHUNKS))
+        missing_map = transfer.missing_map & ~transfer.table.available_map
+        missing_map &= _needed_map(transfer, placement)
+        transfer.assigned = list(islice(iterate_bits(missing_map), TAKEOVER_CHUNKS_MAX))
 
-    def seek(self, transfer: Transfer, placement: Placement, now_s: float) -> None:
-        """Ask the keepers for chunks that no neighbour holds, if nothing moves."""
-        if not placement.pulls or now_s < transfer.seek_at_s:
+    def fetch_from_replicas(
+        self, transfer: Transfer, placement: Placement, now_s: float
+    ) -> None:
+        """Request chunks from replicas if no neighbour holds them or progress stops."""
+        if not placement.fetches_all or now_s < transfer.replica_fetch_at_s:
             return
-        if not self._knows_neighbours(transfer, now_s):
+        if not self._has_neighbour_maps(transfer, now_s):
             return
-        transfer.seek_at_s = now_s + SEEK_INTERVAL_S
-        is_stuck = now_s - transfer.progress_s >= self._limits.seek_s
-        window = (1 << self._limits.limit(transfer, now_s)) - 1
+        transfer.replica_fetch_at_s = now_s + REPLICA_FETCH_INTERVAL_S
+        is_stalled = now_s - transfer.progress_s >= self._limits.no_progress_timeout_s
+        window = (1 << self._limits.window_end(transfer, now_s)) - 1
         lacking = transfer.missing_map & window
-        if not is_stuck:
+        if not is_stalled:
             lacking &= ~transfer.table.available_map
-        for index in islice(iterate_bits(lacking), SEEK_SAMPLE):
+        for index in islice(iterate_bits(lacking), REPLICA_FETCH_SAMPLE):
             if self._fetches.near_open >= self._limits.window:
                 return
             digest = transfer.digests[index]
@@ -160,26 +171,26 @@
                 continue
             fetch = self._fetches.get(digest)
             has_failed = fetch is not None and fetch.has_origin_failed
-            if is_stuck or transfer.table.seen_map >> index & 1 or has_failed:
-                fetch = self._fetches.ensure(digest, transfer.sizes[digest])
-                if is_stuck and self._may_read_past(fetch, placement, now_s):
-                    self._ask_origin(fetch, placement, now_s)
+            if is_stalled or transfer.table.seen_map >> index & 1 or has_failed:
+                fetch = self._fetches.get_or_create(digest, transfer.sizes[digest])
+                if is_stalled and self._may_bypass_assignment(fetch, placement, now_s):
+                    self._request_origin(fetch, placement, now_s)
                 else:
-                    self._ask_keeper(fetch, index, placement, now_s)
+                    self._request_from_replica(fetch, index, placement, now_s)
 
-    def get_objects(
+    def fetch_objects(
         self,
         objects: Mapping[str, str],
         placements: Mapping[str, Placement],
         now_s: float,
     ) -> None:
-        """Ask for single objects, up the tree of the region's agents."""
+        """Request single objects along the tree of the region's agents."""
         for digest, model in objects.items():
             if not self._fetches.is_blocked(digest, now_s) and model in placements:
-                fetch = self._fetches.ensure(digest, None)
-                self._ask_object(fetch, placements[model], now_s)
+                fetch = self._fetches.get_or_create(digest, None)
+                self._request_object(fetch, placements[model], now_s)
 
-    def _ask_object(self, fetch: Fetch, placement: Placement, now_s: float) -> None:
+    def _request_object(self, fetch: Fetch, placement: Placement, now_s: float) -> None:
         timeout_s = self._limits.request_timeout_s
         names = placement.ancestors(fetch.digest)
         if fetch.attempts < len(names):
@@ -187,54 +198,62 @@
             if self._peers.is_avoided(peer, now_s):
                 fetch.attempts += 1
                 return
-            self._fetches.ask(fetch, peer, now_s, timeout_s, may_draw=True)
+            self._fetches.start_request(fetch, peer, now_s, timeout_s, may_draw=True)
             return
         turn = fetch.attempts - len(names)
         roots = placement.roots(fetch.digest)
         if placement.is_in_origin_region or not roots:
-            self._ask_origin(fetch, placement, now_s)
+            self._request_origin(fetch, placement, now_s)
             return
         peer = roots[turn % len(roots)]
         region = placement.region_of(peer)
-        self._fetches.ask(fetch, peer, now_s, timeout_s, region=region, may_draw=True)
+        self._fetches.start_request(
+            fetch, peer, now_s, timeout_s, region=region, may_draw=True
+        )
 
-    def _ask_origin(self, fetch: Fetch, placement: Placement, now_s: float) -> bool:
+    def _request_origin(self, fetch: Fetch, placement: Placement, now_s: float) -> bool:
         if self._peers.is_avoided(ORIGIN, now_s):
             return False
         if self._fetches.far_open(ORIGIN) >= self._limits.origin_window(placement):
             return False
-        return self._fetches.ask(fetch, ORIGIN, now_s, ORIGIN_TIMEOUT_S, region=ORIGIN)
+        return self._fetches.start_request(
+            fetch, ORIGIN, now_s, ORIGIN_READ_TIMEOUT_S, region=ORIGIN
+        )
 
-    def _start(
+    def _start_fetch(
         self, fetch: Fetch, index: int, placement: Placement, now_s: float
     ) -> bool:
-        if placement.is_drawn_here(index):
-            return self._start_at_origin(fetch, index, placement, now_s)
-        sources = placement.sources(index, fetch.digest)
+        if placement.is_fetched_from_origin(index):
+            return self._fetch_from_origin(fetch, index, placement, now_s)
+        sources = placement.remote_sources(index, fetch.digest)
         if not sources:
-            return self._ask_origin(fetch, placement, now_s)
-        return self._ask_across(fetch, sources, placement, now_s, may_draw=True)
+            return self._request_origin(fetch, placement, now_s)
+        return self._request_from_region(
+            fetch, sources, placement, now_s, may_draw=True
+        )
 
-    def _start_at_origin(
+    def _fetch_from_origin(
         self, fetch: Fetch, index: int, placement: Placement, now_s: float
     ) -> bool:
-        """Ask the origin, or other regions while it is away.
+        """Request a chunk from the origin, or from other regions during an outage.
 
-        An agent that leaves may have handed chunks on to other regions alone.  Were
-        only the origin asked for them, its region would lack a third of a copy until
-        the origin is back, though the others hold it.
+        An agent that leaves may have sent chunks only to other regions.  Without the
+        requests to them, its region would lack a third of a version until the origin
+        is available again.
         """
         if not self._peers.is_avoided(ORIGIN, now_s):
-            return self._ask_origin(fetch, placement, now_s)
-        holders = placement.holders_across(index, fetch.digest)
+            return self._request_origin(fetch, placement, now_s)
+        holders = placement.remote_holders(index, fetch.digest)
         if not holders:
             return False
-        is_asked = self._ask_across(fetch, holders, placement, now_s, may_draw=False)
-        if is_asked:
-            fetch.not_before_s = now_s + ACROSS_RETRY_S
-        return is_asked
+        is_started = self._request_from_region(
+            fetch, holders, placement, now_s, may_draw=False
+        )
+        if is_started:
+            fetch.not_before_s = now_s + REGION_RETRY_DELAY_S
+        return is_started
 
-    def _ask_across(
+    def _request_from_region(
         self,
         fetch: Fetch,
         sources: list[str],
@@ -243,7 +262,7 @@
         *,
         may_draw: bool,
     ) -> bool:
-        """Ask an agent of another region, within this agent's share of the link."""
+        """Request a chunk from another region within this agent's share of the link."""
         peer = self._choose_source(fetch, sources, now_s)
         if peer is None:
             return False
@@ -256,32 +275,32 @@
         per_request_s = size_bytes / bucket.rate_per_s
         timeout_s = self._limits.request_timeout_s
         timeout_s += 2 * self._limits.far_window * per_request_s
-        is_asked = self._fetches.ask(
+        is_started = self._fetches.start_request(
             fetch, peer, now_s, timeout_s, region=region, may_draw=may_draw
         )
-        if is_asked:
+        if is_started:
             bucket.take(size_bytes, now_s)
-        return is_asked
+        return is_started
 
     def _choose_source(
         self, fetch: Fetch, sources: list[str], now_s: float
     ) -> str | None:
-        """Return whom to ask; None to wait for one that is avoided only shortly.
+        """Return the source to request from; None to wait for a short back-off to end.
 
-        Were its chunks all taken elsewhere at once, the one other link would
-        carry them beside its own, and the avoided one would idle.
+        If its chunks were requested elsewhere immediately, another link would carry
+        them in addition to its own, and the link to the avoided source would be idle.
         """
         for i in range(len(sources)):
             peer = sources[(fetch.attempts + i) % len(sources)]
             avoided_s = self._peers.avoided_for_s(peer, now_s)
             if not avoided_s:
                 return peer
-            if avoided_s < SHORT_WAIT_S:
+            if avoided_s < SHORT_BACKOFF_S:
                 return None
         return None
 
-    def _is_full(self, placement: Placement, now_s: float) -> bool:
-        """Tell whether nothing more can be asked of the origin or any region now."""
+    def _are_sources_full(self, placement: Placement, now_s: float) -> bool:
+        """Return whether neither the origin nor any region takes more requests now."""
         is_avoided = self._peers.is_avoided(ORIGIN, now_s)
         if placement.draws_everywhere:
             open_reads = self._fetches.far_open(ORIGIN)
@@ -295,48 +314,51 @@
             for region in placement.other_regions
         )
 
-    def _ask_keeper(
+    def _request_from_replica(
         self, fetch: Fetch, index: int, placement: Placement, now_s: float
     ) -> None:
-        # A keeper asks only those that rank before it, and the first one draws.
-        # Two that asked each other would both wait until their requests end.
-        keepers = placement.keepers(fetch.digest)
-        if placement.me in keepers:
-            keepers = keepers[: keepers.index(placement.me) + 1]
-        peer = keepers[fetch.attempts % len(keepers)]
+        # A replica requests only from replicas of a higher rank, and the first one
+        # fetches remotely.  Replicas that requested from each other would wait until
+        # both requests time out.
+        replicas = placement.replicas(fetch.digest)
+        if placement.me in replicas:
+            replicas = replicas[: replicas.index(placement.me) + 1]
+        peer = replicas[fetch.attempts % len(replicas)]
         if peer == placement.me:
-            if not self._start(fetch, index, placement, now_s):
+            if not self._start_fetch(fetch, index, placement, now_s):
                 fetch.attempts += 1
-                fetch.not_before_s = now_s + self._limits.busy_s
+                fetch.not_before_s = now_s + self._limits.retry_delay_s
             return
         if self._peers.is_avoided(peer, now_s):
             fetch.attempts += 1
             return
-        timeout_s = self._limits.near_patience_s + KEEPER_ANSWER_S
-        self._fetches.ask(fetch, peer, now_s, timeout_s, may_draw=True)
+        timeout_s = self._limits.near_wait_limit_s + REPLICA_ANSWER_TIMEOUT_S
+        self._fetches.start_request(fetch, peer, now_s, timeout_s, may_draw=True)
 
-    def _may_read_past(self, fetch: Fetch, placement: Placement, now_s: float) -> bool:
-        """Tell whether to read the origin past those that are to draw.
+    def _may_bypass_assignment(
+        self, fetch: Fetch, placement: Placement, now_s: float
+    ) -> bool:
+        """Return whether to read from the origin without being assigned the chunk.
 
-        The keepers that were asked may be gone, and the view keep them; a version that
-        lacks one chunk serves nobody.  One that refuses is there, and goes on asking.
-        But when the origin comes back all agents lack chunks: were each to read many,
-        those that draw for all would get a fraction of its link, and reads that time
-        out would be begun again for ever.
+        The replicas may be dead but still in the view, and a version that lacks one
+        chunk can't be served.  A replica that refuses is alive and continues to fetch.
+        When the origin returns after an outage, all agents lack chunks.  If each read
+        many, the assigned agents would get a fraction of the origin's link, and reads
+        would time out and be repeated indefinitely.
         """
-        is_back = not self._peers.has_origin_failed_since(now_s - ORIGIN_RETURN_S)
+        is_back = not self._peers.has_origin_failed_since(now_s - ORIGIN_RECOVERY_S)
         is_first = not self._fetches.far_open(ORIGIN)
         silent = fetch.attempts - fetch.refusals
-        has_failed = silent >= KEEPERS_TRIED
+        has_failed = silent >= UNANSWERED_REPLICAS_MIN
         return placement.may_read_origin and has_failed and is_back and is_first
 
-    def _knows_neighbours(self, transfer: Transfer, now_s: float) -> bool:
-        """Tell whether the neighbours' maps are in, or were waited for.
+    def _has_neighbour_maps(self, transfer: Transfer, now_s: float) -> bool:
+        """Return whether all neighbours have sent their maps or the timeout has passed.
 
-        An agent that draws before it knows what its region holds would bring
-        over a narrow link what is next door.
+        Without the maps, an agent would fetch chunks over a narrow link that a
+        neighbour already holds.
         """
-        if now_s - transfer.started_s >= self._limits.map_wait_s:
+        if now_s - transfer.started_s >= self._limits.map_timeout_s:
             return True
         return all(n.has_answered for n in transfer.table.neighbours.values())
 
@@ -344,7 +366,7 @@
         self, region: str, placement: Placement, now_s: float
     ) -> TokenBucket:
         """Return this agent's share of the link from a region."""
-        share = max(placement.slots_held(), 1) / self._limits.region_slots
+        share = max(placement.slot_count(), 1) / self._limits.region_slots
         rate = self._limits.region_bytes_per_s * share
         bucket = self._regions.get(region)
         if bucket is None:
@@ -356,22 +378,22 @@
         return bucket
 
 
-def _is_here(transfer: Transfer, placement: Placement, index: int) -> bool:
-    """Tell whether a chunk need not be drawn, for the region has it.
+def _is_nearby(transfer: Transfer, placement: Placement, index: int) -> bool:
+    """Return whether the region already has a chunk.
 
-    A cache that takes over the part of another one finds it there while that one lives.
+    A cache that took over chunks finds them at the other cache while that one is alive.
     """
     table = transfer.table
-    here_map = table.seen_map if placement.pulls else table.available_map
-    return bool(here_map >> index & 1)
+    nearby_map = table.seen_map if placement.fetches_all else table.available_map
+    return bool(nearby_map >> index & 1)
 
 
 def _needed_map(transfer: Transfer, placement: Placement) -> int:
-    """Return the chunks that are worth a draw now.
+    """Return the map of chunks that are worth fetching now.
 
-    Before any agent has asked, a cache draws all of its part, for the origin may go
-    away.  Later the parts move as entries come and go; drawn anew for nobody, a version
-    that was replaced would hold up the one that replaced it.
+    Until an agent requests chunks, a cache fetches all that it is assigned, as the
+    origin may become unavailable.  Later, assignments move as entries start and stop.
+    Fetching chunks of a replaced version that no agent needs would delay its successor.
     """
-    lacked_map = None if placement.pulls else transfer.table.lacked_map
-    return transfer.table.full_map if lacked_map is None else lacked_map
+    requested_map = None if placement.fetches_all else transfer.table.requested_map
+    return transfer.table.full_map if requested_map is None else requested_map
--- a/reedspar/weights/fencing.py
+++ b/reedspar/weights/fencing.py
@@ -1,7 +1,7 @@
-"""Fencing numbers: each order to a target carries a higher one than those before.
+"""Fencing numbers, which increase with each load order to a target.
 
-The number lives in the key-value service beside the versions that were
-ordered under it, so that neither goes back when an agent is replaced.
+The last number is stored in the key-value service together with the versions ordered
+under it, so that neither decreases when an agent is replaced.
 """
 
 import json
@@ -24,8 +24,9 @@
 ]
 
 KEY_PREFIX = "fences/"
-VERSIONS_KEPT = 2
-"""Versions kept by model: the one ordered, and the one that may still be served."""
+VERSIONS_PER_MODEL = 2
+"""Versions stored per model: the last one ordered, and the one before it, which may
+still be served."""
 ATTEMPTS = 6
 BACKOFF_S = 0.05
 
@@ -41,36 +42,36 @@
 
 @dataclass(frozen=True, slots=True)
 class FencingRecord:
-    """What outlives an agent: the last number, and what was ordered under it."""
+    """The persistent state of a target: the last number and the versions ordered."""
 
     number: int = 0
     ordered: tuple[OrderedVersion, ...] = ()
 
     def highest(self, model: str) -> int:
-        """Return the newest sequence ordered of a model, 0 if none was."""
+        """Return the highest sequence ordered for a model, or 0 if there is none."""
         sequences = (v.sequence for v in self.ordered if v.model == model)
         return max(sequences, default=0)
 
     def add(self, version: OrderedVersion) -> "FencingRecord":
-        """Return the record with one more order, and the oldest forgotten."""
+        """Return a record with an added order and without the oldest one."""
         same = [v for v in self.ordered if v.model == version.model and v != version]
         same.sort(key=lambda v: v.sequence)
         others = tuple(v for v in self.ordered if v.model != version.model)
-        kept = (*same, version)[-VERSIONS_KEPT:]
+        kept = (*same, version)[-VERSIONS_PER_MODEL:]
         return FencingRecord(self.number + 1, (*others, *kept))
 
 
 class FencingNumbers(Protocol):
-    """Gives out fencing numbers for one target."""
+    """Issues fencing numbers for one target."""
 
     async def read(self) -> FencingRecord | Failure:
-        """Return the record as predecessors left it."""
+        """Return the stored record."""
         ...
 
     async def next_number(
         self, model: str, root_digest: str, sequence: int
     ) -> int | Failure:
-        """Return a number above all before; `FENCED` if a newer version was ordered."""
+        """Return the next number, or `FENCED` if a newer version was ordered."""
         ...
 
 
@@ -90,7 +91,7 @@
 
 
 class KeyValueFencing:
-    """Fencing numbers by compare-and-swap on one key per target."""
+    """Issues fencing numbers by compare-and-swap on one key per target."""
 
     def __init__(
         self, target: str, key_value: KeyValueStore, backoff_s: float = BACKOFF_S
@@ -102,7 +103,7 @@
         self._last_number = 0
 
     async def read(self) -> FencingRecord | Failure:
-        """Return the record; an empty one if no order was ever given."""
+        """Return the stored record; an empty one if there is none."""
         entry = await self._key_value.get(self._key)
         if isinstance(entry, Failure):
             return entry
@@ -111,13 +112,12 @@
     async def next_number(
         self, model: str, root_digest: str, sequence: int
     ) -> int | Failure:
-        """Return a number above all before.
+        """Return the next number, or `FENCED` if a newer version was ordered.
 
-        A write whose answer was lost is not looked for: the next attempt reads
-        again and takes a higher number, and a number that is skipped does no
-        harm.  While the service is away, the number of this agent's last order
-        serves again for the same version, so that an engine that restarted
-        then is not left empty.
+        A write with an unknown outcome is not checked: the next attempt reads the key
+        again and uses a higher number, and skipping a number is harmless.  While the
+        key-value service is unavailable, the number of this agent's last order is
+        reused for the same version, so that a restarted engine can be loaded again.
         """
         version = OrderedVersion(model, root_digest, sequence)
         failure = Failure(Reason.CONFLICT, Step.KEY_VALUE, detail=self._key)
@@ -143,7 +143,9 @@
         if isinstance(record, Failure):
             return record
         if record.highest(version.model) > version.sequence:
-            detail = f"{version.model}: {record.highest(version.model)} was ordered"
+            detail = (
+                f"{version.model}: version {record.highest(version.model)} was ordered"
+            )
             return Failure(Reason.FENCED, Step.LOAD, detail=detail)
         record = record.add(version)
         revision = entry.revision if entry else 0
@@ -154,24 +156,23 @@
 
 
 class LocalFencing:
-    """Fencing numbers of an engine that takes orders from its own machine alone.
+    """Issues fencing numbers for an engine that accepts orders only from its machine.
 
-    Such an engine counts its orders and refuses one that names another count,
-    so a predecessor's order can't come after this agent's, and no call of the
-    key-value service is spent.
+    Such an engine counts its orders and refuses those with another count.  A late order
+    of an earlier agent process is therefore refused without the key-value service.
     """
 
     def __init__(self) -> None:
         self._number = 0
 
     async def read(self) -> FencingRecord | Failure:
-        """Return an empty record: the engine's own report tells what it holds."""
+        """Return an empty record; the engine reports the versions that it holds."""
         return FencingRecord()
 
     async def next_number(
         self, model: str, root_digest: str, sequence: int
     ) -> int | Failure:
-        """Return a number above all of this process."""
+        """Return the next number of this process."""
         self._number += 1
         return self._number
 
@@ -199,5 +200,5 @@
 
 
 def create_fencing_numbers(target: str, key_value: KeyValueStore) -> FencingNumbers:
-    """Make the fencing numbers of one target."""
+    """Create the fencing numbers of a target."""
     return KeyValueFencing(target, key_value)
--- a/reedspar/weights/fetches.py
+++ b/reedspar/weights/fetches.py
@@ -1,4 +1,4 @@
-"""Open requests for objects: their room in memory, their deadlines, their peers."""
+"""Open requests for objects, with memory reservations, timeouts and peer back-off."""
 
 import itertools
 from collections import Counter
@@ -10,27 +10,25 @@
 from .memory import ChunkMemory
 from .messages import ChunkCancel, ChunkRequest
 
-__all__ = ["ORIGIN", "Fetch", "FetchBook", "PeerBook", "Request"]
+__all__ = ["ORIGIN", "Fetch", "FetchTable", "PeerBackoff", "Request"]
 
 ORIGIN = "origin"
-AVOID_STALLED_S = 1.0
-AVOID_CORRUPT_S = 2.0
-AVOID_FACTOR = 4
-AVOID_MAX_S = 300.0
-REPEATS_MAX = 8
-AVOID_SCARCE_S = 0.25
-AVOID_SCARCE_MAX_S = 10.0
-"""Where there are few others to ask, a peer or the origin is avoided for less."""
-AVOID_ORIGIN_MAX_S = 0.25
-"""There is no other origin.
-
-Avoided by all for longer than it is away, it would hold up a version that could be on
-every target.  A question costs a refused connection, and only few ask."""
+STALL_BACKOFF_S = 1.0
+CORRUPT_BACKOFF_S = 2.0
+BACKOFF_FACTOR = 4
+BACKOFF_MAX_S = 300.0
+BACKOFF_EXPONENT_MAX = 8
+SCARCE_BACKOFF_S = 0.25
+SCARCE_BACKOFF_MAX_S = 10.0
+"""The back-off is shorter if there are few other sources."""
+ORIGIN_BACKOFF_MAX_S = 0.25
+"""There is only one origin.  A longer back-off would delay a version after an outage,
+while a request costs only a refused connection, and few agents send one."""
 
 
 @dataclass(slots=True)
 class Request:
-    """One request to one peer (or the origin) for one object."""
+    """A request to a peer or the origin for an object."""
 
     peer: str
     request_id: int
@@ -39,26 +37,26 @@
     progress_s: float
     timeout_s: float
     granted_bytes: int
-    """How far the peer may go on; at the origin, everything."""
+    """Number of bytes that the peer may send; the object size for the origin."""
     region: str
-    """Empty within the own region; `ORIGIN` for the origin."""
-    is_overtaken: bool = False
+    """Empty for a peer of the same region; `ORIGIN` for the origin."""
+    is_hedged: bool = False
 
     @property
-    def has_begun(self) -> bool:
-        """Tell whether a part of the object has arrived."""
+    def has_data(self) -> bool:
+        """Return whether a part of the object was received."""
         return self.assembly.received_bytes > 0
 
     @property
-    def expected_bytes(self) -> int:
-        """Return what the peer may send and has not arrived."""
+    def outstanding_bytes(self) -> int:
+        """Return the number of granted bytes that were not received yet."""
         size_bytes = self.assembly.size_bytes or self.granted_bytes
         return min(self.granted_bytes, size_bytes) - self.assembly.received_bytes
 
 
 @dataclass(slots=True)
 class Fetch:
-    """An object on its way, or to be got again."""
+    """An object being fetched, or waiting for another attempt."""
 
     digest: str
     size_bytes: int | None
@@ -69,84 +67,90 @@
     not_before_s: float = 0.0
 
 
-class PeerBook:
-    """Which peers to leave alone for a while, and what they were asked for."""
+class PeerBackoff:
+    """Exponential back-off of peers after failures, and their open request counts."""
 
     def __init__(self) -> None:
-        self._until_s: dict[str, float] = {}
-        self._strikes: Counter[str] = Counter()
+        self._avoided_until_s: dict[str, float] = {}
+        self._failure_counts: Counter[str] = Counter()
         self._origin_failed_s = float("-inf")
         self.outstanding: Counter[str] = Counter()
 
     def is_avoided(self, peer: str, now_s: float) -> bool:
-        """Tell whether a peer is left alone now."""
-        return self._until_s.get(peer, 0.0) > now_s
+        """Return whether a peer is in back-off."""
+        return self._avoided_until_s.get(peer, 0.0) > now_s
 
     def avoided_for_s(self, peer: str, now_s: float) -> float:
-        """Return how long a peer is still left alone, in seconds."""
-        return max(0.0, self._until_s.get(peer, 0.0) - now_s)
+        """Return the remaining back-off of a peer in seconds."""
+        return max(0.0, self._avoided_until_s.get(peer, 0.0) - now_s)
 
     def list_avoided(self, now_s: float) -> list[str]:
-        """Return the peers that are left alone now."""
+        """Return the peers that are in back-off."""
         return sorted(
-            peer for peer, until_s in self._until_s.items() if until_s > now_s
+            peer
+            for peer, avoided_until_s in self._avoided_until_s.items()
+            if avoided_until_s > now_s
         )
 
-    def note_busy(self, peer: str, until_s: float) -> None:
-        """Leave a peer alone that has said that it is busy."""
-        self._until_s[peer] = max(until_s, self._until_s.get(peer, 0.0))
+    def record_busy(self, peer: str, avoided_until_s: float) -> None:
+        """Avoid a peer that refused a request as busy."""
+        self._avoided_until_s[peer] = max(
+            avoided_until_s, self._avoided_until_s.get(peer, 0.0)
+        )
 
-    def note_stalled(self, peer: str, now_s: float) -> None:
-        """Leave a peer alone that sent nothing in time."""
+    def record_stall(self, peer: str, now_s: float) -> None:
+        """Back off from a peer whose request timed out."""
         if peer == ORIGIN:
-            self.note_origin_failed(now_s)
+            self.record_origin_failure(now_s)
             return
-        self._strike(peer, AVOID_STALLED_S, AVOID_SCARCE_MAX_S, now_s)
+        self._back_off(peer, STALL_BACKOFF_S, SCARCE_BACKOFF_MAX_S, now_s)
 
-    def note_origin_failed(self, now_s: float) -> None:
-        """Leave the origin alone for a moment."""
+    def record_origin_failure(self, now_s: float) -> None:
+        """Back off from the origin after a failed read."""
         self._origin_failed_s = now_s
-        self._strike(ORIGIN, AVOID_SCARCE_S, AVOID_ORIGIN_MAX_S, now_s)
+        self._back_off(ORIGIN, SCARCE_BACKOFF_S, ORIGIN_BACKOFF_MAX_S, now_s)
 
     def has_origin_failed_since(self, time_s: float) -> bool:
-        """Tell whether a read of the origin has failed after a time."""
+        """Return whether a read from the origin has failed since a time."""
         return self._origin_failed_s > time_s
 
-    def note_corrupt(self, peer: str, now_s: float, *, is_scarce: bool = False) -> None:
-        """Leave a peer alone that sent wrong bytes; shortly if there are few others."""
+    def record_corrupt(
+        self, peer: str, now_s: float, *, is_scarce: bool = False
+    ) -> None:
+        """Back off from a peer that sent corrupt data; less if sources are scarce."""
         if is_scarce:
-            self._strike(peer, AVOID_SCARCE_S, AVOID_SCARCE_MAX_S, now_s)
+            self._back_off(peer, SCARCE_BACKOFF_S, SCARCE_BACKOFF_MAX_S, now_s)
         else:
-            self._strike(peer, AVOID_CORRUPT_S, AVOID_MAX_S, now_s)
+            self._back_off(peer, CORRUPT_BACKOFF_S, BACKOFF_MAX_S, now_s)
 
-    def note_good(self, peer: str) -> None:
-        """Forget one strike of a peer that has sent a whole object."""
-        if self._strikes[peer]:
-            self._strikes[peer] -= 1
+    def record_success(self, peer: str) -> None:
+        """Decrease the failure count of a peer that sent a complete object."""
+        if self._failure_counts[peer]:
+            self._failure_counts[peer] -= 1
 
     def forget(self, peer: str) -> None:
-        """Forget a peer that is gone."""
-        self._until_s.pop(peer, None)
-        del self._strikes[peer]
+        """Remove a peer that is no longer live."""
+        self._avoided_until_s.pop(peer, None)
+        del self._failure_counts[peer]
 
-    def _strike(self, peer: str, base_s: float, limit_s: float, now_s: float) -> None:
+    def _back_off(self, peer: str, base_s: float, limit_s: float, now_s: float) -> None:
         if self.is_avoided(peer, now_s):
-            # Requests to one peer often fail together.  Were each to count, a
-            # peer that waited for the origin would be avoided for minutes.
+            # Requests to a peer often fail together.  If each one counted, a peer that
+            # waited for the origin would be avoided for minutes.
             return
-        self._strikes[peer] += 1
-        repeats = min(self._strikes[peer] - 1, REPEATS_MAX)
-        avoid_s = min(base_s * AVOID_FACTOR**repeats, limit_s)
-        self._until_s[peer] = now_s + avoid_s
+        self._failure_counts[peer] += 1
+        repeats = min(self._failure_counts[peer] - 1, BACKOFF_EXPONENT_MAX)
+        avoid_s = min(base_s * BACKOFF_FACTOR**repeats, limit_s)
+        self._avoided_until_s[peer] = now_s + avoid_s
 
 
-class FetchBook:
-    """Every object that is being got."""
+class FetchTable:
+    """The objects being fetched, with their open requests."""
 
     def __init__(
         self,
         memory: ChunkMemory,
-        peers: PeerBook,
+        peers: PeerBackoff,
         actions: list[Action],
         piece_bytes: int,
     ) -> None:
@@ -164,34 +168,34 @@
 
     @property
     def near_open(self) -> int:
-        """Return how many requests are open within the region."""
+        """Return the number of open requests within the region."""
         return self._near_open
 
     def far_open(self, region: str) -> int:
-        """Return how many requests are open to a region, or to the origin."""
+        """Return the number of open requests to another region or to the origin."""
         return self._far_open[region]
 
     def get(self, digest: str) -> Fetch | None:
-        """Return the fetch of an object."""
+        """Return the fetch of an object, or None."""
         return self._fetches.get(digest)
 
-    def ensure(self, digest: str, size_bytes: int | None) -> Fetch:
-        """Return the fetch of an object, made if there is none."""
+    def get_or_create(self, digest: str, size_bytes: int | None) -> Fetch:
+        """Return the fetch of an object; create it if necessary."""
         return self._fetches.setdefault(digest, Fetch(digest, size_bytes))
 
     def is_open(self, digest: str) -> bool:
-        """Tell whether an object has been asked for."""
+        """Return whether an object has an open request."""
         fetch = self._fetches.get(digest)
         return fetch is not None and bool(fetch.requests)
 
     def is_blocked(self, digest: str, now_s: float) -> bool:
-        """Tell whether an object is asked for, or not to be asked for yet."""
+        """Return whether an object has an open request or waits for a retry."""
         fetch = self._fetches.get(digest)
         if fetch is None:
             return False
         return bool(fetch.requests) or fetch.not_before_s > now_s
 
-    def ask(
+    def start_request(
         self,
         fetch: Fetch,
         peer: str,
@@ -201,7 +205,7 @@
         region: str = "",
         may_draw: bool = False,
     ) -> bool:
-        """Ask a peer, or the origin; False if there is no room in memory."""
+        """Send a request to a peer or the origin; return False if memory is full."""
         size_bytes = fetch.size_bytes or min(
             OBJECT_LIMIT_BYTES, self._memory.capacity_bytes
         )
@@ -229,15 +233,15 @@
         return True
 
     def find(self, peer: str, digest: str, request_id: int) -> Request | None:
-        """Return an open request."""
+        """Return an open request, or None."""
         fetch = self._fetches.get(digest)
         for request in fetch.requests if fetch else ():
             if request.peer == peer and request.request_id == request_id:
                 return request
         return None
 
-    def find_read(self, digest: str) -> Request | None:
-        """Return the open read of an object from the origin."""
+    def find_origin_read(self, digest: str) -> Request | None:
+        """Return the open read of an object from the origin, or None."""
         fetch = self._fetches.get(digest)
         for request in fetch.requests if fetch else ():
             if request.peer == ORIGIN:
@@ -245,7 +249,7 @@
         return None
 
     def close(self, fetch: Fetch, request: Request, *, is_cancelled: bool) -> None:
-        """End a request; the peer is told if it may still send."""
+        """Close a request; if `is_cancelled`, send the peer a cancellation."""
         fetch.requests.remove(request)
         self._memory.unreserve(request.size_bytes)
         self._count(request, -1)
@@ -254,17 +258,17 @@
             self._actions.append(SendMessage(request.peer, message))
 
     def finish(self, digest: str, done: Request | None = None) -> None:
-        """Forget an object that is there or not needed, and cancel its requests.
+        """Remove the fetch of an object and cancel its requests.
 
-        `done` is the request that brought it, if one did.
+        `done` is the request that delivered the object, if any.
         """
         fetch = self._fetches.pop(digest, None)
         if fetch is not None:
             for request in list(fetch.requests):
                 self.close(fetch, request, is_cancelled=request is not done)
 
-    def iterate(self) -> Iterator[tuple[Fetch, Request]]:
-        """Yield every open request; the requests may be closed meanwhile."""
+    def iterate_requests(self) -> Iterator[tuple[Fetch, Request]]:
+        """Yield every open request; requests may be closed during the iteration."""
         for fetch in list(self._fetches.values()):
             for request in list(fetch.requests):
                 yield fetch, request
--- a/reedspar/weights/inbound.py
+++ b/reedspar/weights/inbound.py
@@ -1,76 +1,78 @@
-"""Decision: how many bytes senders may have under way to this agent.
+"""Credit-based flow control of the chunks that an agent receives.
 
-Prompts for the target beside an agent come over the same link as chunks.  What
-several senders have under way together queues before that link, and a prompt waits
-behind it: at 4.7 Mbit/s, half a second behind six chunks of 48 KB.  So the receiver
-grants bytes and not chunks, at the rate of its link over all senders together: the
-link stays busy, and little queues before it, whatever the size of a chunk is.
+Prompts for the agent's target arrive over the same link as chunks.  Data in flight from
+several senders queues before that link and delays prompts: at 4.7 Mbit/s, six chunks of
+48 KB take half a second.  The receiver therefore grants senders credit in bytes, at the
+total rate of its link.  The link stays busy with a short queue for any chunk size.
 """
 
 from reedspar.utils import TokenBucket
 
 from .distribution import Action, SendMessage
-from .fetches import ORIGIN, FetchBook, Request
+from .fetches import ORIGIN, FetchTable, Request
 from .limits import SwarmLimits
 from .messages import ChunkGrant
 
 __all__ = ["InboundCredit"]
 
-BURST_PIECES = 2
-GRANT_PIECES = 2
-"""Granted at a time, so that grants take little of the link the other way."""
+INBOUND_BURST_PIECES = 2
+PIECES_PER_GRANT = 2
+"""Number of pieces per grant, so that grants use little of the outbound link."""
 
 
 class InboundCredit:
-    """Grants to the senders of all open requests, within the machine's link."""
+    """Grants credit to the senders of open requests at the rate of the link."""
 
     def __init__(
-        self, limits: SwarmLimits, fetches: FetchBook, actions: list[Action]
+        self, limits: SwarmLimits, fetches: FetchTable, actions: list[Action]
     ) -> None:
         self._limits = limits
         self._fetches = fetches
         self._actions = actions
         self._bucket = TokenBucket(
-            limits.machine_bytes_per_s, BURST_PIECES * limits.piece_bytes
+            limits.machine_bytes_per_s, INBOUND_BURST_PIECES * limits.piece_bytes
         )
 
-    def note_arrived(self, size_bytes: int, now_s: float) -> None:
-        """Count bytes for which no grant was given: a first piece, or the origin's."""
+    def record_arrival(self, size_bytes: int, now_s: float) -> None:
+        """Count bytes sent without a grant: first pieces, and reads from the origin."""
         self._bucket.take(size_bytes, now_s)
 
     def grant(self, now_s: float) -> None:
-        """Let senders go on, those of the oldest requests first."""
-        begun = self._begun_requests()
-        under_way_bytes = sum(request.expected_bytes for request in begun)
-        for request in filter(_wants_more, begun):
-            step_bytes = GRANT_PIECES * self._limits.piece_bytes
-            if request.expected_bytes >= step_bytes:
+        """Grant credit to senders, starting with the oldest requests."""
+        started = self._list_started()
+        in_flight_bytes = sum(request.outstanding_bytes for request in started)
+        for request in filter(_needs_grant, started):
+            step_bytes = PIECES_PER_GRANT * self._limits.piece_bytes
+            if request.outstanding_bytes >= step_bytes:
                 continue
-            if under_way_bytes >= self._limits.under_way_bytes:
+            if in_flight_bytes >= self._limits.in_flight_limit_bytes:
                 return
             if not self._bucket.is_ready(now_s):
                 return
-            under_way_bytes += self._raise(request, step_bytes, now_s)
+            in_flight_bytes += self._extend_grant(request, step_bytes, now_s)
 
     def due_s(self, now_s: float) -> float | None:
-        """Return when the next grant may be given, or None if none is wanted."""
-        step_bytes = GRANT_PIECES * self._limits.piece_bytes
-        begun = self._begun_requests()
-        if sum(r.expected_bytes for r in begun) >= self._limits.under_way_bytes:
+        """Return the time of the next grant, or None if none is needed."""
+        step_bytes = PIECES_PER_GRANT * self._limits.piece_bytes
+        started = self._list_started()
+        if (
+            sum(r.outstanding_bytes for r in started)
+            >= self._limits.in_flight_limit_bytes
+        ):
             return None
-        if any(_wants_more(r) and r.expected_bytes < step_bytes for r in begun):
+        if any(_needs_grant(r) and r.outstanding_bytes < step_bytes for r in started):
             return self._bucket.ready_at_s(now_s)
         return None
 
-    def _begun_requests(self) -> list[Request]:
-        """Return the requests to peers of which a part has arrived."""
+    def _list_started(self) -> list[Request]:
+        """Return the requests to peers that have delivered a part."""
         return [
             request
-            for _, request in self._fetches.iterate()
-            if request.peer != ORIGIN and request.has_begun
+            for _, request in self._fetches.iterate_requests()
+            if request.peer != ORIGIN and request.has_data
         ]
 
-    def _raise(self, request: Request, step_bytes: int, now_s: float) -> int:
+    def _extend_grant(self, request: Request, step_bytes: int, now_s: float) -> int:
         request.granted_bytes += step_bytes
         size_bytes = request.assembly.size_bytes or 0
         excess_bytes = max(0, request.granted_bytes - size_bytes)
@@ -86,6 +88,6 @@
         return step_bytes - excess_bytes
 
 
-def _wants_more(request: Request) -> bool:
-    """Tell whether a part of the object has not been granted yet."""
+def _needs_grant(request: Request) -> bool:
+    """Return whether a part of the object has not been granted yet."""
     return request.granted_bytes < (request.assembly.size_bytes or 0)
--- a/reedspar/weights/limits.py
+++ b/reedspar/weights/limits.py
@@ -1,4 +1,4 @@
-"""Bounds and budgets of one agent's part in the distribution."""
+"""Limits of an agent in the distribution, derived from its settings."""
 
 import math
 from dataclasses import dataclass
@@ -11,43 +11,44 @@
 
 __all__ = ["SwarmLimits", "create_swarm_limits"]
 
-SLOTS_MIN = 2
-REACH_MIN = 4
+REGION_SLOTS_MIN = 2
+LOOKAHEAD_MIN_CHUNKS = 4
 SLOTS_MAX = 8
-PIECE_TIME_S = 0.01
-"""Time that one piece may take of the machine's link.
+PIECE_TRANSMIT_TIME_S = 0.01
+"""Maximum transmission time of a piece on the machine's link.
 
-Answers leave a target over the same link.  Behind a whole chunk of 24 KB they
-would wait 54 ms at 3.65 Mbit/s, and several chunks would make each event late."""
+The target sends its answers over the same link.  Behind a complete chunk of 24 KB they
+would wait 54 ms at 3.65 Mbit/s, and several chunks would delay each event."""
 PIECE_MIN_BYTES = 4096
-WINDOW = 5
-"""Chunks asked of neighbours at a time: so many senders are ready to go on when the
-machine's link has room.  What is under way is bounded in bytes, by grants."""
+NEAR_WINDOW = 5
+"""Open requests to neighbours, so that enough senders are ready when the machine's link
+has capacity.  The data in flight is limited in bytes by grants."""
 FAR_WINDOW = 3
-ORIGIN_READS = 4
-"""Chunks that all agents together read at the origin at a time, at least one each.
-
-So many fill the origin's link, which may go away: what the fleet has then is all that
-it can go on with.  More would share the link, and the first chunks be whole, and handed
-on, later.  All that are open are lost when the origin goes away."""
-FAR_PATIENCE_S = 0.5
-"""How long a request of another region waits, where agents of all regions draw.
-
-The asker can turn to another region then: the origin may be away, or an agent gone."""
-QUEUED_PER_BYTES_PER_S = 1 / 100_000
-"""Requests that wait at a sender, by its link: each is worked off in half a second."""
-QUEUE_MIN = 5
-QUEUE_MAX = 64
-SAME_CHUNK = 2
-UNDER_WAY_PIECES = 8
-"""Two at each of four senders: one on its way, one that waits for the sender's link."""
-SLOT_SHARE = 0.25
-"""Share of a machine's link that one slot of a narrow link takes at most."""
+OPEN_ORIGIN_READS_MAX = 4
+"""Concurrent origin reads of all agents together; each agent may have at least one.
+
+This number fills the origin's link, so that the fleet obtains as much as possible
+before an outage.  With more reads sharing the link, the first chunks would be complete
+and passed on later, and all open reads are lost in an outage."""
+FAR_WAIT_LIMIT_S = 0.5
+"""Maximum wait of a request from another region if all regions read from the origin.
+
+The requester can then try another region: the origin may be unavailable, or an agent
+dead."""
+QUEUED_REQUESTS_PER_BYTES_PER_S = 1 / 100_000
+"""Queued requests of a sender per bandwidth of its link; a queue takes about 0.5 s."""
+NEAR_QUEUE_MIN = 5
+NEAR_QUEUE_MAX = 64
+SAME_CHUNK_LIMIT = 2
+IN_FLIGHT_PIECES = 8
+"""Two for each of four senders: one on the wire, and one in the sender's queue."""
+SLOT_LINK_SHARE = 0.25
+"""Maximum share of a machine's link that one slot of a link between regions uses."""
 
 
 @dataclass(frozen=True, slots=True)
 class SwarmLimits:
-    """Rates in bytes a second, times in seconds, counts of open requests."""
+    """Limits of one agent; rates in bytes per second, times in seconds."""
 
     origin_region: str
     machine_bytes_per_s: float
@@ -56,61 +57,64 @@
     copies_per_region: int = 2
     request_timeout_s: float = 3.0
     draws_everywhere: bool = False
-    """Agents of all regions draw from the origin."""
+    """Whether agents of all regions read from the origin."""
     origin_slots: int = SLOTS_MAX
-    window: int = WINDOW
+    window: int = NEAR_WINDOW
     requests_per_peer: int = 2
-    """So that the next one is there when a chunk has gone out."""
+    """Allows the next request to be queued when a chunk has been sent."""
     far_window: int = FAR_WINDOW
-    stall_s: float = 0.6
-    seek_s: float = 1.0
-    map_wait_s: float = 0.25
-    busy_s: float = 0.02
-    link_wait_s: float = 0.2
-    near_patience_s: float = 0.4
-    """How long a request of the own region waits here for an object that is coming.
-
-    Those that wait take up what their sender may ask of this agent: while the origin is
-    away it could not ask for the chunks that come."""
-    near_queue: int = QUEUE_MIN
-    """Requests of the own region that wait for the link; more go elsewhere."""
-    same_chunk: int = SAME_CHUNK
-    """Requests for one chunk that wait at a time: the first receivers hand it on."""
+    stall_timeout_s: float = 0.6
+    no_progress_timeout_s: float = 1.0
+    map_timeout_s: float = 0.25
+    retry_delay_s: float = 0.02
+    link_retry_delay_s: float = 0.2
+    near_wait_limit_s: float = 0.4
+    """Maximum wait of a request of the same region for an object being fetched.
+
+    Waiting requests count against the requests that their sender may have open here.
+    During an origin outage, it could otherwise not request other chunks that arrive."""
+    near_queue_limit: int = NEAR_QUEUE_MIN
+    """Maximum number of queued requests of the same region; others are refused."""
+    same_chunk_limit: int = SAME_CHUNK_LIMIT
+    """Maximum number of queued requests for one chunk, as its receivers pass it on."""
     piece_bytes: int = PIECE_SIZE_BYTES
 
     @property
-    def under_way_bytes(self) -> int:
-        """Return what peers together may have under way to this agent."""
-        return UNDER_WAY_PIECES * self.piece_bytes
+    def in_flight_limit_bytes(self) -> int:
+        """Return the maximum data in flight from all peers to this agent."""
+        return IN_FLIGHT_PIECES * self.piece_bytes
 
     @property
     def slowest_bytes_per_s(self) -> float:
-        """Return the rate at which a copy can come at most."""
+        """Return the maximum rate at which a version can arrive."""
         return min(self.machine_bytes_per_s, self.region_bytes_per_s)
 
-    def patience_s(self, placement: Placement, *, is_near: bool) -> float:
-        """Return how long a request waits here for a chunk that is coming."""
+    def wait_limit_s(self, placement: Placement, *, is_near: bool) -> float:
+        """Return the maximum wait of a peer's request for a chunk being fetched."""
         if is_near:
-            return self.near_patience_s
-        return FAR_PATIENCE_S if placement.draws_everywhere else self.request_timeout_s
+            return self.near_wait_limit_s
+        return (
+            FAR_WAIT_LIMIT_S if placement.draws_everywhere else self.request_timeout_s
+        )
 
     def origin_window(self, placement: Placement) -> int:
-        """Return how many chunks may be read at the origin at a time."""
-        return math.ceil(ORIGIN_READS / max(1, placement.origin_drawers))
+        """Return the maximum number of concurrent origin reads of this agent."""
+        return math.ceil(OPEN_ORIGIN_READS_MAX / max(1, placement.origin_reader_count))
 
     @property
     def region_slots(self) -> int:
-        """Return how many agents of a region draw over each of its links.
+        """Return the number of slots that share each link of a region.
 
-        Where entries hold copies their links differ, and all daemons must reckon alike.
+        It is constant if entries are caches: link rates of daemons differ then, but all
+        daemons must compute the same number.
         """
         if self.draws_everywhere:
             return SLOTS_MAX
-        count = self.region_bytes_per_s / (self.machine_bytes_per_s * SLOT_SHARE)
-        return min(max(math.ceil(count), SLOTS_MIN), SLOTS_MAX)
+        count = self.region_bytes_per_s / (self.machine_bytes_per_s * SLOT_LINK_SHARE)
+        return min(max(math.ceil(count), REGION_SLOTS_MIN), SLOTS_MAX)
 
-    def place(self, me: WeightPeer) -> Placement:
-        """Return the placement of an agent that knows no others yet."""
+    def create_placement(self, me: WeightPeer) -> Placement:
+        """Return the placement of an agent without known peers."""
         return Placement(
             me,
             self.origin_region,
@@ -119,35 +123,37 @@
             draws_everywhere=self.draws_everywhere,
         )
 
-    def reach(self, transfer: Transfer) -> int:
-        """Return how many chunks ahead of the slowest neighbour may be got."""
+    def lookahead(self, transfer: Transfer) -> int:
+        """Return how many chunks may be fetched ahead of the slowest neighbour."""
         if transfer.size_bytes <= self.memory_bytes // 2:
             return len(transfer.digests)
         return max(
-            REACH_MIN,
+            LOOKAHEAD_MIN_CHUNKS,
             len(transfer.digests) * self.memory_bytes // (2 * transfer.size_bytes),
         )
 
-    def limit(self, transfer: Transfer, now_s: float) -> int:
-        """Return the first chunk that may not be got yet.
+    def window_end(self, transfer: Transfer, now_s: float) -> int:
+        """Return the index of the first chunk that may not be fetched yet.
 
-        Where the memory holds less than a copy, an agent that ran ahead would
-        evict what its neighbours still need, and they would ask for it again
-        at the origin.  So all stay within reach of the slowest that gets on.
+        If a version exceeds the memory, an agent ahead of its neighbours would evict
+        chunks that they still need and would fetch from the origin again.  Agents
+        therefore stay within `lookahead` chunks of the slowest active neighbour.
         """
-        reach = self.reach(transfer)
-        if reach >= len(transfer.digests):
-            return reach
+        lookahead = self.lookahead(transfer)
+        if lookahead >= len(transfer.digests):
+            return lookahead
         first = transfer.first_missing()
-        return transfer.table.slowest(first, reach, now_s) + reach
+        return transfer.table.slowest_position(first, lookahead, now_s) + lookahead
 
 
 def create_swarm_limits(settings: AgentSettings) -> SwarmLimits:
-    """Return the limits that the settings ask for."""
+    """Return the limits for an agent's settings."""
     machine_bytes_per_s = settings.links.machine_bytes_per_s
-    queue = round(machine_bytes_per_s * QUEUED_PER_BYTES_PER_S)
-    queue = min(max(queue, QUEUE_MIN), QUEUE_MAX)
-    piece_bytes = max(PIECE_MIN_BYTES, round(machine_bytes_per_s * PIECE_TIME_S))
+    queue = round(machine_bytes_per_s * QUEUED_REQUESTS_PER_BYTES_PER_S)
+    queue = min(max(queue, NEAR_QUEUE_MIN), NEAR_QUEUE_MAX)
+    piece_bytes = max(
+        PIECE_MIN_BYTES, round(machine_bytes_per_s * PIECE_TRANSMIT_TIME_S)
+    )
     return SwarmLimits(
         origin_region=settings.weights.origin_region or settings.region,
         machine_bytes_per_s=machine_bytes_per_s,
@@ -157,6 +163,6 @@
         request_timeout_s=settings.weights.request_timeout_s,
         draws_everywhere=settings.weights.draws_everywhere,
         piece_bytes=min(PIECE_SIZE_BYTES, piece_bytes),
-        near_queue=queue,
-        same_chunk=max(SAME_CHUNK, queue // 2),
+        near_queue_limit=queue,
+        same_chunk_limit=max(SAME_CHUNK_LIMIT, queue // 2),
     )
--- a/reedspar/weights/loading.py
+++ b/reedspar/weights/loading.py
@@ -1,4 +1,4 @@
-"""Ordering an engine to load a version, and having it confirmed by the engine."""
+"""Load orders to an engine, confirmed by the digest that the engine reports."""
 
 import logging
 import uuid
@@ -13,20 +13,20 @@
 
 from .activation import SwitchGate
 from .fencing import FencingNumbers
-from .offers import OfferBook
+from .offers import OfferTracker
 from .staging import StagedVersion
 from .verification import StagedVerifier
 
 __all__ = ["Loader"]
 
-RETRY_S = 1.0
-READ_RETRY_S = 0.2
+LOAD_RETRY_S = 1.0
+STATE_READ_RETRY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
 
 class Loader:
-    """Switch a target to versions, one at a time."""
+    """Switches a target to other versions, one model at a time."""
 
     def __init__(
         self,
@@ -35,8 +35,8 @@
         engine: ModelEngine,
         fencing: FencingNumbers,
         gate: SwitchGate,
-        book: OfferBook,
-        note_state: Callable[[EngineState], None],
+        offers: OfferTracker,
+        record_state: Callable[[EngineState], None],
         notify: Callable[[], None],
         verifier: StagedVerifier,
     ) -> None:
@@ -46,88 +46,88 @@
         self._engine = engine
         self._fencing = fencing
         self._gate = gate
-        self._book = book
-        self._note_state = note_state
+        self._offers = offers
+        self._record_state = record_state
         self._notify = notify
-        self._is_settled = False
+        self._is_recovered = False
         self._is_loading = False
         self._busy_model = ""
-        self._not_before_s = 0.0
+        self._retry_at_s = 0.0
 
     @property
     def is_loading(self) -> bool:
-        """Tell whether the engine was ordered to load, and has not yet confirmed."""
+        """Return whether a load order is in progress."""
         return self._is_loading
 
     def is_busy_with(self, model: str) -> bool:
-        """Tell whether a model is being switched, or about to be."""
+        """Return whether a model is being switched or reserved for a switch."""
         return self._busy_model == model
 
-    async def settle(self) -> None:
-        """Learn what predecessors ordered, and wait out what may be in flight.
+    async def recover(self) -> None:
+        """Read the state left by earlier agents, and wait for their orders to expire.
 
-        An engine that ignores fencing numbers may still take an order that the
-        agent before this one sent as it died.  It would show as a change of
-        weights under requests that were let in; after `order_settle_s` no such
-        order is left, so only then are the engine's reports relied on.
+        An engine that ignores fencing numbers may still execute an order that an agent
+        sent before it died.  The weights would then change during admitted requests.
+        No such order remains after `order_settle_s`, so the engine's reports are relied
+        on only then.
         """
-        await self._read_back()
+        await self._read_engine_state()
         has_record = await self._read_record()
         if not self._target.checks_fencing:
             await anyio.sleep(self._target.order_settle_s)
-        await self._read_back()
-        self._is_settled = True
-        self._book.settle()
+        await self._read_engine_state()
+        self._is_recovered = True
+        self._offers.trust_reports()
         self._notify()
         while not has_record:
-            # The configured version can be offered without the record; it only
-            # lacks which older one the engine may still serve meanwhile.
-            await anyio.sleep(RETRY_S)
+            # The configured version can be offered without the record, which is needed
+            # only to offer an older version that the engine may still serve.
+            await anyio.sleep(LOAD_RETRY_S)
             has_record = await self._read_record()
         self._notify()
 
     def may_start(self, staged: StagedVersion) -> bool:
-        """Tell whether a version that is whole in the engine may be ordered now."""
-        is_free = self._is_settled and not self._busy_model
-        is_due = self._timers.now_s() >= self._not_before_s
-        is_forward = self._book.is_forward(staged.model, staged.version.sequence)
-        is_new = not self._book.is_confirmed(staged.model)
+        """Return whether a completely staged version may be loaded now."""
+        is_free = self._is_recovered and not self._busy_model
+        is_due = self._timers.now_s() >= self._retry_at_s
+        is_forward = self._offers.is_forward(staged.model, staged.version.sequence)
+        is_new = not self._offers.is_confirmed(staged.model)
         return is_free and is_due and is_forward and is_new
 
     def reserve(self, staged: StagedVersion) -> None:
-        """Keep other models from switching until `load` has ended."""
+        """Prevent switches of other models until `load` has ended."""
         self._busy_model = staged.model
 
     async def load(self, staged: StagedVersion) -> Failure | None:
-        """Drain, order the load, and read the engine's own digest back."""
+        """Drain requests, order the load, and verify the engine's reported digest."""
         model = staged.model
-        boot_id = self._book.boot_id
+        boot_id = self._offers.boot_id
         try:
             number = await self._fencing.next_number(
                 model, staged.root_digest, staged.version.sequence
             )
             if isinstance(number, Failure):
                 return number
-            self._book.begin_switch(model, staged.version.sequence)
+            self._offers.begin_switch(model, staged.version.sequence)
             self._notify()
             failure = await self._gate.begin_switch(model)
             if is_failure(failure):
                 return failure
             corrupt = await self._verifier.find_corrupt(staged)
             for index in corrupt:
-                staged.lose(index)
+                staged.mark_lost(index)
             if corrupt:
-                detail = f"{len(corrupt)} staged chunks are spoilt"
+                detail = f"{len(corrupt)} staged chunks are missing or corrupt"
                 return Failure(Reason.CORRUPT, Step.CHUNK_CHECK, detail=detail)
-            if staged.is_whole and boot_id == self._book.boot_id:
+            if staged.is_whole and boot_id == self._offers.boot_id:
                 return await self._order(staged, number)
             return Failure(Reason.CONFLICT, Step.LOAD, detail="the engine restarted")
         finally:
-            self._book.end_switch(model)
+            self._offers.end_switch(model)
             self._gate.end_switch(model)
             self._busy_model = ""
-            if not self._book.is_confirmed(model):
-                self._not_before_s = self._timers.now_s() + RETRY_S
+            if not self._offers.is_confirmed(model):
+                self._retry_at_s = self._timers.now_s() + LOAD_RETRY_S
             self._notify()
 
     async def _order(self, staged: StagedVersion, number: int) -> Failure | None:
@@ -150,27 +150,29 @@
             self._is_loading = False
         _logger.info("load ended", extra=extra | {"failure": str(failure or "")})
         if failure is not None and failure.reason is Reason.OUTCOME_UNKNOWN:
-            # The order may still take effect.  At an engine that ignores
-            # fencing numbers it could overwrite the next one, seen as an
-            # older version after a newer; so the next order waits it out.
+            # The order may still take effect.  In an engine that ignores fencing
+            # numbers, it could replace the version of the next order by an older one,
+            # so the next order waits until this one has expired.
             await anyio.sleep(self._target.order_settle_s)
-        await self._read_back()
-        if failure is None and not self._book.is_confirmed(staged.model):
+        await self._read_engine_state()
+        if failure is None and not self._offers.is_confirmed(staged.model):
             return Failure(Reason.CORRUPT, Step.CONFIRM, detail=staged.root_digest)
         return failure
 
     async def _read_record(self) -> bool:
-        """Take the versions that predecessors ordered; False if not to be read."""
+        """Read the versions ordered by earlier agents; return False on failure."""
         record = await self._fencing.read()
         if isinstance(record, Failure):
             _logger.warning("fencing record was not read: %s", record)
             return False
         for ordered in record.ordered:
-            self._book.add_known(ordered.model, ordered.root_digest, ordered.sequence)
+            self._offers.add_version(
+                ordered.model, ordered.root_digest, ordered.sequence
+            )
         return True
 
-    async def _read_back(self) -> None:
-        """Take the engine's own word on what it holds, as soon as it answers."""
+    async def _read_engine_state(self) -> None:
+        """Read the engine's state, and retry until it answers."""
         while isinstance(state := await self._engine.read_state(), Failure):
-            await anyio.sleep(READ_RETRY_S)
-        self._note_state(state)
+            await anyio.sleep(STATE_READ_RETRY_S)
+        self._record_state(state)
--- a/reedspar/weights/manifest.py
+++ b/reedspar/weights/manifest.py
@@ -1,4 +1,4 @@
-"""Manifests: the ordered chunks of a model version, and the digests that name them."""
+"""Manifests, which list the ordered chunks of a model version and their digests."""
 
 import hashlib
 from collections.abc import Iterable, Iterator
@@ -29,20 +29,20 @@
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 
 
-class Part(BaseModel):
-    """A part of a manifest; unknown keys are refused."""
+class ManifestModel(BaseModel):
+    """Base class of the parts of a manifest; rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Chunk(Part):
-    """A piece of weights; versions that contain the same bytes share it."""
+class Chunk(ManifestModel):
+    """A chunk of weights; versions with the same bytes share it."""
 
     digest: Digest
     size_bytes: int = Field(ge=1, le=CHUNK_LIMIT_BYTES)
 
 
-class Manifest(Part):
+class Manifest(ManifestModel):
     """The ordered chunks of one version of a model or adapter."""
 
     model: Name
@@ -56,19 +56,19 @@
         sizes: dict[str, int] = {}
         for chunk in self.chunks:
             if sizes.setdefault(chunk.digest, chunk.size_bytes) != chunk.size_bytes:
-                raise ValueError(f"chunk {chunk.digest} has two sizes")
+                raise ValueError(f"chunk {chunk.digest} is listed with two sizes")
         if compute_root_digest(c.digest for c in self.chunks) != self.root_digest:
-            raise ValueError("root_digest does not fit the chunk digests")
+            raise ValueError("root_digest does not match the chunk digests")
         return self
 
     @property
     def size_bytes(self) -> int:
-        """Return the size of the whole weights."""
+        """Return the total size of the weights."""
         return sum(chunk.size_bytes for chunk in self.chunks)
 
     @property
     def chunk_digests(self) -> tuple[str, ...]:
-        """Return the digests in order."""
+        """Return the chunk digests in order."""
         return tuple(chunk.digest for chunk in self.chunks)
 
 
@@ -102,7 +102,7 @@
     weights: bytes | Path,
     chunk_size_bytes: int = CHUNK_SIZE_BYTES,
 ) -> Manifest | Failure:
-    """Return the manifest of weights; `INVALID` if they or a name break a rule."""
+    """Return the manifest of weights, or `INVALID` if the weights or a name are."""
     try:
         chunks = tuple(
             Chunk(digest=digest_bytes(data), size_bytes=len(data))
@@ -120,12 +120,12 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Return the bytes that the origin keeps, named by their SHA-256 digest."""
+    """Return the bytes that the origin stores under their SHA-256 digest."""
     return manifest.model_dump_json().encode()
 
 
 def decode_manifest(data: bytes, expected_digest: str) -> Manifest | Failure:
-    """Return the manifest, or `CORRUPT` (wrong bytes) or `INVALID` (bad content)."""
+    """Return the manifest; `CORRUPT` for a wrong digest, `INVALID` for bad content."""
     if digest_bytes(data) != expected_digest:
         return Failure(Reason.CORRUPT, Step.MANIFEST, detail=expected_digest)
     try:
--- a/reedspar/weights/memory.py
+++ b/reedspar/weights/memory.py
@@ -1,4 +1,4 @@
-"""An agent's memory of objects, bounded by the settings."""
+"""In-memory store of objects with a size limit and eviction."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,15 +8,15 @@
 
 __all__ = ["ChunkMemory"]
 
-EVICT_AHEAD = 4
-"""Objects evicted at a time, so that victims are not ranked for each one."""
+EVICTIONS_MIN = 4
+"""Minimum number of evictions at a time, so that objects are ranked less often."""
 
 
 class ChunkMemory:
-    """Objects by digest, and room reserved for those on their way.
+    """Objects by digest, and memory reserved for objects being received.
 
-    `rank_victim` gives each object's place in the order of eviction, the
-    lowest first; `on_evict` hears of each one that went.
+    Objects are evicted in ascending order of `rank_victim`, and `on_evict` is called
+    after each eviction.
     """
 
     def __init__(
@@ -35,33 +35,33 @@
 
     @property
     def capacity_bytes(self) -> int:
-        """Return the bound."""
+        """Return the size limit."""
         return self._capacity_bytes
 
     @property
     def used_bytes(self) -> int:
-        """Return what is held and reserved."""
+        """Return the size of the objects and reservations."""
         return self._held_bytes + self._reserved_bytes
 
     def __contains__(self, digest: str) -> bool:
         return digest in self._objects
 
     def get(self, digest: str) -> bytes | None:
-        """Return an object."""
+        """Return an object, or None if it is not stored."""
         return self._objects.get(digest)
 
     def pin(self, digest: str) -> None:
-        """Keep an object until it is unpinned as often as it was pinned."""
+        """Protect an object from eviction until each pin is removed by `unpin`."""
         self._pins[digest] += 1
 
     def unpin(self, digest: str) -> None:
-        """Take back one pin."""
+        """Remove one pin of an object."""
         self._pins[digest] -= 1
         if self._pins[digest] <= 0:
             del self._pins[digest]
 
     def reserve(self, size_bytes: int) -> bool:
-        """Make room for an object on its way; False if all room is in use."""
+        """Reserve memory for an object, evicting others; return False if it is full."""
         if not self._make_room(size_bytes):
             return False
         self._reserved_bytes += size_bytes
@@ -69,12 +69,12 @@
         return True
 
     def unreserve(self, size_bytes: int) -> None:
-        """Give up reserved room."""
+        """Release reserved memory."""
         self._reserved_bytes -= size_bytes
         self._check()
 
     def put(self, digest: str, data: bytes) -> bool:
-        """Hold an object for which no room is reserved any more; False if full."""
+        """Store an object whose reservation was released; return False if full."""
         if digest in self._objects:
             return True
         if not self._make_room(len(data)):
@@ -91,7 +91,7 @@
         victims.sort(key=self._rank_victim)
         for evicted, digest in enumerate(victims):
             has_room = self.used_bytes + size_bytes <= self._capacity_bytes
-            if has_room and evicted >= EVICT_AHEAD:
+            if has_room and evicted >= EVICTIONS_MIN:
                 break
             self._evict(digest)
         return self.used_bytes + size_bytes <= self._capacity_bytes
--- a/reedspar/weights/messages.py
+++ b/reedspar/weights/messages.py
@@ -1,4 +1,4 @@
-"""The messages by which agents exchange chunks and tell of their versions."""
+"""Messages for the exchange of chunks, manifests and version phases."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -25,11 +25,11 @@
 ]
 
 PIECE_SIZE_BYTES = 64 * 1024
-"""Largest payload of one message, so that live messages go between two pieces."""
+"""Maximum payload of a message; live messages are sent between two pieces."""
 
 
 class RefusalCause(Enum):
-    """Why an agent does not send a chunk."""
+    """Reason why an agent does not send a chunk."""
 
     BUSY = "busy"
     NOT_HELD = "not_held"
@@ -37,11 +37,11 @@
 
 
 class VersionPhase(Enum):
-    """How far a target has come with a version."""
+    """Phase of the switch of a target to a version."""
 
     FETCHING = "fetching"
     WAITING = "waiting"
-    """All chunks are staged; the target waits for its turn to switch."""
+    """All chunks are staged; the target waits until it may switch."""
     SWITCHING = "switching"
     SERVING = "serving"
     """The engine has confirmed the version's root digest."""
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Asks for an object (a chunk or a manifest) by its digest.
+    """Requests an object (a chunk or a manifest) by its digest.
 
-    `may_draw` asks a receiver that lacks the object to get it, and to answer
-    then; without it the receiver refuses at once.  `granted_bytes` may be sent
-    at once, the rest as `ChunkGrant` allows.
+    With `may_draw`, a receiver that lacks the object fetches it before it answers;
+    otherwise it refuses immediately.  The receiver may send `granted_bytes` before it
+    gets a `ChunkGrant`.
     """
 
     digest: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkGrant:
-    """Lets the sender of an object go on to its first `granted_bytes` in all."""
+    """Allows the sender of an object to send its first `granted_bytes` bytes."""
 
     digest: str
     request_id: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkPiece:
-    """Carries bytes of a requested object from `offset` on."""
+    """Carries the bytes of a requested object that start at `offset`."""
 
     digest: str
     request_id: int
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRefused:
-    """Says that a request will not be served."""
+    """Refuses a request."""
 
     digest: str
     request_id: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkCancel:
-    """Withdraws a request; pieces not yet sent are not sent."""
+    """Cancels a request; no further pieces are sent."""
 
     digest: str
     request_id: int
@@ -101,10 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HaveMap:
-    """Tells a neighbour all of what the sender holds of a version.
+    """Announces the complete state of the sender's chunks of a version.
 
-    Both maps have one bit per chunk of the manifest, the lowest bit of the
-    first byte first.  `held` can be asked for; `obtained` is no longer needed.
+    Both maps have one bit per chunk of the manifest, starting with the lowest bit of
+    the first byte.  Chunks in `held` can be requested from the sender; it no longer
+    needs those in `obtained`.
     """
 
     root_digest: str
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HaveUpdate:
-    """Tells a neighbour what has changed since the message before."""
+    """Announces the changes since the previous message."""
 
     root_digest: str
     sequence: int
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionNotice:
-    """Tells the peers of the pool how far the sender is with a version."""
+    """Announces the sender's phase of a version to its cohort."""
 
     model: str
     root_digest: str
@@ -171,7 +172,7 @@
     HaveMap,
     HaveUpdate,
 )
-"""What agents exchange about chunks; a notice is about turns."""
+"""Messages that a `Distribution` handles."""
 
 
 def register_messages(registry: MessageRegistry) -> None:
--- a/reedspar/weights/neighbours.py
+++ b/reedspar/weights/neighbours.py
@@ -1,4 +1,4 @@
-"""What an agent and its neighbours hold of one version."""
+"""Neighbours of an agent, and the chunks of a version that they hold."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -14,45 +14,45 @@
     "iterate_bits",
 ]
 
-NEIGHBOUR_DISTANCES = 5
-CACHES_ASKED = 4
-"""Caches among an agent's neighbours, at most; each holds a part of a version."""
-STILL_AFTER_S = 3.0
-"""A neighbour that has gained nothing for so long is not waited for."""
-SOON = 64
-"""Chunks ahead of its first missing one that a neighbour is expected to ask for."""
-NEIGHBOUR_LIMIT = 20
-"""Also those of an older view, and of a peer whose view differs."""
+RING_DISTANCES = 5
+CACHE_NEIGHBOURS_MAX = 4
+"""Maximum number of caches among the neighbours; each holds a part of a version."""
+NEIGHBOUR_IDLE_TIMEOUT_S = 3.0
+"""Neighbours without a new chunk for this time are not waited for."""
+REQUEST_LOOKAHEAD_CHUNKS = 64
+"""Number of chunks from its first missing one that a neighbour may request soon."""
+NEIGHBOURS_MAX = 20
+"""Includes neighbours from an older view, and peers whose view differs."""
 
 
 @dataclass(slots=True)
 class Neighbour:
-    """A neighbour's maps, one bit per chunk, and the order of their changes."""
+    """A neighbour's maps with one bit per chunk, and their sequence numbers."""
 
     name: str
     is_source: bool = True
-    """False for one that is told what is here, but asked for nothing."""
+    """False if the neighbour receives announcements but gets no requests."""
     held: int = 0
     obtained: int = 0
     has_answered: bool = False
     sent_sequence: int = 0
     seen_sequence: int = 0
     last_gain_s: float = 0.0
-    asked_s: float = 0.0
+    map_requested_s: float = 0.0
 
     @property
     def first_missing(self) -> int:
-        """Return the lowest chunk that it lacks."""
+        """Return the lowest index of a missing chunk."""
         lacking = ~self.obtained
         return (lacking & -lacking).bit_length() - 1
 
-    def is_moving(self, now_s: float) -> bool:
-        """Tell whether it has gained a chunk of late."""
-        return now_s - self.last_gain_s < STILL_AFTER_S
+    def is_progressing(self, now_s: float) -> bool:
+        """Return whether the neighbour has recently obtained a chunk."""
+        return now_s - self.last_gain_s < NEIGHBOUR_IDLE_TIMEOUT_S
 
 
 class HaveTable:
-    """The neighbours, and how many of them hold each chunk."""
+    """The neighbours of an agent, and the number of holders of each chunk."""
 
     def __init__(self, chunk_count: int) -> None:
         self._chunk_count = chunk_count
@@ -63,7 +63,7 @@
 
     @property
     def available_map(self) -> int:
-        """Return the chunks that some neighbour holds."""
+        """Return the map of chunks that any neighbour holds."""
         return self._available
 
     @property
@@ -73,33 +73,33 @@
 
     @property
     def full_map(self) -> int:
-        """Return the map of a whole version."""
+        """Return the map with all chunks of the version."""
         return (1 << self._chunk_count) - 1
 
     @property
     def seen_map(self) -> int:
-        """Return the chunks that some neighbour has ever obtained or held."""
+        """Return the map of chunks that any neighbour has ever obtained or held."""
         return self._seen
 
     @property
-    def lacked_map(self) -> int | None:
-        """Return the chunks that agents lack that ask here; None if none has asked."""
-        asking = [n for n in self._neighbours.values() if not n.is_source]
-        if not asking:
+    def requested_map(self) -> int | None:
+        """Return the chunks that requesting agents lack; None if none has requested."""
+        requesting = [n for n in self._neighbours.values() if not n.is_source]
+        if not requesting:
             return None
         lacked = 0
-        for neighbour in asking:
+        for neighbour in requesting:
             lacked |= self.full_map & ~neighbour.obtained
         return lacked
 
     @property
-    def has_silent_source(self) -> bool:
-        """Tell whether a neighbour that may hold chunks has not answered yet."""
+    def has_unanswered_source(self) -> bool:
+        """Return whether a possible source has not answered yet."""
         neighbours = self._neighbours.values()
         return any(n.is_source and not n.has_answered for n in neighbours)
 
     def count(self, index: int) -> int:
-        """Return how many neighbours hold a chunk."""
+        """Return the number of neighbours that hold a chunk."""
         return self._counts[index]
 
     def holders(self, index: int) -> list[str]:
@@ -108,36 +108,40 @@
         return [n.name for n in self._neighbours.values() if n.held & bit]
 
     def is_needed(self, index: int, now_s: float) -> bool:
-        """Tell whether a neighbour that gets on still lacks a chunk, and will soon."""
+        """Return whether an active neighbour lacks a chunk and may request it soon."""
         bit = 1 << index
         return any(
-            not neighbour.obtained & bit and index < neighbour.first_missing + SOON
+            not neighbour.obtained & bit
+            and index < neighbour.first_missing + REQUEST_LOOKAHEAD_CHUNKS
             for neighbour in self._neighbours.values()
-            if neighbour.is_moving(now_s)
+            if neighbour.is_progressing(now_s)
         )
 
-    def slowest(self, first: int, reach: int, now_s: float) -> int:
-        """Return the lowest first missing chunk of this agent and its neighbours.
+    def slowest_position(self, first: int, lookahead: int, now_s: float) -> int:
+        """Return the minimum of the first missing chunks of this agent and neighbours.
 
-        `first` is this agent's.  A neighbour that does not get on, or lies
-        further behind than this agent's `reach`, is not waited for.
+        `first` is the first missing chunk of this agent.  Neighbours that are idle or
+        more than `lookahead` chunks behind are ignored.
         """
-        places = [
+        positions = [
             neighbour.first_missing
             for neighbour in self._neighbours.values()
-            if neighbour.has_answered and neighbour.is_moving(now_s)
+            if neighbour.has_answered and neighbour.is_progressing(now_s)
         ]
-        return min([place for place in places if place >= first - reach] + [first])
+        return min(
+            [position for position in positions if position >= first - lookahead]
+            + [first]
+        )
 
     def add(self, name: str, *, is_source: bool = True) -> Neighbour | None:
-        """Return a neighbour, made if there is room for it."""
+        """Return a neighbour, added if necessary; None if there are too many."""
         neighbour = self._neighbours.get(name)
-        if neighbour is None and len(self._neighbours) < NEIGHBOUR_LIMIT:
+        if neighbour is None and len(self._neighbours) < NEIGHBOURS_MAX:
             neighbour = self._neighbours[name] = Neighbour(name, is_source)
         return neighbour
 
     def remove(self, name: str) -> None:
-        """Forget a neighbour that is gone."""
+        """Remove a neighbour."""
         neighbour = self._neighbours.pop(name, None)
         if neighbour is not None:
             self._recount(neighbour.held, 0)
@@ -145,7 +149,7 @@
     def set_maps(
         self, neighbour: Neighbour, held: int, obtained: int, now_s: float
     ) -> None:
-        """Take a neighbour's whole maps."""
+        """Replace the maps of a neighbour."""
         held &= self.full_map if neighbour.is_source else 0
         if held & ~neighbour.held or not neighbour.has_answered:
             neighbour.last_gain_s = now_s
@@ -163,11 +167,11 @@
         dropped: Iterable[int],
         now_s: float,
     ) -> bool:
-        """Take changes; tell whether a chunk was seen for the first time."""
+        """Apply changes; return whether a chunk was seen for the first time."""
         seen_before = self._seen
         for index in gained:
             if index < self._chunk_count:
-                self._gain(neighbour, index, now_s)
+                self._add_chunk(neighbour, index, now_s)
         for index in dropped:
             bit = 1 << index
             if neighbour.held & bit:
@@ -175,7 +179,7 @@
                 self._change_count(index, -1)
         return self._seen != seen_before
 
-    def _gain(self, neighbour: Neighbour, index: int, now_s: float) -> None:
+    def _add_chunk(self, neighbour: Neighbour, index: int, now_s: float) -> None:
         bit = 1 << index
         neighbour.obtained |= bit
         neighbour.last_gain_s = now_s
@@ -199,7 +203,7 @@
 
 
 def iterate_bits(value: int) -> Iterator[int]:
-    """Yield the indexes of the bits that are set."""
+    """Yield the indexes of the set bits."""
     while value:
         lowest = value & -value
         yield lowest.bit_length() - 1
@@ -207,30 +211,32 @@
 
 
 def encode_map(value: int, chunk_count: int) -> bytes:
-    """Return a map as it goes over the wire."""
+    """Return a map in its wire format."""
     return value.to_bytes((chunk_count + 7) // 8, "little")
 
 
 def decode_map(data: bytes) -> int:
-    """Return a map as it came over the wire."""
+    """Return a map from its wire format."""
     return int.from_bytes(data, "little")
 
 
 def choose_neighbours(
     me: str, root_digest: str, names: Iterable[str], caches: Iterable[str] = ()
 ) -> list[str]:
-    """Return the agents whose maps to ask for; some of the caches come first.
+    """Return the agents whose maps to request, starting with some of the caches.
 
-    The agents form a ring in the order of a hash, and each one's neighbours
-    lie at distances that grow by a constant factor.  So all have as many, any
-    two are few steps apart, and no agent is asked for more than the others.
+    The agents form a ring in the order of a hash, and the distances to an agent's
+    neighbours grow by a constant factor.  All agents therefore have equally many
+    neighbours and requests, and any two agents are connected by few hops.
     """
-    ring = sorted(names, key=lambda name: (rendezvous_score(root_digest, name), name))
-    place = ring.index(me)
+    ranking = sorted(
+        names, key=lambda name: (rendezvous_score(root_digest, name), name)
+    )
+    position = ranking.index(me)
     others = [name for name in caches if name != me]
-    chosen = rank_by_rendezvous(me, others)[:CACHES_ASKED]
-    for i in range(NEIGHBOUR_DISTANCES):
-        distance = round(len(ring) ** (i / NEIGHBOUR_DISTANCES))
-        chosen.append(ring[(place + distance) % len(ring)])
-        chosen.append(ring[(place - distance) % len(ring)])
+    chosen = rank_by_rendezvous(me, others)[:CACHE_NEIGHBOURS_MAX]
+    for i in range(RING_DISTANCES):
+        distance = round(len(ranking) ** (i / RING_DISTANCES))
+        chosen.append(ranking[(position + distance) % len(ranking)])
+        chosen.append(ranking[(position - distance) % len(ranking)])
     return [name for name in dict.fromkeys(chosen) if name != me]
--- a/reedspar/weights/offers.py
+++ b/reedspar/weights/offers.py
@@ -1,4 +1,4 @@
-"""Which loaded version of each model may be offered: a decision on what is proved."""
+"""Tracking of the loaded versions that may be offered to requests."""
 
 from collections.abc import Mapping
 
@@ -7,16 +7,16 @@
 from reedspar.errors import InvariantError
 from reedspar.platform import EngineState
 
-__all__ = ["OfferBook"]
+__all__ = ["OfferTracker"]
 
 
-class OfferBook:
-    """What the engine holds, as it says itself, against the versions known whole.
+class OfferTracker:
+    """Compares the versions that the engine reports with the published versions.
 
-    A version is offered only while the engine's latest word, in its present
-    boot, names the version's root digest.  A target that restarts or loses
-    its weights without warning would otherwise be given requests that it
-    answers from nothing, or from other weights than the caller was told.
+    A version is offered only while the latest report of the engine's current boot
+    contains its root digest.  Otherwise, a target that restarted or lost its weights
+    would receive requests without weights, or answer them from other weights than the
+    caller was told.
     """
 
     def __init__(self) -> None:
@@ -26,32 +26,32 @@
         self._highest: dict[str, int] = {}
         self._reported: dict[str, str] = {}
         self._boot_id = ""
-        self._is_settled = False
+        self._are_reports_trusted = False
 
     @property
     def boot_id(self) -> str:
-        """Return the engine's present boot, empty if it is not known."""
+        """Return the id of the engine's current boot, or an empty string if unknown."""
         return self._boot_id
 
     def set_wanted(self, wanted: Mapping[str, ModelVersion]) -> None:
-        """Take the models that the target is to serve."""
+        """Set the versions that the target is to serve, by model."""
         self._wanted = dict(wanted)
         for model, version in wanted.items():
-            self.add_known(model, version.root_digest, version.sequence)
-        self._raise_highest()
+            self.add_version(model, version.root_digest, version.sequence)
+        self._update_highest()
 
-    def add_known(self, model: str, root_digest: str, sequence: int) -> None:
-        """Take a version that is known to be published whole."""
+    def add_version(self, model: str, root_digest: str, sequence: int) -> None:
+        """Add a version that is completely published."""
         known = self._known.setdefault(model, {})
         known[root_digest] = max(sequence, known.get(root_digest, 0))
 
-    def settle(self) -> None:
-        """Trust reports from now on: no predecessor's order can be in flight."""
-        self._is_settled = True
-        self._raise_highest()
+    def trust_reports(self) -> None:
+        """Start to rely on reports, as no earlier agent's order can be in flight."""
+        self._are_reports_trusted = True
+        self._update_highest()
 
     def begin_switch(self, model: str, sequence: int) -> None:
-        """Withdraw a model until its switch ends; it only goes forward."""
+        """Withdraw a model until `end_switch`; an older version is an error."""
         if sequence < self._highest.get(model, 0):
             raise InvariantError(
                 f"{model}: version {sequence} ordered after {self._highest[model]}"
@@ -59,43 +59,43 @@
         self._switching.add(model)
 
     def end_switch(self, model: str) -> None:
-        """Offer again whatever the engine reports."""
+        """Offer a model again if the engine reports it."""
         self._switching.discard(model)
-        self._raise_highest()
+        self._update_highest()
 
-    def note_state(self, state: EngineState) -> bool:
-        """Take the engine's report; tell whether it is another boot than before."""
+    def record_state(self, state: EngineState) -> bool:
+        """Store the engine's report; return whether the engine has restarted."""
         is_new_boot = state.boot_id != self._boot_id
         self._boot_id = state.boot_id
         self._reported = dict(state.loaded)
-        self._raise_highest()
+        self._update_highest()
         return is_new_boot
 
-    def note_lost(self) -> None:
-        """Withdraw everything: the engine can't be asked."""
+    def record_engine_lost(self) -> None:
+        """Withdraw all versions because the engine can't be reached."""
         self._reported = {}
 
     def is_confirmed(self, model: str) -> bool:
-        """Tell whether the engine reports the wanted version."""
+        """Return whether the engine reports the wanted version."""
         wanted = self._wanted.get(model)
         return wanted is not None and self._is_reported(model, wanted.root_digest)
 
     def is_serving(self, model: str) -> bool:
-        """Tell whether a switch would take a version from service."""
-        return self._is_settled and self._is_current(model)
+        """Return whether a version is in service that a switch would interrupt."""
+        return self._are_reports_trusted and self._is_current(model)
 
     def served_sequence(self, model: str) -> int:
-        """Return the number of the version that the engine reports, 0 if unknown."""
+        """Return the sequence of the version that the engine reports, or 0."""
         known = self._known.get(model, {})
         return known.get(self._reported.get(model, ""), 0)
 
     def is_forward(self, model: str, sequence: int) -> bool:
-        """Tell whether a version may still be ordered."""
+        """Return whether a version is not older than the newest one served."""
         return sequence >= self._highest.get(model, 0)
 
     def offered(self) -> tuple[LoadedWeights, ...]:
-        """Return the versions that requests may be given to."""
-        if not self._is_settled:
+        """Return the versions that may serve requests."""
+        if not self._are_reports_trusted:
             return ()
         return tuple(
             LoadedWeights(model, self._reported[model])
@@ -111,9 +111,9 @@
     def _is_reported(self, model: str, root_digest: str) -> bool:
         return self._reported.get(model) == root_digest
 
-    def _raise_highest(self) -> None:
-        """Remember the newest version that was served here."""
-        if not self._is_settled:
+    def _update_highest(self) -> None:
+        """Update the newest version served of each model."""
+        if not self._are_reports_trusted:
             return
         for model in self._known:
             sequence = self.served_sequence(model)
--- a/reedspar/weights/placement.py
+++ b/reedspar/weights/placement.py
@@ -1,11 +1,11 @@
-"""Who draws and who keeps a chunk: rendezvous hashing over the live agents.
-
-Chunks are hashed to agents in two steps, so that a change of view costs
-hashes by the number of agents and not by that times the chunks.  A chunk
-falls into one of a fixed number of buckets, whose ranking of the agents says
-who keeps it.  Draws over a narrow link go through few slots: a chunk belongs
-to a slot by its index, so that slots carry the same, and each slot goes to
-the agent that ranks first for it.
+"""Assignment of chunks to agents by rendezvous hashing over the live agents.
+
+Chunks are hashed in two steps, so that the number of hashes after a change of the view
+is proportional to the agents, and not to agents times chunks.  Each chunk belongs to
+one of a fixed number of buckets, and the first agents in the ranking of its bucket are
+its replicas.  Fetches from the origin and between regions are divided into few slots.
+A chunk belongs to a slot by its index, which distributes chunks evenly, and each slot
+is assigned to the agent with its highest rank.
 """
 
 import heapq
@@ -17,15 +17,15 @@
 
 __all__ = ["Placement"]
 
-RANKED_LIMIT = 8
-"""Agents told apart by rank; those behind never have a duty."""
+RANKED_AGENTS_MAX = 8
+"""Number of ranked agents per object; others are never replicas."""
 TREE_FANOUT = 4
 ALL_REGIONS = ""
-"""Key of the slots that agents of all regions have together."""
+"""Key of the slots shared by the agents of all regions."""
 
 
 class Placement:
-    """The live agents of one model, and their duties."""
+    """The live agents of a model, and the chunks assigned to them."""
 
     def __init__(
         self,
@@ -56,57 +56,58 @@
 
     @property
     def draws_everywhere(self) -> bool:
-        """Tell whether agents of all regions draw from the origin.
+        """Return whether agents of all regions read from the origin.
 
-        A cache near the origin fills the origin's link alone.  What is drawn there
-        crosses to each other region once; drawn elsewhere, it crosses once more.
+        A cache in the origin's region fills the origin's link alone.  A chunk that it
+        reads crosses to each other region once; one that another region reads crosses
+        once more.
         """
         return self._draws_everywhere and not self._has_cache_near_origin
 
     @property
     def may_read_origin(self) -> bool:
-        """Tell whether this agent may read the origin, in whatever region it is."""
+        """Return whether this agent may read from the origin in a fallback."""
         return self._draws_everywhere or self.is_in_origin_region
 
     @property
-    def origin_drawers(self) -> int:
-        """Return how many agents draw from the origin."""
+    def origin_reader_count(self) -> int:
+        """Return the number of agents assigned to read from the origin."""
         if self.draws_everywhere:
             return len(set(self._slots_of_all()))
         return len(set(self._slots_of(self._origin_region)))
 
     @property
     def is_in_origin_region(self) -> bool:
-        """Tell whether this agent asks the origin for single objects.
+        """Return whether this agent requests single objects from the origin.
 
-        So does one whose origin region has no live agent to ask.
+        That is also the case if the origin's region has no live agent.
         """
         is_nearest = self._me.region == self._origin_region
         return is_nearest or not self._names.get(self._origin_region)
 
-    def is_drawn_here(self, index: int) -> bool:
-        """Tell whether this region gets a chunk from the origin, not from a region."""
+    def is_fetched_from_origin(self, index: int) -> bool:
+        """Return whether this region fetches a chunk from the origin."""
         if self.draws_everywhere:
-            return self._home(index) == self._me.region
+            return self._gateway_region(index) == self._me.region
         return self.is_in_origin_region
 
     @property
     def region_names(self) -> list[str]:
-        """Return the names of this region's agents, with this one."""
+        """Return the names of this region's agents, including this one."""
         return self._names[self._me.region]
 
     @property
     def names(self) -> list[str]:
-        """Return the names of all live agents, with this one."""
+        """Return the names of all live agents, including this one."""
         return list(self._regions)
 
     @property
     def other_regions(self) -> list[str]:
-        """Return the other regions that have a live agent."""
+        """Return the other regions with live agents."""
         return [region for region in self._names if region != self._me.region]
 
     def set_peers(self, peers: Iterable[WeightPeer]) -> bool:
-        """Take the live agents; tell whether they have changed."""
+        """Set the other live agents; return whether they have changed."""
         agents = frozenset([self._me, *peers])
         if agents == self._agents:
             return False
@@ -124,87 +125,96 @@
         return True
 
     def is_cache(self, name: str) -> bool:
-        """Tell whether a peer holds copies for others, on a wide link."""
+        """Return whether a peer is a cache."""
         return name in self._caches
 
     @property
-    def pulls(self) -> bool:
-        """Tell whether this agent gets all chunks, and not only those it draws.
+    def fetches_all(self) -> bool:
+        """Return whether this agent fetches all chunks, not only its assigned ones.
 
-        The caches of a region hold the parts that they draw.  Copies that they sent
-        each other would take the links from which the agents get theirs, and one that
-        restarts would fill itself over the agents' narrow links.
+        A cache holds only the chunks assigned to it.  Transfers between caches would
+        use the links over which agents receive chunks, and a restarted cache would
+        fetch chunks over the agents' narrow links.
         """
         return not self._me.is_cache
 
     def is_source(self, name: str) -> bool:
-        """Tell whether what a peer holds needs not be drawn into this region.
+        """Return whether chunks held by a peer need not be fetched into this region.
 
-        To a cache that is what other caches hold: agents send little over their links.
+        For a cache, only other caches count, as agents send little over their links.
         """
-        return self.pulls or self.is_cache(name)
+        return self.fetches_all or self.is_cache(name)
 
     def region_of(self, name: str) -> str:
-        """Return an agent's region, empty if it is not live."""
+        """Return the region of an agent, or an empty string if it is not live."""
         return self._regions.get(name, "")
 
-    def keepers(self, digest: str, region: str = "") -> list[str]:
-        """Return the first agents of a region (this one's) for an object."""
+    def replicas(self, digest: str, region: str = "") -> list[str]:
+        """Return the replicas of an object in a region (default: own), by rank."""
         bucket = digest[:2]
         region = region or self._me.region
         key = (region, bucket)
         if key not in self._ranked:
             names = self._prefer_caches(self._names.get(region, []))
             self._ranked[key] = heapq.nlargest(
-                RANKED_LIMIT, names, lambda name: (rendezvous_score(bucket, name), name)
+                RANKED_AGENTS_MAX,
+                names,
+                lambda name: (rendezvous_score(bucket, name), name),
             )
         return self._ranked[key]
 
-    def drawer(self, index: int, region: str = "") -> str:
-        """Return who draws a chunk into a region (this one), by the chunk's index."""
+    def assigned_agent(self, index: int, region: str = "") -> str:
+        """Return the agent assigned to fetch a chunk into a region (default: own)."""
         region = region or self._me.region
-        if self.draws_everywhere and region == self._home(index):
-            return self._origin_drawer(index)
+        if self.draws_everywhere and region == self._gateway_region(index):
+            return self._assigned_origin_reader(index)
         slots = self._slots_of(region)
-        # The homes take turns by index, too: were the slots to take turns with
-        # them, one slot would draw all of one link, at a share of its budget.
-        turn = index // max(1, len(self._far_regions()))
+        # Gateway regions also rotate by index.  If slots rotated in step with them,
+        # one slot would carry all chunks of a link with only a share of its rate.
+        turn = index // max(1, len(self._non_origin_regions()))
         return slots[turn % len(slots)] if slots else ""
 
-    def slots_held(self) -> int:
-        """Return how many of its region's slots this agent has."""
+    def slot_count(self) -> int:
+        """Return the number of its region's slots assigned to this agent."""
         return self._slots_of(self._me.region).count(self._me.name)
 
-    def sources(self, index: int, digest: str) -> list[str]:
-        """Return whom to ask, in this order, to draw a chunk into this region.
+    def remote_sources(self, index: int, digest: str) -> list[str]:
+        """Return the agents of other regions to request a chunk from, in order.
 
-        Each chunk enters the other regions through one of them, its home,
-        which hands it on: so every link between regions carries a part.
+        Each chunk reaches the other regions through one of them, its gateway region,
+        which passes it on, so that all links between regions share the load.
         """
-        home = self._home(index)
+        gateway_region = self._gateway_region(index)
         if self.draws_everywhere:
-            names = [self._origin_drawer(index), *self.holders_across(index, digest)]
+            names = [
+                self._assigned_origin_reader(index),
+                *self.remote_holders(index, digest),
+            ]
             return [name for name in dict.fromkeys(names) if name]
-        near = [self.drawer(index, self._origin_region)]
-        far = [self.drawer(index, home)] if home != self._me.region else []
-        names = [*far, *near, *self.keepers(digest, self._origin_region)]
+        near = [self.assigned_agent(index, self._origin_region)]
+        far = (
+            [self.assigned_agent(index, gateway_region)]
+            if gateway_region != self._me.region
+            else []
+        )
+        names = [*far, *near, *self.replicas(digest, self._origin_region)]
         names = [name for name in dict.fromkeys(names) if name]
         return [name for name in names if self._regions[name] != self._me.region]
 
-    def holders_across(self, index: int, digest: str) -> list[str]:
-        """Return who of the other regions has a chunk once it has left this one."""
-        home = self._home(index)
-        regions = [home, *(r for r in self._names if r != home)]
-        drawers = [self.drawer(index, region) for region in regions]
-        keepers = [name for r in regions for name in self.keepers(digest, r)[:1]]
-        names = [name for name in dict.fromkeys([*drawers, *keepers]) if name]
+    def remote_holders(self, index: int, digest: str) -> list[str]:
+        """Return the agents of other regions that may hold a chunk."""
+        gateway_region = self._gateway_region(index)
+        regions = [gateway_region, *(r for r in self._names if r != gateway_region)]
+        assigned_agents = [self.assigned_agent(index, region) for region in regions]
+        replicas = [name for r in regions for name in self.replicas(digest, r)[:1]]
+        names = [name for name in dict.fromkeys([*assigned_agents, *replicas]) if name]
         return [name for name in names if self._regions[name] != self._me.region]
 
     def ancestors(self, digest: str) -> list[str]:
-        """Return whom to ask for a single object, the nearest in its tree first.
+        """Return the ancestors of this agent in the tree of a single object.
 
-        The region's agents form a tree by rank, so that each one sends an
-        object a bounded number of times.  The root has none to ask.
+        The region's agents form a tree by rank, which bounds how often each agent
+        sends the object.  The nearest ancestor is first; the root has none.
         """
         ranked = rank_by_rendezvous(digest, self.region_names)
         position = ranked.index(self._me.name)
@@ -215,22 +225,22 @@
         return names
 
     def roots(self, digest: str) -> list[str]:
-        """Return the agents near the origin to ask for a single object."""
+        """Return the agents in the origin's region to request a single object from."""
         names = self._names.get(self._origin_region, [])
-        return rank_by_rendezvous(digest, names)[:RANKED_LIMIT]
+        return rank_by_rendezvous(digest, names)[:RANKED_AGENTS_MAX]
 
-    def _home(self, index: int) -> str:
+    def _gateway_region(self, index: int) -> str:
         if self.draws_everywhere:
-            return self._regions[self._origin_drawer(index)]
-        others = self._far_regions()
+            return self._regions[self._assigned_origin_reader(index)]
+        others = self._non_origin_regions()
         return others[index % len(others)] if others else self._origin_region
 
-    def _origin_drawer(self, index: int) -> str:
-        """Return who of all agents draws a chunk from the origin.
+    def _assigned_origin_reader(self, index: int) -> str:
+        """Return the agent of any region assigned to read a chunk from the origin.
 
-        The origin's link is to be full though few agents stand near it: two of them
-        read 10 chunks a second each, where it carries 37.  And what one that leaves
-        takes with it is a tenth of the copy, not a third.
+        Few agents in the origin's region can't fill its link: two read 10 chunks per
+        second each from a link that carries 37.  In addition, an agent that leaves
+        takes a tenth of a version with it, and not a third.
         """
         slots = self._slots_of_all()
         return slots[index % len(slots)]
@@ -241,7 +251,7 @@
             self._slots[ALL_REGIONS] = self._assign_slots(names, self._origin_slots)
         return self._slots[ALL_REGIONS]
 
-    def _far_regions(self) -> list[str]:
+    def _non_origin_regions(self) -> list[str]:
         return sorted(r for r in self._names if r != self._origin_region)
 
     def _slots_of(self, region: str) -> list[str]:
@@ -254,10 +264,10 @@
         return self._slots[region]
 
     def _prefer_caches(self, names: list[str]) -> list[str]:
-        """Return the caches among some agents, or all if there is none.
+        """Return the caches among the given agents, or all agents if there is none.
 
-        What a cache draws takes nothing of a link that a target's answers share, and
-        many can have it from there at once.
+        A cache does not share its link with the answers of a target, and can serve many
+        agents at the same time.
         """
         return [name for name in names if name in self._caches] or names
 
--- a/reedspar/weights/progress.py
+++ b/reedspar/weights/progress.py
@@ -1,4 +1,4 @@
-"""Telling from time to time how much of a version is still to come."""
+"""Periodic log messages about transfers in progress."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -7,30 +7,30 @@
 
 __all__ = ["ProgressLog"]
 
-INTERVAL_S = 1.0
-"""Between two lines on a version that is on its way: ten lines a copy at most."""
+PROGRESS_LOG_INTERVAL_S = 1.0
+"""Yields at most ten messages per transferred version."""
 
 _logger = logging.getLogger(__name__)
 
 
 class ProgressLog:
-    """Writes a line a second while a version is on its way."""
+    """Logs the remaining transfer time of versions once per second."""
 
     def __init__(self, left_s: Callable[[str], float]) -> None:
         self._left_s = left_s
-        self._written_s = float("-inf")
+        self._logged_s = float("-inf")
 
-    def note(
+    def log(
         self, versions: Iterable[StagedVersion], origin_reads: int, now_s: float
     ) -> None:
-        """Write how long the missing chunks of each version take over the link."""
-        if now_s - self._written_s < INTERVAL_S:
+        """Log the transfer time of the missing chunks of each version, if due."""
+        if now_s - self._logged_s < PROGRESS_LOG_INTERVAL_S:
             return
         for staged in versions:
             left_s = self._left_s(staged.root_digest)
             if staged.is_whole or not left_s:
                 continue
-            self._written_s = now_s
+            self._logged_s = now_s
             extra = {
                 "version": staged.version.sequence,
                 "left_s": round(left_s, 2),
--- a/reedspar/weights/publishing.py
+++ b/reedspar/weights/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing: bring a version's chunks and manifest to the origin."""
+"""Upload of the chunks and the manifest of a version to the origin."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -19,20 +19,20 @@
 
 
 class WeightSink(Protocol):
-    """Where a publisher puts objects; an object's name is its SHA-256 digest."""
+    """Storage for published objects, which are named by their SHA-256 digest."""
 
     async def has(self, name: str) -> bool | Failure:
-        """Tell whether the object is there whole."""
+        """Return whether the complete object is stored."""
         ...
 
     async def put(self, name: str, data: bytes) -> Failure | None:
-        """Store an object; storing the same one again changes nothing."""
+        """Store an object; idempotent."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """A published version, and what publishing it took."""
+    """A published version with its upload statistics."""
 
     model: str
     version: ModelVersion
@@ -51,8 +51,8 @@
 ) -> Publication | Failure:
     """Upload the chunks that the origin lacks, then the manifest.
 
-    The manifest goes last, so that a version that can be named is whole.
-    Calling it again after a failure uploads only what is still missing.
+    The manifest is uploaded last, so that every version with a manifest is complete.
+    A repeated call after a failure uploads only the missing objects.
     """
     manifest = build_manifest(model, label, sequence, weights, chunk_size_bytes)
     if isinstance(manifest, Failure):
@@ -74,7 +74,11 @@
             uploaded_chunks += 1
             uploaded_bytes += len(data)
     if not seen.issuperset(manifest.chunk_digests):
-        return Failure(Reason.CONFLICT, Step.MANIFEST, detail="the file changed")
+        return Failure(
+            Reason.CONFLICT,
+            Step.MANIFEST,
+            detail="the weights file changed during publishing",
+        )
     encoded = encode_manifest(manifest)
     manifest_digest = digest_bytes(encoded)
     is_new = await _upload(sink, manifest_digest, encoded)
@@ -91,7 +95,7 @@
 
 
 async def _upload(sink: WeightSink, name: str, data: bytes) -> bool | Failure:
-    """Store an object unless it is there; tell whether it was new."""
+    """Store an object if the origin lacks it; return whether it was stored."""
     is_there = await sink.has(name)
     if isinstance(is_there, Failure):
         return is_there
--- a/reedspar/weights/pulling.py
+++ b/reedspar/weights/pulling.py
@@ -1,53 +1,53 @@
-"""Pulling chunks from neighbours: caches first, and no more at a time than a window."""
+"""Requests of chunks to neighbours, caches first, within a window."""
 
 import random
 
-from .fetches import ORIGIN, Fetch, FetchBook, PeerBook, Request
+from .fetches import ORIGIN, Fetch, FetchTable, PeerBackoff, Request
 from .limits import SwarmLimits
 from .placement import Placement
-from .selection import pick_pull
+from .selection import pick_request
 from .transfers import Transfer
 
-__all__ = ["Pulling"]
+__all__ = ["NeighbourFetcher"]
 
-ORIGIN_LINKS = 2.0
-"""The origin's link, in links of a machine beside a target."""
-SILENT_S = 0.3
-"""Draws have stopped if none has ended for so long; at work they end every 0.1 s.
+ORIGIN_LINK_RATIO = 2.0
+"""Assumed ratio of the origin's link to the link of a target machine."""
+REMOTE_CHUNK_TIMEOUT_S = 0.3
+"""Remote fetches have stalled if none completes in this time; normally every 0.1 s.
 
-An origin that is away may leave reads open for seconds.  Were neighbours not asked
-meanwhile, what the region has would not spread."""
+Reads from an unavailable origin may stay open for seconds.  Without requests to
+neighbours in that time, the chunks that the region holds would not spread."""
 
 
-class Pulling:
-    """Decide on requests to neighbours."""
+class NeighbourFetcher:
+    """Decides on requests to neighbours."""
 
     def __init__(
         self,
         limits: SwarmLimits,
-        fetches: FetchBook,
-        peers: PeerBook,
+        fetches: FetchTable,
+        peers: PeerBackoff,
         rng: random.Random,
     ) -> None:
         self._limits = limits
         self._fetches = fetches
         self._peers = peers
         self._rng = rng
-        self._drawn_s = float("-inf")
+        self._last_remote_chunk_s = float("-inf")
 
-    def note_drawn(self, now_s: float) -> None:
-        """Note that a chunk came over a narrow link."""
-        self._drawn_s = now_s
+    def record_remote_chunk(self, now_s: float) -> None:
+        """Record that a chunk from the origin or another region was received."""
+        self._last_remote_chunk_s = now_s
 
-    def pull(self, transfer: Transfer, placement: Placement, now_s: float) -> None:
-        """Ask neighbours for as much as the window allows."""
-        if not placement.pulls:
+    def fetch(self, transfer: Transfer, placement: Placement, now_s: float) -> None:
+        """Request chunks from neighbours until the window is full."""
+        if not placement.fetches_all:
             return
         limits = self._limits
-        limit = limits.limit(transfer, now_s)
+        limit = limits.window_end(transfer, now_s)
         window = self._window(transfer, placement, now_s)
         while self._fetches.near_open < window:
-            choice = pick_pull(
+            choice = pick_request(
                 transfer,
                 lambda digest: not self._fetches.is_blocked(digest, now_s),
                 lambda name: self._load_of(name, placement, now_s),
@@ -57,28 +57,32 @@
             if choice is None:
                 return
             index, peer = choice
-            if not self._ask_near(transfer, index, peer, now_s):
+            if not self._request_chunk(transfer, index, peer, now_s):
                 return
 
     def _window(self, transfer: Transfer, placement: Placement, now_s: float) -> int:
-        """Return how many chunks may be asked of neighbours at a time.
+        """Return the maximum number of open requests to neighbours.
 
-        Where few agents draw, their draws come first while they get on: the origin may
-        go away, and neighbours can exchange what the region has without it.
+        If few agents read from the origin, their reads have precedence while they make
+        progress: the origin may become unavailable, while neighbours can exchange the
+        chunks of the region at any time.
         """
         limits = self._limits
         if placement.draws_everywhere or not self._fetches.far_open(ORIGIN):
             return limits.window
-        if not transfer.draws or now_s - self._drawn_s > SILENT_S:
+        if (
+            not transfer.assigned
+            or now_s - self._last_remote_chunk_s > REMOTE_CHUNK_TIMEOUT_S
+        ):
             return limits.window
-        drawn = min(1.0, ORIGIN_LINKS * transfer.draw_share)
-        return round(limits.window * (1 - drawn))
+        remote_share = min(1.0, ORIGIN_LINK_RATIO * transfer.assigned_share)
+        return round(limits.window * (1 - remote_share))
 
     def _load_of(self, name: str, placement: Placement, now_s: float) -> int | None:
-        """Return what a peer was asked for; None if it is not to be asked now.
+        """Return the number of open requests to a peer; None if it gets no more now.
 
-        Any load of a cache is less than an agent's: what an agent sends shares a
-        narrow link with its target's answers.
+        Caches rank below any agent, since an agent's link is shared with the answers of
+        its target.
         """
         if self._peers.is_avoided(name, now_s):
             return None
@@ -87,16 +91,16 @@
             return load - self._limits.window
         return load if load < self._limits.requests_per_peer else None
 
-    def _ask_near(
+    def _request_chunk(
         self, transfer: Transfer, index: int, peer: str, now_s: float
     ) -> bool:
         digest = transfer.digests[index]
         size_bytes = transfer.sizes[digest]
-        fetch = self._fetches.ensure(digest, size_bytes)
+        fetch = self._fetches.get_or_create(digest, size_bytes)
         timeout_s = self._limits.request_timeout_s
-        return self._fetches.ask(fetch, peer, now_s, timeout_s)
+        return self._fetches.start_request(fetch, peer, now_s, timeout_s)
 
-    def overtake(
+    def hedge(
         self,
         fetch: Fetch,
         request: Request,
@@ -104,13 +108,13 @@
         placement: Placement,
         now_s: float,
     ) -> None:
-        """Ask a second holder for what the first is slow to send."""
+        """Send a hedged request to a second holder if the first one is slow."""
         index = transfer.index_of.get(fetch.digest)
-        if index is None or request.is_overtaken or len(fetch.requests) > 1:
+        if index is None or request.is_hedged or len(fetch.requests) > 1:
             return
         for name in transfer.table.holders(index):
             is_other = name != request.peer
             if is_other and self._load_of(name, placement, now_s) is not None:
-                request.is_overtaken = True
-                self._ask_near(transfer, index, name, now_s)
+                request.is_hedged = True
+                self._request_chunk(transfer, index, name, now_s)
                 return
