--- a/reedspar/weights/pump.py
+++ b/reedspar/weights/pump.py
@@ -1,4 +1,4 @@
-"""Carrying out what a distribution decides: messages, reads of the origin, pacing."""
+"""Execution of a distribution's actions: messages, origin reads and pacing."""
 
 from collections.abc import Callable
 
@@ -13,14 +13,14 @@
 from .distribution import Distribution, ObjectReady, ReadOrigin, SendMessage
 from .messages import ChunkPiece
 
-__all__ = ["TICK_S", "DistributionPump"]
+__all__ = ["TICK_INTERVAL_S", "ActionRunner"]
 
-TICK_S = 0.05
-PACE_MIN_S = 0.002
+TICK_INTERVAL_S = 0.05
+PACING_DELAY_MIN_S = 0.002
 
 
-class DistributionPump:
-    """Turns actions into messages and reads, and goes on when links are free."""
+class ActionRunner:
+    """Executes the actions of a distribution, and calls it when it is due."""
 
     def __init__(
         self,
@@ -29,20 +29,20 @@
         origin: WeightSource,
         timers: TimerService,
         tasks: TaskGroup,
-        take_object: Callable[[str], None],
+        on_object: Callable[[str], None],
     ) -> None:
         self._distribution = distribution
         self._network = network
         self._origin = origin
         self._timers = timers
         self._tasks = tasks
-        self._take_object = take_object
+        self._on_object = on_object
         self._is_pacing = False
         self.origin_reads = 0
-        network.on_link_event(self._note_link)
+        network.on_link_event(self._handle_link_event)
 
     def run(self) -> None:
-        """Carry out what the distribution has decided."""
+        """Execute the pending actions of the distribution."""
         while actions := self._distribution.take_actions():
             for action in actions:
                 if isinstance(action, SendMessage):
@@ -50,15 +50,15 @@
                 elif isinstance(action, ReadOrigin):
                     self._tasks.start_soon(self._read_origin, action.digest)
                 elif isinstance(action, ObjectReady):
-                    self._take_object(action.digest)
+                    self._on_object(action.digest)
         now_s = self._timers.now_s()
         delay_s = self._distribution.due_s(now_s) - now_s
-        if delay_s < TICK_S and not self._is_pacing:
+        if delay_s < TICK_INTERVAL_S and not self._is_pacing:
             self._is_pacing = True
-            self._tasks.start_soon(self._pace, max(delay_s, PACE_MIN_S))
+            self._tasks.start_soon(self._run_after, max(delay_s, PACING_DELAY_MIN_S))
 
     def send(self, action: SendMessage) -> None:
-        """Send a message; one that can't go is given back to the distribution."""
+        """Send a message, and report a failure to the distribution."""
         now_s = self._timers.now_s()
         is_bulk = isinstance(action.message, ChunkPiece)
         priority = Priority.BULK if is_bulk else Priority.LIVE
@@ -66,13 +66,13 @@
         if is_failure(failure):
             self._distribution.handle_send_failure(action.peer, action.message, now_s)
 
-    def _note_link(self, event: LinkEvent) -> None:
+    def _handle_link_event(self, event: LinkEvent) -> None:
         if event.change in (LinkChange.DOWN, LinkChange.REFUSED):
             self._distribution.handle_link_lost(event.peer, self._timers.now_s())
             self.run()
 
-    async def _pace(self, delay_s: float) -> None:
-        """Go on between two ticks of the timers, which are too far apart for links."""
+    async def _run_after(self, delay_s: float) -> None:
+        """Call the distribution before the next timer tick, to keep the links busy."""
         await anyio.sleep(delay_s)
         self._is_pacing = False
         self._distribution.tick(self._timers.now_s())
--- a/reedspar/weights/reachability.py
+++ b/reedspar/weights/reachability.py
@@ -1,35 +1,35 @@
-"""Which peers are taken for gone though the view of the fleet keeps them."""
+"""Detection of unreachable peers that are still in the view of the fleet."""
 
 __all__ = ["Reachability"]
 
-UNREACHABLE_S = 3.0
-"""How long a peer is taken for gone to which a link was lost: as long as a lease."""
+UNREACHABLE_DURATION_S = 3.0
+"""Time for which a peer with a lost link counts as unreachable; equal to a lease."""
 
 
 class Reachability:
-    """The peers to which a link was lost, until they are heard of again.
+    """Peers with a lost link, until they send a message or a timeout passes.
 
-    The view keeps a daemon that was killed until its lease ends, and longer while the
-    store is away.  What it was to draw would reach no target all that time.
+    The view contains a killed daemon until its lease ends, and longer while the store
+    is unavailable.  Until then, no target would receive the chunks assigned to it.
     """
 
     def __init__(self) -> None:
         self._until_s: dict[str, float] = {}
 
     def __contains__(self, peer: str) -> bool:
-        """Tell whether a peer can be reached as far as is known."""
+        """Return whether a peer is not known to be unreachable."""
         return peer not in self._until_s
 
-    def note_lost(self, peer: str, now_s: float) -> None:
-        """Note that the link to a peer is gone, or was refused."""
-        self._until_s[peer] = now_s + UNREACHABLE_S
+    def record_lost(self, peer: str, now_s: float) -> None:
+        """Record that the link to a peer was lost or refused."""
+        self._until_s[peer] = now_s + UNREACHABLE_DURATION_S
 
-    def note_heard(self, peer: str) -> bool:
-        """Note a peer's message; tell whether it was taken for gone."""
+    def record_message(self, peer: str) -> bool:
+        """Record a peer's message; return whether it was considered unreachable."""
         return self._until_s.pop(peer, None) is not None
 
     def expire(self, now_s: float) -> bool:
-        """Try peers again; tell whether there are any."""
+        """Remove expired entries; return whether there were any."""
         due = [peer for peer, until_s in self._until_s.items() if until_s <= now_s]
         for peer in due:
             del self._until_s[peer]
--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -1,4 +1,4 @@
-"""The roll-out of versions over a pool: what a target tells its cohort, and when."""
+"""Roll-out of versions over a pool, with phase notices between cohort members."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,11 +9,11 @@
 
 __all__ = ["Rollout"]
 
-REPEAT_S = 1.0
+NOTICE_INTERVAL_S = 1.0
 
 
 class Rollout:
-    """One target's turns, by model."""
+    """Switch coordination of one target, by model."""
 
     def __init__(
         self, me: str, share: float, phase_of: Callable[[str], VersionPhase]
@@ -23,22 +23,22 @@
         self._phase_of = phase_of
         self._decisions: dict[str, SwitchDecision] = {}
         self._versions: dict[str, StagedVersion] = {}
-        self._told: dict[str, VersionPhase] = {}
-        self._repeat_at_s: dict[str, float] = {}
+        self._announced_phases: dict[str, VersionPhase] = {}
+        self._next_notice_s: dict[str, float] = {}
 
     def set_peers(self, model: str, names: Iterable[str]) -> None:
-        """Take the live agents whose pools serve a model."""
+        """Set the live agents of the pool that serve a model."""
         self._decision_of(model).set_peers(names)
 
     def set_version(self, staged: StagedVersion) -> None:
-        """Take the version that a model is to be switched to."""
+        """Set the version that a model is to be switched to."""
         self._versions[staged.model] = staged
 
     def receive(
         self, peer: str, notice: VersionNotice, now_s: float
     ) -> list[SendMessage]:
-        """Take a peer's notice; one that waits is answered."""
-        self._decision_of(notice.model).note(peer, notice, now_s)
+        """Record a peer's notice, and answer it if the peer waits to switch."""
+        self._decision_of(notice.model).record_notice(peer, notice, now_s)
         if notice.phase is not VersionPhase.WAITING:
             return []
         if notice.model not in self._versions:
@@ -48,27 +48,29 @@
     def may_switch(
         self, staged: StagedVersion, now_s: float, deadline_s: float = float("inf")
     ) -> bool:
-        """Tell whether it is this target's turn to switch a model."""
+        """Return whether this target may switch a model now."""
         decision = self._decision_of(staged.model)
         decision.set_deadline(deadline_s)
         decision.begin_waiting(staged.root_digest, now_s)
         return decision.may_switch(now_s)
 
     def handle_pause(self, now_s: float) -> None:
-        """Drop what peers said before a pause."""
+        """Discard notices from before a pause."""
         for decision in self._decisions.values():
             decision.handle_pause(now_s)
 
     def tick(self, now_s: float) -> list[SendMessage]:
-        """Tell the cohorts what has changed, and repeat what does not last."""
+        """Return notices of changed phases, and repeated ones of transient phases."""
         messages = []
         for model in self._versions:
             phase = self._phase_of(model)
-            is_new = phase is not self._told.get(model, VersionPhase.SERVING)
-            is_due = now_s >= self._repeat_at_s.get(model, 0.0)
+            is_new = phase is not self._announced_phases.get(
+                model, VersionPhase.SERVING
+            )
+            is_due = now_s >= self._next_notice_s.get(model, 0.0)
             if is_new or (self._is_active(model) and is_due):
-                self._told[model] = phase
-                self._repeat_at_s[model] = now_s + REPEAT_S
+                self._announced_phases[model] = phase
+                self._next_notice_s[model] = now_s + NOTICE_INTERVAL_S
                 notice = self._make_notice(model)
                 cohort = self._decision_of(model).cohort
                 messages += [SendMessage(peer, notice) for peer in cohort]
--- a/reedspar/weights/selection.py
+++ b/reedspar/weights/selection.py
@@ -1,4 +1,4 @@
-"""Which chunk to ask for next, and which neighbour: rarest first, least asked."""
+"""Rarest-first selection of chunks, and of their least loaded holder."""
 
 import random
 from collections.abc import Callable
@@ -8,27 +8,26 @@
 from .neighbours import iterate_bits
 from .transfers import Transfer
 
-__all__ = ["pick_pull"]
+__all__ = ["pick_request"]
 
-SAMPLE = 64
-"""Chunks compared; among more, the rarest differ little."""
-SCAN_LIMIT = 512
+CANDIDATES_MAX = 64
+"""Number of chunks compared; a larger sample would hardly contain rarer ones."""
+SCANNED_CHUNKS_MAX = 512
 
 
-def pick_pull(
+def pick_request(
     transfer: Transfer,
     is_free: Callable[[str], bool],
     load_of: Callable[[str], int | None],
     rng: random.Random,
     limit: int,
 ) -> tuple[int, str] | None:
-    """Return a chunk and a neighbour that holds it, or None if there is none now.
+    """Return the chunk to request next and a neighbour that holds it, or None.
 
-    `is_free` tells whether a chunk may be asked for; `load_of` gives what a
-    neighbour was asked for already, or None if it is not to be asked now.  One below
-    zero is asked before all others, the least asked first: were all agents to ask for
-    the rarest chunk, they would wait for the one cache that has it.
-    Chunks from `limit` on are left out.
+    `is_free` returns whether a chunk may be requested.  `load_of` returns the load of a
+    neighbour, or None if it gets no requests now.  Neighbours with a negative load have
+    precedence, least loaded first: if all agents requested the rarest chunk, they would
+    wait for the only cache that holds it.  Chunks from index `limit` on are excluded.
     """
     window = (1 << limit) - 1
     available = transfer.missing_map & transfer.table.available_map & window
@@ -40,19 +39,19 @@
         if is_free(transfer.digests[index]):
             candidates.append((transfer.table.count(index), rng.random(), index))
     fallback: tuple[int, str] | None = None
-    preferred: _Pull | None = None
+    preferred: _Candidate | None = None
     for _, _, index in sorted(candidates):
         best = loads.pick_least(transfer.table.holders(index), rng)
         if best is None:
             continue
         fallback = fallback or (index, best.name)
         if best.load < 0 and (preferred is None or best.load < preferred.load):
-            preferred = _Pull(index, best.name, best.load)
+            preferred = _Candidate(index, best.name, best.load)
     return fallback if preferred is None else (preferred.index, preferred.name)
 
 
 @dataclass(frozen=True, slots=True)
-class _Pull:
+class _Candidate:
     index: int
     name: str
     load: int
@@ -65,14 +64,14 @@
 
 
 class _Loads:
-    """What neighbours were asked for, looked up once for each."""
+    """Loads of neighbours, each looked up once."""
 
     def __init__(self, load_of: Callable[[str], int | None]) -> None:
         self._load_of = load_of
         self._loads: dict[str, int | None] = {}
 
     def pick_least(self, names: list[str], rng: random.Random) -> _Holder | None:
-        """Return the neighbour that was asked for least, or None if none may be."""
+        """Return the least loaded neighbour that gets requests, or None."""
         for name in names:
             if name not in self._loads:
                 self._loads[name] = self._load_of(name)
@@ -86,16 +85,16 @@
 
 
 def _sample(transfer: Transfer, available: int, rng: random.Random) -> list[int]:
-    """Return some of the available chunks that are still to be got."""
-    if available.bit_count() <= SAMPLE:
+    """Return a random sample of the available chunks that are missing."""
+    if available.bit_count() <= CANDIDATES_MAX:
         return list(iterate_bits(available))
     missing = transfer.missing
     start = rng.randrange(len(missing))
     chosen: list[int] = []
-    for offset in range(min(len(missing), SCAN_LIMIT)):
+    for offset in range(min(len(missing), SCANNED_CHUNKS_MAX)):
         index = missing[(start + offset) % len(missing)]
         if available >> index & 1:
             chosen.append(index)
-            if len(chosen) >= SAMPLE:
+            if len(chosen) >= CANDIDATES_MAX:
                 break
-    return chosen or list(islice(iterate_bits(available), SAMPLE))
+    return chosen or list(islice(iterate_bits(available), CANDIDATES_MAX))
--- a/reedspar/weights/serving.py
+++ b/reedspar/weights/serving.py
@@ -1,4 +1,4 @@
-"""Serving peers: what is asked of this agent is sent, waited for, or refused."""
+"""Handling of peers' requests, which are served, delayed or refused."""
 
 from collections.abc import Callable
 
@@ -36,13 +36,13 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes of objects that were sent."""
+        """Return the number of object bytes sent."""
         return self._uploads.sent_bytes
 
     def serve(
         self, peer: str, request: ChunkRequest, region: str, until_s: float
     ) -> bool:
-        """Take a request; True if it waits for an object that is to be got."""
+        """Handle a request; return True if it waits for an object to be fetched."""
         digest = request.digest
         if digest in self._memory:
             self._queue(peer, request, region)
@@ -54,43 +54,43 @@
             self._refuse(peer, request.request_id, digest, RefusalCause.BUSY)
         return False
 
-    def note_held(self, digest: str, region_of: Callable[[str], str]) -> None:
-        """Serve the requests that have waited for an object."""
-        for peer, request in self._waiting.take(digest):
+    def handle_object(self, digest: str, region_of: Callable[[str], str]) -> None:
+        """Serve the requests that wait for an object."""
+        for peer, request in self._waiting.pop(digest):
             self._queue(peer, request, region_of(peer))
 
     def grant(self, peer: str, message: ChunkGrant) -> None:
-        """Go on with an object as far as its receiver has room."""
+        """Extend the credit of an upload."""
         self._uploads.grant(peer, message.request_id, message.granted_bytes)
 
     def cancel(self, peer: str, request_id: int) -> None:
-        """Drop a request."""
+        """Remove a request that was cancelled."""
         self._uploads.cancel(peer, request_id)
         self._waiting.cancel(peer, request_id)
 
-    def break_off(self, peer: str, piece: ChunkPiece) -> None:
-        """Refuse the rest of a chunk of which one piece could not be sent.
+    def abort(self, peer: str, piece: ChunkPiece) -> None:
+        """Refuse the remaining chunk after one of its pieces could not be sent.
 
-        The receiver can do nothing with a chunk that lacks a piece, and would wait
-        for it until its request times out, three seconds later.
+        Otherwise the receiver would wait for the missing piece until its request times
+        out after three seconds.
         """
         self.cancel(peer, piece.request_id)
         self._refuse(peer, piece.request_id, piece.digest, RefusalCause.BUSY)
 
     def drop_peer(self, peer: str) -> None:
-        """Drop every request of a peer that is gone."""
+        """Remove all requests of a peer that is not live."""
         self._uploads.drop_peer(peer)
 
     def expire(self, now_s: float) -> None:
-        """Refuse the requests that have waited too long."""
+        """Refuse the requests that have reached their wait limit."""
         self._waiting.expire(now_s)
 
     def send_pieces(self, now_s: float) -> None:
-        """Send what the budgets let go now."""
+        """Send the pieces that the rate limits allow now."""
         self._actions += self._uploads.take_pieces(now_s)
 
     def due_s(self, now_s: float) -> float | None:
-        """Return when the next piece may go, or None if there is none to send."""
+        """Return the time of the next piece, or None if there is none to send."""
         return self._uploads.due_s(now_s)
 
     def _queue(self, peer: str, request: ChunkRequest, region: str) -> None:
--- a/reedspar/weights/staged.py
+++ b/reedspar/weights/staged.py
@@ -13,58 +13,58 @@
 
 __all__ = ["StagedReader", "StagedRecovery"]
 
-RETRY_S = 0.2
+RECOVERY_RETRY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
 
 class StagedReader(Protocol):
-    """Reads back what an engine was given; it may have been spoilt there."""
+    """Reads staged chunks back from an engine; they may be corrupt."""
 
     async def list_staged(self, model: str) -> tuple[int, ...] | Failure:
-        """Return the places of a model's version for which a chunk lies there."""
+        """Return the indexes of the staged chunks of a model's version."""
         ...
 
     async def read_staged(self, model: str, index: int) -> bytes | Failure:
-        """Return the chunk that lies at a place."""
+        """Return the staged chunk at an index."""
         ...
 
 
 class StagedRecovery:
     """Recovers the valid staged chunks when an agent starts.
 
-    An agent that has just started holds nothing.  Without this its peers would
-    draw from the origin what lies beside its engine.
+    An agent holds no chunks when it starts.  Without the recovery, its region would
+    fetch chunks from the origin that are already staged at the engine.
     """
 
     def __init__(
         self,
         reader: StagedReader | None,
-        hold: Callable[[str, bytes], None],
+        add_object: Callable[[str, bytes], None],
         now_s: Callable[[], float],
         boot_id: Callable[[], str],
     ) -> None:
         self._reader = reader
-        self._hold = hold
+        self._add_object = add_object
         self._now_s = now_s
         self._boot_id = boot_id
         self._has_run = False
 
     async def run(self, staged: StagedVersion, is_current: Callable[[], bool]) -> None:
-        """Hold the staged chunks of the first version; retry while it is current."""
+        """Recover the staged chunks of the first version; retry while it is current."""
         has_run, self._has_run = self._has_run, True
         while self._reader and not has_run and is_current():
-            found = await self._hold_staged(self._reader, staged)
+            found = await self._recover_chunks(self._reader, staged)
             if not isinstance(found, Failure):
                 extra = {"version": staged.version.sequence, "found": found}
-                _logger.info("staged chunks read back", extra=extra)
+                _logger.info("staged chunks recovered", extra=extra)
                 return
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RECOVERY_RETRY_S)
 
-    async def _hold_staged(
+    async def _recover_chunks(
         self, reader: StagedReader, staged: StagedVersion
     ) -> int | Failure:
-        """Hold the valid staged chunks and mark them as staged; return their count."""
+        """Add the valid staged chunks and mark them as staged; return their count."""
         places = await reader.list_staged(staged.model)
         if isinstance(places, Failure):
             return places
@@ -77,7 +77,7 @@
             data = await reader.read_staged(staged.model, index)
             if not isinstance(data, Failure) and digest_bytes(data) == digests[index]:
                 if boot_id == self._boot_id():
-                    staged.note_staged(index, read_s)
-                self._hold(digests[index], data)
+                    staged.record_staged(index, read_s)
+                self._add_object(digests[index], data)
                 count += 1
         return count
--- a/reedspar/weights/stager.py
+++ b/reedspar/weights/stager.py
@@ -1,4 +1,4 @@
-"""Handing checked chunks to the engine, one after the other."""
+"""Sequential staging of verified chunks at the engine."""
 
 import logging
 from collections import deque
@@ -13,13 +13,13 @@
 
 __all__ = ["Stager"]
 
-RETRY_S = 0.2
+STAGING_RETRY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
 
 class Stager:
-    """Carry out staging orders that are still meant for the engine's boot."""
+    """Executes staging orders for the current boot of the engine."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._wakeup.set()
 
     async def run(self) -> None:
-        """Carry out orders until cancelled."""
+        """Execute orders until cancelled."""
         while True:
             if not self._orders:
                 self._wakeup = anyio.Event()
@@ -66,12 +66,12 @@
         if is_failure(failure):
             _logger.warning("chunk was not staged: %s", failure)
             self._orders.append(order)
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(STAGING_RETRY_S)
         else:
-            self._staged[order.model].mark(order, sent_s)
+            self._staged[order.model].mark_staged(order, sent_s)
 
     def _is_current(self, order: StagingOrder) -> bool:
-        """Tell whether a chunk is still meant for this version and boot."""
+        """Return whether an order is for the current version and boot."""
         staged = self._staged.get(order.model)
         if staged is None or staged.root_digest != order.root_digest:
             return False
--- a/reedspar/weights/staging.py
+++ b/reedspar/weights/staging.py
@@ -1,4 +1,4 @@
-"""Which chunks of a version the engine has, lacks, and is being given."""
+"""Staging state of the chunks of a version at the engine."""
 
 from dataclasses import dataclass
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StagingOrder:
-    """A chunk to hand to the engine at one place of a version."""
+    """An order to stage a chunk at an index of a version."""
 
     model: str
     root_digest: str
     index: int
     digest: str
     boot_id: str
-    """The boot that the chunk is meant for; another one has lost the others."""
+    """The boot of the engine that has the other chunks; a restart loses them."""
 
 
 class StagedVersion:
-    """The way of one version of a model into the engine."""
+    """The staging state of one version of a model."""
 
     def __init__(self, model: str, version: ModelVersion) -> None:
         self.model = model
@@ -47,11 +47,11 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the engine was given every chunk in its present boot."""
+        """Return whether all chunks are staged in the engine's current boot."""
         return self.manifest is not None and not self._missing
 
     def set_manifest(self, manifest: Manifest) -> bool:
-        """Take the manifest; tell whether it is the one that was announced."""
+        """Set the manifest; return whether it matches the configured version."""
         announced = (self.model, self.version.sequence, self.root_digest)
         found = (manifest.model, manifest.sequence, manifest.root_digest)
         if announced != found:
@@ -65,17 +65,17 @@
         return True
 
     def reset(self) -> None:
-        """Note that the engine has lost what it was given."""
+        """Record that the engine has lost all staged chunks."""
         if self.manifest is not None:
             self._missing = set(range(len(self.manifest.chunks)))
             self._verified_s.clear()
 
-    def lose(self, index: int) -> None:
-        """Note that the chunk at a place is not there as it should be."""
+    def mark_lost(self, index: int) -> None:
+        """Record that the chunk at an index is missing or corrupt."""
         self._missing.add(index)
         self._verified_s.pop(index, None)
 
-    def note_verified(self, index: int, verified_s: float) -> None:
+    def record_verified(self, index: int, verified_s: float) -> None:
         """Record when the chunk at an index was verified."""
         is_expired = verified_s < self._expired_s
         self._verified_s[index] = float("-inf") if is_expired else verified_s
@@ -91,7 +91,7 @@
         return sorted(stale, key=self._verified_s.__getitem__)
 
     def orders_for(self, digest: str, boot_id: str) -> list[StagingOrder]:
-        """Return what to hand to the engine now that a chunk is there."""
+        """Return the orders to stage a chunk at each index that lacks it."""
         return [
             StagingOrder(self.model, self.root_digest, index, digest, boot_id)
             for index in self._indexes.get(digest, ())
@@ -99,14 +99,14 @@
         ]
 
     def needs(self, digest: str) -> bool:
-        """Tell whether the engine lacks a chunk at any place."""
+        """Return whether the engine lacks a chunk at any index."""
         return any(index in self._missing for index in self._indexes.get(digest, ()))
 
-    def mark(self, order: StagingOrder, sent_s: float) -> None:
+    def mark_staged(self, order: StagingOrder, sent_s: float) -> None:
         """Record that the engine accepted a chunk, verified as of `sent_s`."""
-        self.note_staged(order.index, sent_s)
+        self.record_staged(order.index, sent_s)
 
-    def note_staged(self, index: int, verified_s: float) -> None:
+    def record_staged(self, index: int, verified_s: float) -> None:
         """Record that the engine has a chunk, verified as of `verified_s`."""
         self._missing.discard(index)
-        self.note_verified(index, verified_s)
+        self.record_verified(index, verified_s)
--- a/reedspar/weights/succession.py
+++ b/reedspar/weights/succession.py
@@ -1,45 +1,50 @@
-"""Decision: whether a version on its way is finished before the next one is begun.
+"""Decision whether the current transfer is finished before the next version is begun.
 
-Versions may be named faster than they travel.  Dropped half-way for the next
-one, a version never serves, and the targets have nothing to serve with from
-the moment at which the one before it may no longer be used.
+Versions may be named faster than they can be transferred.  If a transfer is dropped for
+the next version, its version is never served, and the targets have nothing to serve
+once the version before it has expired.
 """
 
 from dataclasses import dataclass
 
-__all__ = ["LOAD_S", "SWITCH_S", "Succession", "should_finish_first"]
+__all__ = [
+    "LOAD_DURATION_S",
+    "SWITCH_DURATION_S",
+    "Succession",
+    "should_finish_current",
+]
 
-SWITCH_S = 1.5
-"""Time in which a target switches: what runs ends, 1.2 s, and 0.3 s of loading."""
-LOAD_S = 0.3
-"""Time in which a target loads that has nothing left to end."""
-ALIKE_S = 0.5
-"""Difference below which the version on its way is finished: it may come sooner than
-reckoned, and the next one later."""
+SWITCH_DURATION_S = 1.5
+"""Duration of a switch: 1.2 s until running requests end, and 0.3 s of loading."""
+LOAD_DURATION_S = 0.3
+"""Duration of a load by a target without running requests."""
+FINISH_TOLERANCE_S = 0.5
+"""Accepted additional gap if the current transfer is finished: it may end earlier than
+estimated, and the next one later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Succession:
-    """A version on its way, and the next one; times in seconds."""
+    """A version being transferred, and the next one; times in seconds."""
 
     now_s: float
-    """When the next one was named."""
+    """When the next version was named."""
     left_s: float
-    """From then until the version on its way has arrived, if nothing hinders it."""
+    """Estimated time from then until the current version has arrived."""
     copy_s: float
-    """For a whole copy of the next version."""
+    """Transfer time of the complete next version."""
     served_until_s: float
-    """When what is served now may no longer be used."""
+    """When the version being served expires."""
     current_until_s: float
-    """When the version on its way may no longer be used."""
+    """When the version being transferred expires."""
 
 
-def should_finish_first(succession: Succession) -> bool:
-    """Tell which order leaves the targets without weights for less time."""
+def should_finish_current(succession: Succession) -> bool:
+    """Return whether finishing the current version causes the shorter service gap."""
     arrived_s = succession.now_s + succession.left_s
-    next_s = arrived_s + succession.copy_s + LOAD_S
-    gap_s = max(0.0, arrived_s + SWITCH_S - succession.served_until_s)
+    next_s = arrived_s + succession.copy_s + LOAD_DURATION_S
+    gap_s = max(0.0, arrived_s + SWITCH_DURATION_S - succession.served_until_s)
     gap_s += max(0.0, next_s - succession.current_until_s)
-    jumped_s = succession.now_s + succession.copy_s + SWITCH_S
-    gap_if_dropped_s = max(0.0, jumped_s - succession.served_until_s)
-    return gap_s <= gap_if_dropped_s + ALIKE_S
+    next_only_s = succession.now_s + succession.copy_s + SWITCH_DURATION_S
+    gap_if_dropped_s = max(0.0, next_only_s - succession.served_until_s)
+    return gap_s <= gap_if_dropped_s + FINISH_TOLERANCE_S
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -7,7 +7,7 @@
 from bench.inbound_queues import CACHED_CASES, MODEL, create_fleet
 from bench.weight_agents import Fleet, FleetAgent, make_weights
 from reedspar.weights import Manifest
-from reedspar.weights.limits import ORIGIN_READS
+from reedspar.weights.limits import OPEN_ORIGIN_READS_MAX
 
 TIME_LIMIT_S = 60.0
 LATE_MANIFEST_S = 0.2
@@ -82,7 +82,7 @@
             )
         self.finish()
         copies = self.fleet.origin_bytes / self.manifest.size_bytes
-        open_reads = ORIGIN_READS * len(names) / self.case.chunk_count
+        open_reads = OPEN_ORIGIN_READS_MAX * len(names) / self.case.chunk_count
         self.assertLess(copies, 2.0 + open_reads)
 
     def test_version_that_was_replaced_is_drawn_no_more(self) -> None:
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -10,7 +10,7 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.weights import Manifest, WeightPeer
 from reedspar.weights.distribution import ReadOrigin, SendMessage
-from reedspar.weights.fetches import AVOID_ORIGIN_MAX_S
+from reedspar.weights.fetches import ORIGIN_BACKOFF_MAX_S
 from reedspar.weights.limits import SwarmLimits
 from reedspar.weights.messages import ChunkRefused, ChunkRequest, HaveMap, RefusalCause
 from reedspar.weights.neighbours import encode_map
@@ -113,7 +113,7 @@
     def bound_s(self) -> float:
         """Return what the lacking chunks may take over a target's link."""
         chunk_s = CASE.chunk_bytes / (CASE.link_mbps * BYTES_PER_S)
-        return OVER_BOUND * self.lacking * chunk_s + AVOID_ORIGIN_MAX_S
+        return OVER_BOUND * self.lacking * chunk_s + ORIGIN_BACKOFF_MAX_S
 
 
 @cache
--- a/reedspar/weights/tests/test_succession.py
+++ b/reedspar/weights/tests/test_succession.py
@@ -12,7 +12,7 @@
 from reedspar.weights import Chunk, Manifest, VersionCatalog
 from reedspar.weights.activation import SwitchDecision
 from reedspar.weights.manifest import compute_root_digest
-from reedspar.weights.succession import Succession, should_finish_first
+from reedspar.weights.succession import Succession, should_finish_current
 
 BOUND_S = 8.0
 
@@ -32,10 +32,10 @@
     def test_version_half_way_is_finished_if_that_spares_a_gap(self) -> None:
         # The second version is half-way when the third is named.  Dropped, the
         # targets would have nothing to serve with after the first one's bound.
-        self.assertTrue(should_finish_first(Succession(4.0, 2.3, 6.0, 7.6, 11.6)))
+        self.assertTrue(should_finish_current(Succession(4.0, 2.3, 6.0, 7.6, 11.6)))
 
     def test_version_that_has_barely_begun_is_dropped(self) -> None:
-        self.assertFalse(should_finish_first(Succession(0.2, 6.0, 6.0, 7.6, 7.8)))
+        self.assertFalse(should_finish_current(Succession(0.2, 6.0, 6.0, 7.6, 7.8)))
 
 
 class FakeReader:
@@ -217,11 +217,11 @@
         # must go, that would leave most of them without a version that may serve.
         decision = SwitchDecision("t0", 0.34)
         decision.set_peers([f"t{i}" for i in range(1, 10)])
-        self.assertEqual(decision.allowed(0.0), 3)
+        self.assertEqual(decision.max_switching(0.0), 3)
         decision.set_deadline(10.0)
-        self.assertEqual(decision.allowed(0.0), 3)
-        self.assertEqual(decision.allowed(9.0), 5)
-        self.assertEqual(decision.allowed(10.0), 10)
+        self.assertEqual(decision.max_switching(0.0), 3)
+        self.assertEqual(decision.max_switching(9.0), 5)
+        self.assertEqual(decision.max_switching(10.0), 10)
         self.assertTrue(decision.may_switch(10.0))
 
 
--- a/reedspar/weights/tests/test_verification.py
+++ b/reedspar/weights/tests/test_verification.py
@@ -74,8 +74,8 @@
         self.engine.chunks[index] = self.chunks[index]
         digest = self.staged.chunk_digests[index]
         order = StagingOrder(MODEL, self.staged.root_digest, index, digest, "1")
-        self.staged.mark(order, self.timers.now_s())
-        self.verifier.note_staged(self.staged)
+        self.staged.mark_staged(order, self.timers.now_s())
+        self.verifier.record_staged(self.staged)
 
     async def stage_at_link_rate(self, first: int, last: int) -> None:
         for index in range(first, last):
@@ -143,7 +143,7 @@
             read_s = self.timers.now_s()
             await anyio.sleep(READ_DURATION_S)
             self.staged.expire_verified(self.timers.now_s())
-            self.staged.note_verified(3, read_s)
+            self.staged.record_verified(3, read_s)
             self.engine.chunks[3] = b"?"
             self.assertEqual(await self.verifier.find_corrupt(self.staged), [3])
 
--- a/reedspar/weights/tests/test_weight_cache.py
+++ b/reedspar/weights/tests/test_weight_cache.py
@@ -125,7 +125,7 @@
         machine_bytes_per_s=1e6,
         region_bytes_per_s=1e6,
         memory_bytes=1_000_000,
-        map_wait_s=0.0,
+        map_timeout_s=0.0,
     )
     return WeightCache(
         FakeNetwork("entry-1", links or FakeLinks()),
--- a/reedspar/weights/uploads.py
+++ b/reedspar/weights/uploads.py
@@ -1,4 +1,4 @@
-"""Which piece goes out next: requests that peers have made of this agent."""
+"""Queue of uploads to peers, with rate limits per link."""
 
 from collections import OrderedDict, deque
 from collections.abc import Callable, Iterable
@@ -13,8 +13,8 @@
 
 __all__ = ["UploadQueue", "WaitingRequests"]
 
-FAR_LIMIT = 64
-WAITING_LIMIT = 512
+FAR_QUEUE_MAX = 64
+WAITING_REQUESTS_MAX = 512
 MACHINE_BURST_PIECES = 4
 REGION_BURST_PIECES = 2
 
@@ -26,21 +26,21 @@
     digest: str
     region: str
     granted_bytes: int
-    """How far the receiver lets this agent go on."""
+    """Number of bytes that the receiver has granted."""
     sent_bytes: int = 0
 
     @property
-    def may_go_on(self) -> bool:
-        """Tell whether the receiver has room for more."""
+    def has_credit(self) -> bool:
+        """Return whether granted bytes remain to be sent."""
         return self.sent_bytes < self.granted_bytes
 
 
 class UploadQueue:
-    """Serve requests one after the other, in pieces, within the links' budgets.
+    """Serves requests sequentially in pieces, within the rate limits of the links.
 
-    The first one whose receiver has room, because a chunk that arrived whole can be
-    handed on, and two halves can't.  Those of other regions go first: their link is
-    narrow, and what it has missed it can't make up for.
+    The first request with credit is served, because a complete chunk can be passed on,
+    but two halves can't.  Requests of other regions have precedence: the links between
+    regions are narrow, and their idle time can't be recovered.
     """
 
     def __init__(self, memory: ChunkMemory, limits: SwarmLimits) -> None:
@@ -56,63 +56,63 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Return the bytes of objects that were sent."""
+        """Return the number of object bytes sent."""
         return self._sent_bytes
 
     @property
     def queued(self) -> int:
-        """Return how many requests of the own region wait or are served."""
+        """Return the number of requests of the same region."""
         return len(self._near)
 
     def add(
         self, peer: str, request_id: int, digest: str, region: str, granted_bytes: int
     ) -> bool:
-        """Queue a request for an object in memory; False if there are too many.
+        """Queue a request for an object in memory; return False if the queue is full.
 
-        `region` is empty for a peer of the own region.
+        `region` is empty for a peer of the same region.
         """
         queue = self._far.setdefault(region, deque()) if region else self._near
-        if len(queue) >= (FAR_LIMIT if region else self._limits.near_queue):
+        if len(queue) >= (FAR_QUEUE_MAX if region else self._limits.near_queue_limit):
             return False
         same = sum(upload.digest == digest for upload in queue)
-        if not region and same >= self._limits.same_chunk:
+        if not region and same >= self._limits.same_chunk_limit:
             return False
         queue.append(_Upload(peer, request_id, digest, region, granted_bytes))
         return True
 
     def grant(self, peer: str, request_id: int, granted_bytes: int) -> None:
-        """Take a receiver's word that it has room for more."""
+        """Extend the credit of a request."""
         for queue in (self._near, *self._far.values()):
             for upload in queue:
                 if upload.peer == peer and upload.request_id == request_id:
                     upload.granted_bytes = max(upload.granted_bytes, granted_bytes)
 
     def cancel(self, peer: str, request_id: int) -> None:
-        """Drop a request; what was sent of it was in vain."""
+        """Remove a request that was cancelled."""
         for queue in (self._near, *self._far.values()):
             for upload in list(queue):
                 if upload.peer == peer and upload.request_id == request_id:
                     self._remove(queue, upload)
 
     def drop_peer(self, peer: str) -> None:
-        """Drop every request of a peer that is gone."""
+        """Remove all requests of a peer that is not live."""
         for queue in (self._near, *self._far.values()):
             for upload in list(queue):
                 if upload.peer == peer:
                     self._remove(queue, upload)
 
     def take_pieces(self, now_s: float) -> list[SendMessage]:
-        """Return the messages that the budgets let go now."""
+        """Return the messages that the rate limits allow to be sent now."""
         messages = []
         while self._machine.is_ready(now_s):
             upload = self._next_upload(now_s)
             if upload is None:
                 break
-            messages.append(self._take_piece(upload, now_s))
+            messages.append(self._pop_piece(upload, now_s))
         return messages
 
     def due_s(self, now_s: float) -> float | None:
-        """Return when the next piece may go, or None if there is none to send."""
+        """Return the time of the next piece, or None if there is none to send."""
         times = [
             self._bucket_of(region).ready_at_s(now_s)
             for region, queue in self._far.items()
@@ -129,7 +129,7 @@
                 return upload
         return _first_granted(self._near)
 
-    def _take_piece(self, upload: _Upload, now_s: float) -> SendMessage:
+    def _pop_piece(self, upload: _Upload, now_s: float) -> SendMessage:
         queue = self._far[upload.region] if upload.region else self._near
         data = self._memory.get(upload.digest)
         if data is None:
@@ -167,11 +167,11 @@
 
 
 def _first_granted(queue: Iterable[_Upload]) -> _Upload | None:
-    return next((upload for upload in queue if upload.may_go_on), None)
+    return next((upload for upload in queue if upload.has_credit), None)
 
 
 class WaitingRequests:
-    """Requests for objects that this agent is getting, or will soon know of."""
+    """Requests for objects that this agent is fetching."""
 
     def __init__(self, refuse: Callable[[str, int, str], None]) -> None:
         self._refuse = refuse
@@ -180,18 +180,18 @@
         )
 
     def add(self, peer: str, request: ChunkRequest, until_s: float) -> bool:
-        """Keep a request for later; False if there are too many."""
-        if len(self._waiting) >= WAITING_LIMIT:
+        """Store a request; return False if there are too many."""
+        if len(self._waiting) >= WAITING_REQUESTS_MAX:
             return False
         self._waiting[peer, request.request_id] = (request, until_s)
         return True
 
     def cancel(self, peer: str, request_id: int) -> None:
-        """Drop a request."""
+        """Remove a request that was cancelled."""
         self._waiting.pop((peer, request_id), None)
 
-    def take(self, digest: str) -> list[tuple[str, ChunkRequest]]:
-        """Return and forget the requests for an object that is now there."""
+    def pop(self, digest: str) -> list[tuple[str, ChunkRequest]]:
+        """Remove and return the requests for an object that is now in memory."""
         found = [
             (key, request)
             for key, (request, _) in self._waiting.items()
@@ -202,7 +202,7 @@
         return [(peer, request) for (peer, _), request in found]
 
     def expire(self, now_s: float) -> None:
-        """Refuse the requests that have waited too long."""
+        """Refuse the requests that have reached their wait limit."""
         late = [
             (key, request.digest)
             for key, (request, until_s) in self._waiting.items()
--- a/reedspar/weights/verification.py
+++ b/reedspar/weights/verification.py
@@ -51,7 +51,7 @@
         self._on_corrupt = on_corrupt
         self._wakeup = anyio.Event()
 
-    def note_staged(self, staged: StagedVersion) -> None:
+    def record_staged(self, staged: StagedVersion) -> None:
         """Start verification if the missing chunks of a version are due soon."""
         if self._reader is None or staged.is_whole:
             return
@@ -100,7 +100,7 @@
     async def _verify(
         self, reader: StagedReader, staged: StagedVersion, index: int
     ) -> bool:
-        """Read a chunk back; tell whether it matches the manifest."""
+        """Read a chunk back, and return whether it matches the manifest."""
         if staged.manifest is None:
             return False
         read_s = self._timers.now_s()
@@ -108,5 +108,5 @@
         digest = staged.manifest.chunks[index].digest
         if isinstance(data, Failure) or digest_bytes(data) != digest:
             return False
-        staged.note_verified(index, read_s)
+        staged.record_verified(index, read_s)
         return True
--- a/reedspar/weights/views.py
+++ b/reedspar/weights/views.py
@@ -1,4 +1,4 @@
-"""What the controller of weights needs to know of the configuration and of peers."""
+"""Interfaces to settings, configuration and peers that the weight code requires."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -12,7 +12,7 @@
 
 
 class AgentSettings(Protocol):
-    """The settings of an agent as far as weights go."""
+    """The daemon settings that the distribution of weights uses."""
 
     @property
     def name(self) -> str:
@@ -21,44 +21,44 @@
 
     @property
     def zone(self) -> str:
-        """Return its availability zone."""
+        """Return the availability zone of the agent."""
         ...
 
     @property
     def region(self) -> str:
-        """Return the region of its availability zone."""
+        """Return the region of the availability zone."""
         ...
 
     @property
     def links(self) -> LinkSettings:
-        """Return the terms of its links."""
+        """Return the settings of the links."""
         ...
 
     @property
     def weights(self) -> WeightSettings:
-        """Return the terms of the distribution."""
+        """Return the settings of the distribution."""
         ...
 
     @property
     def target(self) -> TargetSettings | None:
-        """Return its target; None for an entry."""
+        """Return the settings of the target, or None for an entry."""
         ...
 
 
 class PeerView(Protocol):
-    """What the membership knows of the other agents."""
+    """A view of the live agents."""
 
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
-        """Return the live agents, without this one, whose pools serve a model."""
+        """Return the other live agents whose pools serve a model, and the caches."""
         ...
 
 
 class ConfigurationView(Protocol):
-    """The configuration as this daemon knows it."""
+    """A view of the configuration."""
 
     @property
     def document(self) -> ConfigurationDocument | None:
-        """Return the latest document, or None before the first."""
+        """Return the latest document, or None if there is none yet."""
         ...
 
     def on_change(self, listener: Callable[[ConfigurationDocument], None]) -> None:
@@ -67,8 +67,11 @@
 
 
 class VersionDeadlines(Protocol):
-    """Until when an older version of a model may be served."""
+    """Deadlines of replaced versions."""
 
     def service_deadline_s(self, model: str, served: int) -> float:
-        """Return the time by the timer service; infinite if there is no bound."""
+        """Return when a version may no longer be served; infinity if never replaced.
+
+        The time is that of the timer service.
+        """
         ...
--- a/reedspar/weights/weights.capnp
+++ b/reedspar/weights/weights.capnp
@@ -1,5 +1,5 @@
 @0xd1b7c25f3a9e4867;
-# Messages by which agents exchange chunks of weights.
+# Messages for the exchange of chunks, manifests and version phases between daemons.
 
 struct ChunkRequest {
   digest @0 :Text;
