--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -20,8 +20,8 @@
 from reedspar.settings import DaemonSettings, TargetSettings
 from reedspar.timers import TimerService
 
-from .crashes import CrashLedger
-from .desk import AttemptDesk
+from .crashes import CrashSuspects
+from .dispatcher import AttemptDispatcher
 from .gate import ColdStartGate, GateSettings
 from .queue import AttemptQueue
 from .reports import ReportPublisher
@@ -34,12 +34,12 @@
 IDLE_POLL_INTERVAL_S = 1.0
 """Without requests; a poll is most of what an idle agent spends, and the first
 request after a quiet moment has the target's state read anew."""
-MISSED_REPORTS_MAX = 3
-OVERDUE_S = 1.0
+MISSED_POLLS_MAX = 3
+REPORT_OVERDUE_S = 1.0
 """Wait for a report after which only the cold limit may start."""
-SILENT_S = 3.0
+REPORT_TIMEOUT_S = 3.0
 """Wait for a report after which the target gets no work at all."""
-LOGGER = logging.getLogger(__name__)
+_logger = logging.getLogger(__name__)
 
 
 class OfferSource(Protocol):
@@ -87,13 +87,13 @@
         )
         self._gate = ColdStartGate(gate_settings)
         self._incarnation = incarnation
-        self._crashes = CrashLedger()
+        self._crashes = CrashSuspects()
         self._is_reachable = False
         self._is_draining = False
         self._switching: set[str] = set()
         self._is_polling = False
         self._polled_s = float("-inf")
-        self._missed_reports = 0
+        self._missed_polls = 0
         runner = AttemptRunner(
             target,
             timers.clock,
@@ -101,7 +101,7 @@
             self._accepts_digest,
             self._gate.note_first_byte,
         )
-        self._desk = AttemptDesk(
+        self._dispatcher = AttemptDispatcher(
             AttemptTable(incarnation, target_settings.answer_ttl_s),
             self._gate,
             AttemptQueue(limit),
@@ -111,9 +111,9 @@
             self,
             spawn,
         )
-        self._reports = ReportPublisher(network, timers, self._describe)
+        self._reports = ReportPublisher(network, timers, self._build_report)
         timers.call_every(POLL_INTERVAL_S, self._poll_if_due)
-        timers.on_pause(self._note_pause)
+        timers.on_pause(self._handle_pause)
 
     @property
     def gate(self) -> ColdStartGate:
@@ -134,12 +134,12 @@
     @property
     def running_count(self) -> int:
         """Return how many attempts are at the target."""
-        return self._desk.running_count
+        return self._dispatcher.running_count
 
     @property
     def queued_count(self) -> int:
         """Return how many attempts wait."""
-        return self._desk.queued_count
+        return self._dispatcher.queued_count
 
     def publish(self) -> None:
         """Tell the entries how the target is."""
@@ -152,9 +152,9 @@
     async def begin_switch(self, model: str) -> None:
         """Refuse new work and wait until nothing uses the model's old weights."""
         self._switching.add(model)
-        self._desk.refuse_queued(Reason.DRAINING, "switching weights")
+        self._dispatcher.refuse_queued(Reason.DRAINING, "switching weights")
         self._reports.publish_if_changed()
-        await self._desk.wait_idle()
+        await self._dispatcher.wait_idle()
 
     def end_switch(self, model: str) -> None:
         """Take work again."""
@@ -166,20 +166,20 @@
         if self._is_draining:
             return
         self._is_draining = True
-        self._desk.refuse_queued(Reason.DRAINING, "leaving")
+        self._dispatcher.refuse_queued(Reason.DRAINING, "leaving")
         self._reports.publish()
 
     async def drain(self, timeout_s: float) -> bool:
         """Wait until the last answer was delivered; tell whether it was."""
         self.begin_drain()
         with anyio.move_on_after(timeout_s):
-            await self._desk.wait_delivered()
-        return self._desk.running_count == 0
+            await self._dispatcher.wait_delivered()
+        return self._dispatcher.running_count == 0
 
     def _accepts_digest(self, digest: str) -> bool:
         return any(weights.root_digest == digest for weights in self._offers.offered())
 
-    def _describe(self, sequence: int) -> TargetReport:
+    def _build_report(self, sequence: int) -> TargetReport:
         return TargetReport(
             target=self._settings.name,
             pool=self._target_settings.pool,
@@ -187,7 +187,7 @@
             status=self.status,
             boot_id=self._gate.boot_id,
             in_flight=self._gate.in_flight,
-            queued=self._desk.queued_count,
+            queued=self._dispatcher.queued_count,
             limit=self._gate.limit,
             offered=self._offers.offered(),
             sequence=sequence,
@@ -213,7 +213,7 @@
             return Failure(Reason.NO_TARGET, step, detail="other weights")
         # A request alone may start without: a poll for each would cost about as
         # much as the request.  Any beside it wait for the poll.
-        is_alone = not self._gate.in_flight and not self._desk.queued_count
+        is_alone = not self._gate.in_flight and not self._dispatcher.queued_count
         if not self._gate.is_confirmed and not is_alone:
             self._start_poll()
         return None
@@ -223,10 +223,10 @@
         if outcome.kind is EndKind.COMPLETE:
             self._gate.note_completed()
         elif outcome.reason is not Reason.CANCELLED:
-            self._note_broken(start, outcome.reason)
+            self._handle_broken_attempt(start, outcome.reason)
         self._reports.publish_if_changed()
 
-    def _note_broken(self, start: AttemptStart, reason: Reason) -> None:
+    def _handle_broken_attempt(self, start: AttemptStart, reason: Reason) -> None:
         if reason is Reason.TIMEOUT:
             return
         self._gate.note_broken()
@@ -236,9 +236,9 @@
     def _poll_if_due(self) -> None:
         now_s = self._timers.now_s()
         if self._is_polling:
-            self._note_overdue(now_s - self._polled_s)
+            self._handle_overdue_report(now_s - self._polled_s)
             return
-        is_busy = self._desk.running_count > 0 or not self._offers.is_offering()
+        is_busy = self._dispatcher.running_count > 0 or not self._offers.is_offering()
         interval_s = POLL_INTERVAL_S if is_busy else IDLE_POLL_INTERVAL_S
         if now_s - self._polled_s >= interval_s:
             self._start_poll()
@@ -255,65 +255,65 @@
         finally:
             self._is_polling = False
         if isinstance(state, Failure):
-            self._note_no_report(state)
+            self._handle_failed_poll(state)
         else:
-            self._take_state(state)
-        self._desk.pump()
+            self._apply_state(state)
+        self._dispatcher.dispatch_queued()
         self._reports.publish_if_changed()
 
-    def _note_no_report(self, failure: Failure) -> None:
+    def _handle_failed_poll(self, failure: Failure) -> None:
         """Take in that the target gave no report.
 
         A refused connection proves that its process is gone; a late report
         may only mean that it is busy, so it takes several.
         """
-        self._missed_reports += 1
+        self._missed_polls += 1
         is_gone = failure.reason is Reason.UNAVAILABLE
-        if is_gone or self._missed_reports >= MISSED_REPORTS_MAX:
-            self._lose_target()
+        if is_gone or self._missed_polls >= MISSED_POLLS_MAX:
+            self._mark_unreachable()
 
-    def _note_overdue(self, waited_s: float) -> None:
+    def _handle_overdue_report(self, waited_s: float) -> None:
         """Act on a report that does not come.
 
         The path to the target may be silent and hold what was handed over; or
         the target has turned cold meanwhile.  Were the warm limit to go on, all
         of it would meet the target at once when the path clears.
         """
-        if waited_s >= OVERDUE_S:
+        if waited_s >= REPORT_OVERDUE_S:
             self._gate.note_overdue()
-        if waited_s >= SILENT_S and self._is_reachable:
-            self._lose_target()
+        if waited_s >= REPORT_TIMEOUT_S and self._is_reachable:
+            self._mark_unreachable()
             self._reports.publish_if_changed()
 
-    def _lose_target(self) -> None:
+    def _mark_unreachable(self) -> None:
         """Give the target no work, and offer nothing, until it reports again."""
-        self._lapse()
+        self._invalidate_state()
         self._offers.note_engine_state(None)
 
-    def _lapse(self) -> None:
+    def _invalidate_state(self) -> None:
         """Trust nothing that was known of the target until it reports again."""
         self._is_reachable = False
         self._gate.drop()
 
-    def _note_pause(self, gap_s: float) -> None:
+    def _handle_pause(self, gap_s: float) -> None:
         # While this process was stopped the target may have been restarted.
-        self._lapse()
+        self._invalidate_state()
         self._start_poll()
 
-    def _take_state(self, state: EngineState) -> None:
+    def _apply_state(self, state: EngineState) -> None:
         now_s = self._timers.now_s()
         previous = self._gate.boot_id
         if self._gate.note_boot(state.boot_id, now_s) and previous:
-            self._announce_crash(previous)
+            self._report_crash(previous)
         self._gate.note_report(is_cold=state.is_cold, now_s=now_s)
         self._is_reachable = True
-        self._missed_reports = 0
+        self._missed_polls = 0
         self._offers.note_engine_state(state)
 
-    def _announce_crash(self, boot_id: str) -> None:
-        in_flight = self._desk.running_fingerprints()
-        suspects = self._crashes.take_suspects(in_flight, self._timers.now_s())
-        LOGGER.warning(
+    def _report_crash(self, boot_id: str) -> None:
+        in_flight = self._dispatcher.running_fingerprints()
+        suspects = self._crashes.pop_suspects(in_flight, self._timers.now_s())
+        _logger.warning(
             "target restarted", extra={"boot_id": boot_id, "suspects": len(suspects)}
         )
         if not suspects:
--- a/reedspar/targets/desk.py
+++ b/reedspar/targets/dispatcher.py
@@ -24,17 +24,17 @@
 from .runner import AttemptOutcome, AttemptRunner, RunHandle
 from .table import AttemptKey, AttemptRecord, AttemptTable
 
-__all__ = ["AttemptDesk", "DeskPolicy"]
+__all__ = ["AttemptDispatcher", "DispatchPolicy"]
 
 EXPIRE_INTERVAL_S = 1.0
-DRAIN_POLL_S = 0.05
-REMIND_POLLS = 10
-REDIAL_S = 3.0
+DRAIN_POLL_INTERVAL_S = 0.05
+RESEND_EVERY_POLLS = 10
+ENTRY_RECONNECT_TIMEOUT_S = 3.0
 """How long a live entry may take to replace its link to a stopping agent."""
 MIN_RETRY_AFTER_S = 0.25
 
 
-class DeskPolicy(Protocol):
+class DispatchPolicy(Protocol):
     """What the controller of the target decides for the desk."""
 
     def check(self, start: AttemptStart) -> Failure | None:
@@ -46,7 +46,7 @@
         ...
 
 
-class AttemptDesk:
+class AttemptDispatcher:
     """Take attempts in, run each at most once, and hand out their answers."""
 
     def __init__(
@@ -57,7 +57,7 @@
         runner: AttemptRunner,
         network: Network,
         timers: TimerService,
-        policy: DeskPolicy,
+        policy: DispatchPolicy,
         spawn: Callable[..., object],
     ) -> None:
         self._table = table
@@ -99,7 +99,7 @@
         while (record := self._queue.pop()) is not None:
             self._refuse(record, Failure(reason, Step.AGENT_ADMIT, detail=detail))
 
-    def pump(self) -> None:
+    def dispatch_queued(self) -> None:
         """Hand waiting attempts to the target as far as the gate has room."""
         while self._gate.has_room:
             record = self._queue.pop()
@@ -115,7 +115,7 @@
     async def wait_idle(self) -> None:
         """Return once nothing is at the target."""
         while self._handles:
-            await anyio.sleep(DRAIN_POLL_S)
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def wait_delivered(self) -> None:
         """Return once every answer has reached its entry.
@@ -127,20 +127,22 @@
         as it takes them to dial again.
         """
         polls = 0
-        while self._handles or self._is_awaited(polls * DRAIN_POLL_S):
-            if polls % REMIND_POLLS == 0:
-                self._remind()
-            await anyio.sleep(DRAIN_POLL_S)
+        while self._handles or self._has_pending_delivery(
+            polls * DRAIN_POLL_INTERVAL_S
+        ):
+            if polls % RESEND_EVERY_POLLS == 0:
+                self._resend_ends()
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
             polls = 0 if self._handles else polls + 1
 
-    def _is_awaited(self, idle_s: float) -> bool:
+    def _has_pending_delivery(self, idle_s: float) -> bool:
         undelivered = self._table.undelivered()
-        if idle_s < REDIAL_S:
+        if idle_s < ENTRY_RECONNECT_TIMEOUT_S:
             return bool(undelivered)
-        linked = self._network.peers(Role.ENTRY)
-        return any(record.entry in linked for record in undelivered)
+        connected = self._network.peers(Role.ENTRY)
+        return any(record.entry in connected for record in undelivered)
 
-    def _remind(self) -> None:
+    def _resend_ends(self) -> None:
         for record in self._table.undelivered():
             self._send(record.entry, record.end)
 
@@ -175,8 +177,8 @@
         self._send(record.entry, refusal)
 
     def _estimate_wait_s(self) -> float:
-        ahead = len(self._queue) + self._gate.in_flight
-        rounds = 1 + ahead / max(self._gate.limit, 1)
+        attempts_ahead = len(self._queue) + self._gate.in_flight
+        rounds = 1 + attempts_ahead / max(self._gate.limit, 1)
         return max(rounds * self._gate.latency_s, MIN_RETRY_AFTER_S)
 
     def _launch(self, record: AttemptRecord) -> None:
@@ -194,12 +196,12 @@
         self._policy.note_outcome(start, outcome)
         end = self._table.finish(record, outcome.kind, outcome.reason, outcome.detail)
         self._send(record.entry, end)
-        self.pump()
+        self.dispatch_queued()
 
     def _on_cancel(self, sender: Sender, cancel: AttemptCancel) -> None:
         record = self._table.get(cancel.request_id, cancel.attempt)
         if record is None:
-            answer: Any = self._table.revoke_unseen(
+            answer: Any = self._table.revoke_unknown(
                 cancel.request_id,
                 cancel.attempt,
                 sender.name,
@@ -231,9 +233,9 @@
             return
         record.entry = sender.name
         self._send(sender.name, record.describe())
-        self._send_again(record, resume.offset)
+        self._resend_from(record, resume.offset)
 
-    def _send_again(self, record: AttemptRecord, offset: int) -> None:
+    def _resend_from(self, record: AttemptRecord, offset: int) -> None:
         if record.head is not None:
             self._send(record.entry, record.head)
         data = record.read_from(offset)
--- a/reedspar/targets/gate.py
+++ b/reedspar/targets/gate.py
@@ -12,17 +12,17 @@
 __all__ = ["ColdStartGate", "GateSettings"]
 
 LATENCY_SMOOTHING = 0.1
-LATENCY_JUMP_FACTOR = 4.0
-LATENCY_JUMP_FLOOR_S = 0.05
+LATE_FACTOR = 4.0
+LATE_THRESHOLD_MIN_S = 0.05
 WARM_COMPLETIONS_PER_SLOT = 2
-SLOW_SMOOTHING = 0.004
+LATE_FIRST_BYTE_SMOOTHING = 0.004
 """A first byte that is far too late hardly counts as usual: taken as such, a
 target that turned cold without a word would soon look as it always did."""
-SLOW_TO_HALVE = 3
-SLOW_TO_TURN_COLD = 8
+LATE_COUNT_TO_HALVE_LIMIT = 3
+LATE_COUNT_TO_TURN_COLD = 8
 """Late first bytes in a row.  A few are long prompts; a target that turned cold
 is late with every one."""
-DEFAULT_REPORT_LAG_S = 3.0
+REPORT_LAG_MAX_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
     cold_concurrency: int
     concurrency_limit: int
-    report_lag_s: float = DEFAULT_REPORT_LAG_S
+    report_lag_s: float = REPORT_LAG_MAX_S
     """How old the target's own report may be."""
 
 
@@ -46,10 +46,10 @@
         self._in_flight = 0
         self._completions_since_cold = 0
         self._latency_s = 0.0
-        self._first_byte_s = 0.0
+        self._stream_first_byte_s = 0.0
         self._is_confirmed = False
-        self._slow_in_a_row = 0
-        self._now_s = float("-inf")
+        self._consecutive_late = 0
+        self._updated_s = float("-inf")
         self._cold_since_s = float("-inf")
 
     @property
@@ -75,8 +75,10 @@
     @property
     def is_cold(self) -> bool:
         """Tell whether the target is held to the cold limit."""
-        needed = self._settings.cold_concurrency * WARM_COMPLETIONS_PER_SLOT
-        return self._is_reported_cold or self._completions_since_cold < needed
+        needed_completions = self._settings.cold_concurrency * WARM_COMPLETIONS_PER_SLOT
+        return (
+            self._is_reported_cold or self._completions_since_cold < needed_completions
+        )
 
     @property
     def is_confirmed(self) -> bool:
@@ -97,13 +99,13 @@
 
     def note_boot(self, boot_id: str, now_s: float) -> bool:
         """Take in the boot id just read; tell whether it differs from the last."""
-        self._now_s = now_s
+        self._updated_s = now_s
         self._is_confirmed = True
         if not boot_id or boot_id == self._boot_id:
             return False
         self._boot_id = boot_id
         self._latency_s = 0.0
-        self._first_byte_s = 0.0
+        self._stream_first_byte_s = 0.0
         self._turn_cold()
         self._is_confirmed = True
         return True
@@ -115,11 +117,11 @@
         latency has shown a turn to cold, "warm" may tell of the time before;
         believed, it would let through more than the cold target bears.
         """
-        self._now_s = now_s
+        self._updated_s = now_s
         if is_cold and not self._is_reported_cold:
             self.drop()
-        may_be_old = now_s - self._cold_since_s < self._settings.report_lag_s
-        self._is_reported_cold = is_cold or may_be_old
+        may_be_outdated = now_s - self._cold_since_s < self._settings.report_lag_s
+        self._is_reported_cold = is_cold or may_be_outdated
 
     def note_overdue(self) -> None:
         """Take in that the target is late with its report."""
@@ -150,15 +152,15 @@
         self._latency_s = _smooth(self._latency_s, latency_s, LATENCY_SMOOTHING)
         if not is_streamed:
             return
-        usual_s = self._first_byte_s
-        jump_s = max(usual_s * LATENCY_JUMP_FACTOR, LATENCY_JUMP_FLOOR_S)
-        is_slow = bool(usual_s) and latency_s > jump_s
-        weight = SLOW_SMOOTHING if is_slow else LATENCY_SMOOTHING
-        self._first_byte_s = _smooth(usual_s, latency_s, weight)
-        if is_slow:
-            self._note_slow()
+        average_s = self._stream_first_byte_s
+        late_threshold_s = max(average_s * LATE_FACTOR, LATE_THRESHOLD_MIN_S)
+        is_late = bool(average_s) and latency_s > late_threshold_s
+        weight = LATE_FIRST_BYTE_SMOOTHING if is_late else LATENCY_SMOOTHING
+        self._stream_first_byte_s = _smooth(average_s, latency_s, weight)
+        if is_late:
+            self._handle_late_first_byte()
         else:
-            self._slow_in_a_row = 0
+            self._consecutive_late = 0
 
     def note_completed(self) -> None:
         """Take in that a request was answered whole."""
@@ -170,26 +172,26 @@
         """Take in that the target broke off an answer: it may be restarting."""
         self.drop()
 
-    def _note_slow(self) -> None:
+    def _handle_late_first_byte(self) -> None:
         """Act on a late first byte: the target may have turned cold silently.
 
         Its report lags.  Were the limit to wait for it, full load would bring
         the target down.
         """
-        self._slow_in_a_row += 1
-        if self._slow_in_a_row == SLOW_TO_HALVE:
+        self._consecutive_late += 1
+        if self._consecutive_late == LATE_COUNT_TO_HALVE_LIMIT:
             self._limit = max(self._settings.cold_concurrency, self._limit // 2)
-        elif self._slow_in_a_row == SLOW_TO_TURN_COLD:
+        elif self._consecutive_late == LATE_COUNT_TO_TURN_COLD:
             # What is usual is learned anew, or a target that is slower for
             # good would be taken for cold again and again.
-            self._first_byte_s = 0.0
+            self._stream_first_byte_s = 0.0
             self._turn_cold()
 
     def _turn_cold(self) -> None:
         """Hold to the cold limit until a report can't be from before."""
-        self._cold_since_s = self._now_s
+        self._cold_since_s = self._updated_s
         self._is_reported_cold = True
-        self._slow_in_a_row = 0
+        self._consecutive_late = 0
         self.drop()
 
 
--- a/reedspar/targets/queue.py
+++ b/reedspar/targets/queue.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(order=True, slots=True)
-class _Waiting:
+class _QueuedAttempt:
     rank: int
     order: int
     record: AttemptRecord = field(compare=False)
@@ -21,8 +21,8 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._heap: list[_Waiting] = []
-        self._orders = itertools.count()
+        self._heap: list[_QueuedAttempt] = []
+        self._arrival_numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -36,7 +36,9 @@
         """Let an attempt wait."""
         assert record.start is not None
         rank = -record.start.priority
-        heapq.heappush(self._heap, _Waiting(rank, next(self._orders), record))
+        heapq.heappush(
+            self._heap, _QueuedAttempt(rank, next(self._arrival_numbers), record)
+        )
 
     def pop(self) -> AttemptRecord | None:
         """Return the next attempt, or None if none waits."""
@@ -44,11 +46,11 @@
 
     def remove(self, record: AttemptRecord) -> bool:
         """Take an attempt out; tell whether it was waiting."""
-        kept = [waiting for waiting in self._heap if waiting.record is not record]
-        if len(kept) == len(self._heap):
+        remaining = [waiting for waiting in self._heap if waiting.record is not record]
+        if len(remaining) == len(self._heap):
             return False
-        heapq.heapify(kept)
-        self._heap = kept
+        heapq.heapify(remaining)
+        self._heap = remaining
         return True
 
     def pop_expired(self, now_s: float) -> list[AttemptRecord]:
--- a/reedspar/targets/reports.py
+++ b/reedspar/targets/reports.py
@@ -23,9 +23,9 @@
         self._network = network
         self._describe = describe
         self._sequence = 0
-        self._last_key: tuple[object, ...] = ()
+        self._last_significant_state: tuple[object, ...] = ()
         timers.call_every(REPORT_INTERVAL_S, self.publish)
-        network.on_link_event(self._note_link)
+        network.on_link_event(self._on_link_event)
 
     def publish(self) -> None:
         """Send a report to all linked entries."""
@@ -36,10 +36,10 @@
     def publish_if_changed(self) -> None:
         """Send a report if what decides about new work has changed."""
         report = self._describe(self._sequence)
-        if self._key(report) != self._last_key:
+        if self._significant_state(report) != self._last_significant_state:
             self.publish()
 
-    def _note_link(self, event: LinkEvent) -> None:
+    def _on_link_event(self, event: LinkEvent) -> None:
         if event.change is LinkChange.DOWN:
             return
         if event.peer in self._network.peers(Role.ENTRY):
@@ -48,11 +48,11 @@
     def _next_report(self) -> TargetReport:
         self._sequence += 1
         report = self._describe(self._sequence)
-        self._last_key = self._key(report)
+        self._last_significant_state = self._significant_state(report)
         return report
 
     @staticmethod
-    def _key(report: TargetReport) -> tuple[object, ...]:
+    def _significant_state(report: TargetReport) -> tuple[object, ...]:
         is_full = report.in_flight + report.queued >= report.limit
         is_serving = report.status in (TargetStatus.READY, TargetStatus.COLD)
         return (is_serving, report.boot_id, report.offered, is_full)
--- a/reedspar/targets/runner.py
+++ b/reedspar/targets/runner.py
@@ -21,11 +21,11 @@
 
 __all__ = ["AttemptOutcome", "AttemptRunner", "RunHandle"]
 
-WINDOW_BYTES = 1024 * 1024
+UNACKNOWLEDGED_MAX_BYTES = 1024 * 1024
 """Unacknowledged body at which the target is no longer read from."""
-TYPE_HEADER = "content-type"
-STREAM_TYPE = "text/event-stream"
-OMITTED_HEADERS = frozenset(
+CONTENT_TYPE_HEADER = "content-type"
+EVENT_STREAM_TYPE = "text/event-stream"
+DROPPED_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -118,7 +118,7 @@
         started_s = self._clock.now_s()
         async with self._target.send(request) as response:
             if isinstance(response, Failure):
-                return _describe_failure(response)
+                return _make_failed_outcome(response)
             latency_s = self._clock.now_s() - started_s
             self._note_first_byte(latency_s, is_streamed=_is_streamed(response))
             digest = response.weights_digest
@@ -127,15 +127,15 @@
                 # restarted or was switched behind our back.  Nothing of such
                 # an answer may reach the caller.
                 return AttemptOutcome(EndKind.BROKEN, Reason.CORRUPT, "weights digest")
-            self._keep_head(record, response)
-            return await self._keep_body(record, response, handle)
+            self._store_head(record, response)
+            return await self._store_body(record, response, handle)
 
-    def _keep_head(self, record: AttemptRecord, response: TargetResponse) -> None:
+    def _store_head(self, record: AttemptRecord, response: TargetResponse) -> None:
         key = record.key
         headers = tuple(
             Header(name, value)
             for name, value in response.headers
-            if name.lower() not in OMITTED_HEADERS
+            if name.lower() not in DROPPED_HEADERS
         )
         record.head = AttemptHead(
             key.request_id,
@@ -146,7 +146,7 @@
         )
         self._send(record.entry, record.head)
 
-    async def _keep_body(
+    async def _store_body(
         self, record: AttemptRecord, response: TargetResponse, handle: RunHandle
     ) -> AttemptOutcome:
         key = record.key
@@ -158,7 +158,7 @@
             self._send(
                 record.entry, AttemptData(key.request_id, key.attempt, offset, data)
             )
-            while record.unacknowledged_bytes > WINDOW_BYTES:
+            while record.unacknowledged_bytes > UNACKNOWLEDGED_MAX_BYTES:
                 handle.acknowledged = anyio.Event()
                 await handle.acknowledged.wait()
         return AttemptOutcome(EndKind.COMPLETE)
@@ -176,7 +176,7 @@
     )
 
 
-def _describe_failure(failure: Failure) -> AttemptOutcome:
+def _make_failed_outcome(failure: Failure) -> AttemptOutcome:
     kind = EndKind.BROKEN
     if failure.reason is Reason.UNAVAILABLE and failure.step is Step.TARGET_CALL:
         kind = EndKind.NOT_RUN
@@ -184,5 +184,7 @@
 
 
 def _is_streamed(response: TargetResponse) -> bool:
-    types = (value for name, value in response.headers if name.lower() == TYPE_HEADER)
-    return next(types, "").startswith(STREAM_TYPE)
+    types = (
+        value for name, value in response.headers if name.lower() == CONTENT_TYPE_HEADER
+    )
+    return next(types, "").startswith(EVENT_STREAM_TYPE)
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -23,7 +23,7 @@
 
 __all__ = ["AttemptKey", "AttemptRecord", "AttemptTable"]
 
-TOMBSTONES_MAX = 100_000
+ENDED_ATTEMPTS_MAX = 100_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
         )
         record.refusal = refusal
         record.start = None
-        self._close(record)
+        self._mark_ended(record)
         return refusal
 
     def finish(
@@ -166,10 +166,10 @@
             reason,
             detail,
         )
-        self._close(record)
+        self._mark_ended(record)
         return record.end
 
-    def revoke_unseen(
+    def revoke_unknown(
         self, request_id: str, attempt: int, entry: str, incarnation: int, now_s: float
     ) -> AttemptRefused | AttemptStatus:
         """Answer a cancel for an attempt that is not known here.
@@ -203,11 +203,11 @@
             record = self._records[key]
             if record.expires_s == float("inf"):
                 record.expires_s = now_s + self._answer_ttl_s
-            too_many = len(self._ended) > TOMBSTONES_MAX
+            too_many = len(self._ended) > ENDED_ATTEMPTS_MAX
             if record.expires_s > now_s and not too_many:
                 continue
             del self._records[key]
             del self._ended[key]
 
-    def _close(self, record: AttemptRecord) -> None:
+    def _mark_ended(self, record: AttemptRecord) -> None:
         self._ended[record.key] = None
