--- a/reedspar/targets/__init__.py
+++ b/reedspar/targets/__init__.py
@@ -1,4 +1,4 @@
-"""The agent's side of requests: the gate, the attempts, the reports, the drain."""
+"""Execution of attempts at an agent: admission, queueing, reports and draining."""
 
 from .controller import OfferSource, TargetController, create_target_controller
 from .gate import ColdStartGate, GateSettings
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -1,4 +1,8 @@
-"""The agent's side of requests: admit, queue, run, keep answers, report, drain."""
+"""Controller of the target beside an agent.
+
+It polls the target's state, decides whether attempts may start, reports the target's
+status to the entries, and drains it.
+"""
 
 import logging
 from collections.abc import Callable
@@ -32,34 +36,36 @@
 
 POLL_INTERVAL_S = 0.25
 IDLE_POLL_INTERVAL_S = 1.0
-"""Without requests; a poll is most of what an idle agent spends, and the first
-request after a quiet moment has the target's state read anew."""
+"""Interval without requests.
+
+Polling causes most of an idle agent's load, and the target's state is read again when
+requests arrive after an idle period."""
 MISSED_POLLS_MAX = 3
 REPORT_OVERDUE_S = 1.0
-"""Wait for a report after which only the cold limit may start."""
+"""Duration of an unanswered poll after which the cold limit applies."""
 REPORT_TIMEOUT_S = 3.0
-"""Wait for a report after which the target gets no work at all."""
+"""Duration of an unanswered poll after which the target gets no work."""
 _logger = logging.getLogger(__name__)
 
 
 class OfferSource(Protocol):
-    """What weights the target is confirmed to hold."""
+    """Source of the weights that the target is confirmed to hold."""
 
     def offered(self) -> tuple[LoadedWeights, ...]:
         """Return the confirmed weights."""
         ...
 
     def is_offering(self) -> bool:
-        """Tell whether all that the pool needs is confirmed."""
+        """Return whether all weights that the pool needs are confirmed."""
         ...
 
     def note_engine_state(self, state: EngineState | None) -> None:
-        """Take in the target's report, or None if it can't be reached."""
+        """Process the target's state, or None if it is unreachable."""
         ...
 
 
 class TargetController:
-    """Stand before one target and decide all that concerns it alone."""
+    """Polls one target, admits its attempts and reports its status."""
 
     def __init__(
         self,
@@ -117,12 +123,12 @@
 
     @property
     def gate(self) -> ColdStartGate:
-        """Return the gate before the target."""
+        """Return the concurrency gate of the target."""
         return self._gate
 
     @property
     def status(self) -> TargetStatus:
-        """Return whether the target may be given work."""
+        """Return the target's status as entries see it."""
         if self._is_draining:
             return TargetStatus.LEAVING
         if not self._is_reachable or not self._offers.is_offering():
@@ -133,20 +139,20 @@
 
     @property
     def running_count(self) -> int:
-        """Return how many attempts are at the target."""
+        """Return the number of attempts running at the target."""
         return self._dispatcher.running_count
 
     @property
     def queued_count(self) -> int:
-        """Return how many attempts wait."""
+        """Return the number of queued attempts."""
         return self._dispatcher.queued_count
 
     def publish(self) -> None:
-        """Tell the entries how the target is."""
+        """Send a report to all linked entries."""
         self._reports.publish()
 
     def note_offers_changed(self) -> None:
-        """Take in that other weights are confirmed, or none."""
+        """Report a change of the confirmed weights."""
         self._reports.publish_if_changed()
 
     async def begin_switch(self, model: str) -> None:
@@ -157,12 +163,12 @@
         await self._dispatcher.wait_idle()
 
     def end_switch(self, model: str) -> None:
-        """Take work again."""
+        """Accept new work again."""
         self._switching.discard(model)
         self._reports.publish_if_changed()
 
     def begin_drain(self) -> None:
-        """Refuse new work from now on; what runs goes on to its end."""
+        """Refuse new work from now on; running attempts continue."""
         if self._is_draining:
             return
         self._is_draining = True
@@ -170,7 +176,10 @@
         self._reports.publish()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait until the last answer was delivered; tell whether it was."""
+        """Refuse new work and wait for delivery of all answers.
+
+        Returns whether all attempts have ended within the timeout.
+        """
         self.begin_drain()
         with anyio.move_on_after(timeout_s):
             await self._dispatcher.wait_delivered()
@@ -195,31 +204,35 @@
         )
 
     def check(self, start: AttemptStart) -> Failure | None:
-        """Return why this attempt may not start now."""
+        """Return why this attempt may not start now, or None if it may."""
         self._timers.check_pause()
         step = Step.AGENT_ADMIT
         if start.agent_incarnation not in (0, self._incarnation):
-            return Failure(Reason.STALE, step, detail="meant for a predecessor")
+            return Failure(
+                Reason.STALE, step, detail="addressed to an earlier agent process"
+            )
         if start.pool != self._target_settings.pool:
-            return Failure(Reason.NO_TARGET, step, detail=f"not of pool {start.pool}")
+            return Failure(
+                Reason.NO_TARGET, step, detail=f"target is not in pool {start.pool}"
+            )
         if self._is_draining or self._switching:
             return Failure(Reason.DRAINING, step)
         failure = self._may_start_work()
         if failure is not None:
             return failure
         if not self._is_reachable or not self._offers.is_offering():
-            return Failure(Reason.NOT_READY, step, detail="target or weights")
+            return Failure(Reason.NOT_READY, step, detail="target or weights not ready")
         if start.weights_digest and not self._accepts_digest(start.weights_digest):
-            return Failure(Reason.NO_TARGET, step, detail="other weights")
-        # A request alone may start without: a poll for each would cost about as
-        # much as the request.  Any beside it wait for the poll.
+            return Failure(Reason.NO_TARGET, step, detail="target holds other weights")
+        # A single request starts without a poll, which would cost about as much as
+        # the request itself.  Further concurrent requests wait for a poll.
         is_alone = not self._gate.in_flight and not self._dispatcher.queued_count
         if not self._gate.is_confirmed and not is_alone:
             self._start_poll()
         return None
 
     def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended."""
+        """Process the outcome of an attempt."""
         if outcome.kind is EndKind.COMPLETE:
             self._gate.note_completed()
         elif outcome.reason is not Reason.CANCELLED:
@@ -262,10 +275,10 @@
         self._reports.publish_if_changed()
 
     def _handle_failed_poll(self, failure: Failure) -> None:
-        """Take in that the target gave no report.
+        """Process a poll that returned no state.
 
-        A refused connection proves that its process is gone; a late report
-        may only mean that it is busy, so it takes several.
+        A refused connection proves that the target's process is gone.  A timeout may
+        only mean that it is busy, so the target counts as unreachable after several.
         """
         self._missed_polls += 1
         is_gone = failure.reason is Reason.UNAVAILABLE
@@ -273,11 +286,11 @@
             self._mark_unreachable()
 
     def _handle_overdue_report(self, waited_s: float) -> None:
-        """Act on a report that does not come.
+        """Reduce the limit, or stop giving work, while a poll is unanswered.
 
-        The path to the target may be silent and hold what was handed over; or
-        the target has turned cold meanwhile.  Were the warm limit to go on, all
-        of it would meet the target at once when the path clears.
+        A stalled network path may hold back requests, and the target may turn cold
+        meanwhile.  With the warm limit still in force, all held requests would reach
+        the cold target at once when the path recovers.
         """
         if waited_s >= REPORT_OVERDUE_S:
             self._gate.note_overdue()
@@ -286,17 +299,17 @@
             self._reports.publish_if_changed()
 
     def _mark_unreachable(self) -> None:
-        """Give the target no work, and offer nothing, until it reports again."""
+        """Give no work to the target and offer no weights until it responds again."""
         self._invalidate_state()
         self._offers.note_engine_state(None)
 
     def _invalidate_state(self) -> None:
-        """Trust nothing that was known of the target until it reports again."""
+        """Treat the target's state as unknown until the next successful poll."""
         self._is_reachable = False
         self._gate.drop()
 
     def _handle_pause(self, gap_s: float) -> None:
-        # While this process was stopped the target may have been restarted.
+        # The target may have restarted while this process was paused.
         self._invalidate_state()
         self._start_poll()
 
@@ -335,7 +348,7 @@
     may_start_work: Callable[[], Failure | None],
     spawn: Callable[..., object],
 ) -> TargetController:
-    """Make the controller of the target that the settings describe."""
+    """Create the controller of the target described by the settings."""
     if settings.target is None:
         raise ValueError("an entry daemon has no target")
     return TargetController(
--- a/reedspar/targets/crashes.py
+++ b/reedspar/targets/crashes.py
@@ -1,7 +1,7 @@
-"""Remember which requests were at the target when its process ended.
+"""Fingerprints of the requests that may have crashed a target.
 
-The streams break before the new boot shows, so requests that broke lately
-count as in flight at the crash.
+Answers break off before a poll returns the new boot id, so requests that broke off
+recently count as in flight at the crash.
 """
 
 from collections import deque
@@ -10,6 +10,7 @@
 __all__ = ["CrashSuspects"]
 
 SUSPECT_WINDOW_S = 10.0
+"""Age up to which a request that broke off is a suspect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,19 +20,19 @@
 
 
 class CrashSuspects:
-    """Fingerprints of requests that the target broke off lately."""
+    """Fingerprints of requests that the target broke off recently."""
 
     def __init__(self) -> None:
         self._broken: deque[_BrokenRequest] = deque()
 
     def note_broken(self, fingerprint: str, now_s: float) -> None:
-        """Take in that the target broke off a request."""
+        """Record that the target broke off a request."""
         if fingerprint:
             self._broken.append(_BrokenRequest(fingerprint, now_s))
         self._drop_expired(now_s)
 
     def pop_suspects(self, in_flight: list[str], now_s: float) -> tuple[str, ...]:
-        """Return who was there when the target's process ended, each once."""
+        """Return the distinct fingerprints of requests that may have caused a crash."""
         self._drop_expired(now_s)
         broken = [item.fingerprint for item in self._broken]
         self._broken.clear()
--- a/reedspar/targets/dispatcher.py
+++ b/reedspar/targets/dispatcher.py
@@ -1,4 +1,4 @@
-"""Attempts at an agent: admit, queue, run, revoke, resume, keep the answers."""
+"""Dispatch of attempts at an agent: start, queue, run, cancel and resume."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -29,25 +29,26 @@
 EXPIRE_INTERVAL_S = 1.0
 DRAIN_POLL_INTERVAL_S = 0.05
 RESEND_EVERY_POLLS = 10
+"""Polls of a drain between two repetitions of undelivered ends."""
 ENTRY_RECONNECT_TIMEOUT_S = 3.0
-"""How long a live entry may take to replace its link to a stopping agent."""
+"""Time in which a live entry replaces a broken link to a stopping agent."""
 MIN_RETRY_AFTER_S = 0.25
 
 
 class DispatchPolicy(Protocol):
-    """What the controller of the target decides for the desk."""
+    """Decisions that the target's controller makes for the dispatcher."""
 
     def check(self, start: AttemptStart) -> Failure | None:
-        """Return why this attempt may not start now."""
+        """Return why this attempt may not start now, or None if it may."""
         ...
 
     def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended."""
+        """Process the outcome of an attempt."""
         ...
 
 
 class AttemptDispatcher:
-    """Take attempts in, run each at most once, and hand out their answers."""
+    """Runs each attempt at most once and sends its answer to the entry."""
 
     def __init__(
         self,
@@ -77,16 +78,16 @@
 
     @property
     def running_count(self) -> int:
-        """Return how many attempts are at the target."""
+        """Return the number of attempts running at the target."""
         return len(self._handles)
 
     @property
     def queued_count(self) -> int:
-        """Return how many attempts wait."""
+        """Return the number of queued attempts."""
         return len(self._queue)
 
     def running_fingerprints(self) -> list[str]:
-        """Return the fingerprints of the requests that are at the target."""
+        """Return the fingerprints of the requests running at the target."""
         records = self._table.unfinished()
         return [
             record.start.fingerprint
@@ -95,12 +96,12 @@
         ]
 
     def refuse_queued(self, reason: Reason, detail: str) -> None:
-        """Refuse all that wait; they provably did not run."""
+        """Refuse all queued attempts; they provably did not run."""
         while (record := self._queue.pop()) is not None:
             self._refuse(record, Failure(reason, Step.AGENT_ADMIT, detail=detail))
 
     def dispatch_queued(self) -> None:
-        """Hand waiting attempts to the target as far as the gate has room."""
+        """Start queued attempts while the gate has room."""
         while self._gate.has_room:
             record = self._queue.pop()
             if record is None:
@@ -113,18 +114,18 @@
             self._launch(record)
 
     async def wait_idle(self) -> None:
-        """Return once nothing is at the target."""
+        """Wait until no attempt is running at the target."""
         while self._handles:
             await anyio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def wait_delivered(self) -> None:
-        """Return once every answer has reached its entry.
+        """Wait until every answer has been acknowledged by its entry.
 
-        An entry that was killed acknowledges nothing, and one that gave an
-        attempt up may have lost its end.  Operators would see the stop take
-        all the time it may.  So entries are reminded: those that don't wait
-        for the answer say so, and those without a link are waited for as long
-        as it takes them to dial again.
+        A killed entry acknowledges nothing, and the end of an abandoned attempt may
+        have been lost; waiting for either would use up the whole stop timeout.
+        Ends are therefore sent repeatedly: an entry that no longer needs the answer
+        acknowledges it, and one without a link gets `ENTRY_RECONNECT_TIMEOUT_S` to
+        reconnect.
         """
         polls = 0
         while self._handles or self._has_pending_delivery(
@@ -147,7 +148,7 @@
             self._send(record.entry, record.end)
 
     def _send(self, peer: str, message: Any) -> None:
-        # A failed send is no loss: the entry asks again from what it has.
+        # A failed send needs no retry: the entry resumes from the bytes it has.
         self._network.send(peer, message)
 
     def _on_start(self, sender: Sender, start: AttemptStart) -> None:
@@ -212,7 +213,8 @@
             return
         if record.phase is AttemptPhase.QUEUED and self._queue.remove(record):
             self._refuse(
-                record, Failure(Reason.CANCELLED, Step.AGENT_ADMIT, detail="revoked")
+                record,
+                Failure(Reason.CANCELLED, Step.AGENT_ADMIT, detail="revoked"),
             )
             return
         handle = self._handles.get(record.key)
--- a/reedspar/targets/gate.py
+++ b/reedspar/targets/gate.py
@@ -1,10 +1,10 @@
-"""Decide how many requests a target bears at once.
+"""Adaptive concurrency limit of a target, with slow start after a cold start.
 
-A target in cold start falls over under full load, and its reported load lags.
-The limit therefore follows what this agent sees itself: it begins at the cold
-limit, grows by completions, and drops at once on a new boot, on a report of
-cold start, or when the latency jumps.  The agent is the only one that gives
-the target work, so the limit holds however many entries there are.
+A target in cold start crashes under full load, and its own report lags.  The limit
+therefore follows what the agent observes: it starts at the cold limit, grows with each
+completed request, and drops at once on a new boot id, on a report of cold start, or
+when the latency rises sharply.  All requests to the target pass through its agent, so
+the limit holds for any number of entries.
 """
 
 from dataclasses import dataclass
@@ -12,31 +12,35 @@
 __all__ = ["ColdStartGate", "GateSettings"]
 
 LATENCY_SMOOTHING = 0.1
+"""Weight of a new value in a moving average."""
 LATE_FACTOR = 4.0
+"""Multiple of the average first byte time above which a first byte is late."""
 LATE_THRESHOLD_MIN_S = 0.05
 WARM_COMPLETIONS_PER_SLOT = 2
 LATE_FIRST_BYTE_SMOOTHING = 0.004
-"""A first byte that is far too late hardly counts as usual: taken as such, a
-target that turned cold without a word would soon look as it always did."""
+"""Weight of a late first byte in the average.
+
+With the usual weight, the average would soon adapt to a target that turned cold
+without reporting it, and its first bytes would no longer count as late."""
 LATE_COUNT_TO_HALVE_LIMIT = 3
 LATE_COUNT_TO_TURN_COLD = 8
-"""Late first bytes in a row.  A few are long prompts; a target that turned cold
-is late with every one."""
+"""Consecutive late first bytes.  A few may come from long prompts; those of a target
+that turned cold are all late."""
 REPORT_LAG_MAX_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class GateSettings:
-    """Bounds on a target's concurrency."""
+    """Limits of a target's concurrency."""
 
     cold_concurrency: int
     concurrency_limit: int
     report_lag_s: float = REPORT_LAG_MAX_S
-    """How old the target's own report may be."""
+    """Maximum age of the state in the target's own report."""
 
 
 class ColdStartGate:
-    """The limit on requests in flight at one target."""
+    """Limits the requests in flight at one target."""
 
     def __init__(self, settings: GateSettings) -> None:
         self._settings = settings
@@ -54,12 +58,12 @@
 
     @property
     def limit(self) -> int:
-        """Return how many requests may be in flight now."""
+        """Return the current limit of requests in flight."""
         return self._limit
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are in flight."""
+        """Return the number of requests in flight."""
         return self._in_flight
 
     @property
@@ -69,12 +73,12 @@
 
     @property
     def boot_id(self) -> str:
-        """Return the boot that the limit is for."""
+        """Return the boot id that the limit applies to."""
         return self._boot_id
 
     @property
     def is_cold(self) -> bool:
-        """Tell whether the target is held to the cold limit."""
+        """Return whether the target is restricted to the cold limit."""
         needed_completions = self._settings.cold_concurrency * WARM_COMPLETIONS_PER_SLOT
         return (
             self._is_reported_cold or self._completions_since_cold < needed_completions
@@ -82,23 +86,23 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Tell whether the boot was read since the target was last idle."""
+        """Return whether the boot id was read since the target was last idle."""
         return self._is_confirmed
 
     @property
     def has_room(self) -> bool:
-        """Tell whether one more request may start.
+        """Return whether one more request may start.
 
-        A target that restarts while it is idle breaks no stream that would
-        show it, and the next burst would meet it cold.  After a moment without
-        requests only the cold limit may start, until the boot is confirmed.
+        When an idle target restarts, no stream breaks and reveals it, and the next
+        burst would reach the target cold.  After an idle period the cold limit
+        applies until the boot id is confirmed.
         """
         cold = self._settings.cold_concurrency
         bound = self._limit if self._is_confirmed else min(cold, self._limit)
         return self._in_flight < bound
 
     def note_boot(self, boot_id: str, now_s: float) -> bool:
-        """Take in the boot id just read; tell whether it differs from the last."""
+        """Record the boot id just read; return whether it has changed."""
         self._updated_s = now_s
         self._is_confirmed = True
         if not boot_id or boot_id == self._boot_id:
@@ -111,11 +115,11 @@
         return True
 
     def note_report(self, *, is_cold: bool, now_s: float) -> None:
-        """Take in the target's own, lagging, report.
+        """Process the target's own report, which lags.
 
-        A report may be as old as its lag.  Soon after a boot, or after the
-        latency has shown a turn to cold, "warm" may tell of the time before;
-        believed, it would let through more than the cold target bears.
+        Within the lag after a boot, or after the latency has shown that the target
+        turned cold, a "warm" report may describe the time before.  Trusting it would
+        admit more requests than the cold target can handle.
         """
         self._updated_s = now_s
         if is_cold and not self._is_reported_cold:
@@ -124,30 +128,31 @@
         self._is_reported_cold = is_cold or may_be_outdated
 
     def note_overdue(self) -> None:
-        """Take in that the target is late with its report."""
+        """Require a new confirmation: the target's report is overdue."""
         self._is_confirmed = False
 
     def drop(self) -> None:
-        """Go back to the cold limit."""
+        """Drop to the cold limit."""
         self._is_confirmed = False
         self._limit = self._settings.cold_concurrency
         self._completions_since_cold = 0
 
     def note_started(self) -> None:
-        """Take in that a request was handed to the target."""
+        """Count a request sent to the target."""
         self._in_flight += 1
 
     def note_ended(self) -> None:
-        """Take in that a request is no longer at the target."""
+        """Uncount a request that is no longer at the target."""
         self._in_flight -= 1
         if not self._in_flight:
             self._is_confirmed = False
 
     def note_first_byte(self, latency_s: float, *, is_streamed: bool = True) -> None:
-        """Take in how long a request's first byte took.
+        """Record the time to the first byte of an answer.
 
-        Only a streamed answer's tells of the target: that of a whole one is as
-        late as the answer is long, and the two kinds are not comparable.
+        Only streamed answers are checked for lateness.  The first byte of an answer
+        that is sent as a whole takes as long as the answer, so the two kinds are not
+        comparable.
         """
         self._latency_s = _smooth(self._latency_s, latency_s, LATENCY_SMOOTHING)
         if not is_streamed:
@@ -163,32 +168,31 @@
             self._consecutive_late = 0
 
     def note_completed(self) -> None:
-        """Take in that a request was answered whole."""
+        """Record a completed answer and raise the limit if the target is warm."""
         self._completions_since_cold += 1
         if not self.is_cold:
             self._limit = min(self._limit + 1, self._settings.concurrency_limit)
 
     def note_broken(self) -> None:
-        """Take in that the target broke off an answer: it may be restarting."""
+        """Drop to the cold limit: a broken answer may come from a restart."""
         self.drop()
 
     def _handle_late_first_byte(self) -> None:
-        """Act on a late first byte: the target may have turned cold silently.
+        """Reduce the limit: the target may have turned cold without reporting it.
 
-        Its report lags.  Were the limit to wait for it, full load would bring
-        the target down.
+        Its report lags, and full load until the report arrives would crash it.
         """
         self._consecutive_late += 1
         if self._consecutive_late == LATE_COUNT_TO_HALVE_LIMIT:
             self._limit = max(self._settings.cold_concurrency, self._limit // 2)
         elif self._consecutive_late == LATE_COUNT_TO_TURN_COLD:
-            # What is usual is learned anew, or a target that is slower for
-            # good would be taken for cold again and again.
+            # Learn the average again; otherwise a permanently slower target would
+            # be taken for cold repeatedly.
             self._stream_first_byte_s = 0.0
             self._turn_cold()
 
     def _turn_cold(self) -> None:
-        """Hold to the cold limit until a report can't be from before."""
+        """Apply the cold limit until a report must be more recent than this."""
         self._cold_since_s = self._updated_s
         self._is_reported_cold = True
         self._consecutive_late = 0
@@ -196,5 +200,5 @@
 
 
 def _smooth(known: float, value: float, weight: float) -> float:
-    """Return the moving average; the first value is taken as it is."""
+    """Return the moving average; the first value replaces an average of 0."""
     return known + weight * (value - known) if known else value
--- a/reedspar/targets/queue.py
+++ b/reedspar/targets/queue.py
@@ -1,4 +1,4 @@
-"""A short queue before the target: highest priority first, then first come."""
+"""Priority queue of admitted attempts; first in, first out within a priority."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 
 class AttemptQueue:
-    """Attempts that were admitted but not yet handed to the target."""
+    """Attempts that were admitted but not yet sent to the target."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -29,11 +29,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no more may wait."""
+        """Return whether the queue is at its capacity."""
         return len(self._heap) >= self._capacity
 
     def push(self, record: AttemptRecord) -> None:
-        """Let an attempt wait."""
+        """Add an attempt."""
         assert record.start is not None
         rank = -record.start.priority
         heapq.heappush(
@@ -41,11 +41,11 @@
         )
 
     def pop(self) -> AttemptRecord | None:
-        """Return the next attempt, or None if none waits."""
+        """Remove and return the next attempt, or None if the queue is empty."""
         return heapq.heappop(self._heap).record if self._heap else None
 
     def remove(self, record: AttemptRecord) -> bool:
-        """Take an attempt out; tell whether it was waiting."""
+        """Remove an attempt; return whether it was queued."""
         remaining = [waiting for waiting in self._heap if waiting.record is not record]
         if len(remaining) == len(self._heap):
             return False
@@ -54,7 +54,7 @@
         return True
 
     def pop_expired(self, now_s: float) -> list[AttemptRecord]:
-        """Take out the attempts whose deadline has passed."""
+        """Remove and return the attempts whose deadline has passed."""
         expired = [w.record for w in self._heap if w.record.deadline_s <= now_s]
         for record in expired:
             self.remove(record)
--- a/reedspar/targets/reports.py
+++ b/reedspar/targets/reports.py
@@ -1,4 +1,4 @@
-"""Tell the entries how the target is, at once when it matters, else seldom."""
+"""Reports of a target's status to the entries, periodically and on changes."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class ReportPublisher:
-    """Send the target's report to every entry that a link is open to."""
+    """Sends the target's report to every linked entry."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
             self._network.send(peer, report)
 
     def publish_if_changed(self) -> None:
-        """Send a report if what decides about new work has changed."""
+        """Send a report if a field that decides about new work has changed."""
         report = self._describe(self._sequence)
         if self._significant_state(report) != self._last_significant_state:
             self.publish()
--- a/reedspar/targets/runner.py
+++ b/reedspar/targets/runner.py
@@ -1,4 +1,4 @@
-"""Hand one attempt to the target and keep its answer as it comes."""
+"""Execution of one attempt at the target, with its answer kept for the entry."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 __all__ = ["AttemptOutcome", "AttemptRunner", "RunHandle"]
 
 UNACKNOWLEDGED_MAX_BYTES = 1024 * 1024
-"""Unacknowledged body at which the target is no longer read from."""
+"""Unacknowledged bytes above which reading from the target pauses."""
 CONTENT_TYPE_HEADER = "content-type"
 EVENT_STREAM_TYPE = "text/event-stream"
 DROPPED_HEADERS = frozenset(
@@ -36,21 +36,21 @@
         "upgrade",
     )
 )
-"""Fields that end at each connection (RFC 9110, section 7.6.1), or that the
-entry's own server sets."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the entry's HTTP
+server sets."""
 
 
 class FirstByteListener(Protocol):
-    """Takes in how long a first byte took."""
+    """Callback for the time to the first byte."""
 
     def __call__(self, latency_s: float, *, is_streamed: bool) -> None:
-        """Take in the time to the first byte of an answer."""
+        """Process the time to the first byte of an answer."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How a run ended."""
+    """Outcome of a run."""
 
     kind: EndKind
     reason: Reason = Reason.UNAVAILABLE
@@ -59,24 +59,24 @@
 
 @dataclass
 class RunHandle:
-    """What others may do to a run."""
+    """Controls a run from other tasks."""
 
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     acknowledged: anyio.Event = field(default_factory=anyio.Event)
     is_cancelled: bool = False
 
     def cancel(self) -> None:
-        """Break the run off."""
+        """Cancel the run."""
         self.is_cancelled = True
         self.scope.cancel()
 
     def note_acknowledged(self) -> None:
-        """Wake a run that waits for its window to open."""
+        """Wake a run that waits for an acknowledgement."""
         self.acknowledged.set()
 
 
 class AttemptRunner:
-    """Run attempts against one target."""
+    """Runs attempts at one target."""
 
     def __init__(
         self,
@@ -93,14 +93,14 @@
         self._note_first_byte = note_first_byte
 
     async def run(self, record: AttemptRecord, handle: RunHandle) -> AttemptOutcome:
-        """Run the attempt and return how it ended."""
+        """Run the attempt and return its outcome."""
         start = record.start
         assert start is not None
         request = _make_request(start, record.deadline_s - self._clock.now_s())
         outcome = AttemptOutcome(EndKind.BROKEN, Reason.TIMEOUT, "deadline")
         if not start.is_idempotent:
-            # Breaking off an order tells nothing of whether it was carried
-            # out.  Its answer is worth having after the deadline, too.
+            # Cancelling a non-idempotent request would leave it unknown whether it
+            # took effect, so its answer is awaited even after the deadline.
             return await self._exchange(record, request, handle)
         handle.scope.deadline = anyio.current_time() + request.timeout_s
         with handle.scope:
@@ -109,7 +109,9 @@
             with anyio.move_on_after(1.0, shield=True):
                 await self._target.cancel(request.request_id)
             if handle.is_cancelled:
-                return AttemptOutcome(EndKind.BROKEN, Reason.CANCELLED, "by the entry")
+                return AttemptOutcome(
+                    EndKind.BROKEN, Reason.CANCELLED, "cancelled by the entry"
+                )
         return outcome
 
     async def _exchange(
@@ -123,10 +125,12 @@
             self._note_first_byte(latency_s, is_streamed=_is_streamed(response))
             digest = response.weights_digest
             if digest and not self._accepts_digest(digest):
-                # The engine answers with weights that were not confirmed: it
-                # restarted or was switched behind our back.  Nothing of such
-                # an answer may reach the caller.
-                return AttemptOutcome(EndKind.BROKEN, Reason.CORRUPT, "weights digest")
+                # The engine answered with unconfirmed weights: it restarted, or
+                # something other than this agent switched it.  No part of such an
+                # answer may reach the caller.
+                return AttemptOutcome(
+                    EndKind.BROKEN, Reason.CORRUPT, "unexpected weights"
+                )
             self._store_head(record, response)
             return await self._store_body(record, response, handle)
 
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -1,8 +1,8 @@
-"""Keep what an agent knows of each attempt, so that none runs twice.
+"""Table of an agent's attempts, by which none runs twice.
 
-Attempts outlive connections: the answer is kept until the entry has it, and a
-start, cancel or resume may come late, twice or crossed.  Whatever is said of
-an attempt here is said for one incarnation of the agent only.
+Attempts outlive connections: the answer is kept until the entry has it, and a start,
+cancel or resume message may arrive late, twice or out of order.  The table covers a
+single incarnation of the agent.
 """
 
 import hashlib
@@ -24,11 +24,12 @@
 __all__ = ["AttemptKey", "AttemptRecord", "AttemptTable"]
 
 ENDED_ATTEMPTS_MAX = 100_000
+"""Ended attempts above which the oldest are removed before their time to live."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptKey:
-    """Names an attempt."""
+    """Identifies an attempt."""
 
     request_id: str
     attempt: int
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt, and as much of its answer as the entry may still ask for."""
+    """One attempt, with the part of its answer that the entry may still request."""
 
     key: AttemptKey
     entry: str
@@ -53,27 +54,27 @@
 
     @property
     def length_bytes(self) -> int:
-        """Return how much of the body the target has sent."""
+        """Return the number of body bytes received from the target."""
         return self.data_offset + len(self.data)
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Return how much of the body is kept."""
+        """Return the number of body bytes kept for the entry."""
         return len(self.data)
 
     def append(self, data: bytes) -> None:
-        """Take in more of the body."""
+        """Append received body bytes."""
         self.data += data
         self.hasher.update(data)
 
     def read_from(self, offset: int) -> bytes | None:
-        """Return the kept body from `offset` on, or None if it was let go."""
+        """Return the kept body from `offset` on, or None if it was discarded."""
         if offset < self.data_offset:
             return None
         return bytes(self.data[offset - self.data_offset :])
 
     def acknowledge(self, offset: int) -> None:
-        """Let go of the body before `offset`."""
+        """Discard the body before `offset`."""
         held = min(offset, self.length_bytes) - self.data_offset
         if held > 0:
             del self.data[:held]
@@ -96,7 +97,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the incarnation that this table speaks for."""
+        """Return the agent incarnation that the attempts belong to."""
         return self._incarnation
 
     def __len__(self) -> int:
@@ -112,15 +113,15 @@
         return [r for r in self._records.values() if r.phase in phases]
 
     def undelivered(self) -> list[AttemptRecord]:
-        """Return the attempts whose answer the entry may still be missing."""
+        """Return the ended attempts whose answer is not yet acknowledged."""
         records = self._records.values()
         return [r for r in records if r.end is not None and r.start is not None]
 
     def open(self, entry: str, start: AttemptStart, now_s: float) -> AttemptRecord:
-        """Make the record of a new attempt; the caller has found none."""
+        """Create the record of a new attempt; there must be none yet."""
         key = AttemptKey(start.request_id, start.attempt)
         if key in self._records:
-            raise InvariantError(f"attempt {key} opened twice")
+            raise InvariantError(f"attempt {key} already exists")
         record = AttemptRecord(
             key, entry, start, AttemptPhase.QUEUED, now_s + start.timeout_s
         )
@@ -128,17 +129,19 @@
         return record
 
     def note_running(self, record: AttemptRecord) -> None:
-        """Take in that the attempt is handed to the target; only ever once."""
+        """Mark an attempt as sent to the target; this happens at most once."""
         if record.phase is not AttemptPhase.QUEUED:
-            raise InvariantError(f"attempt {record.key} runs from {record.phase}")
+            raise InvariantError(f"attempt {record.key} cannot start in {record.phase}")
         record.phase = AttemptPhase.RUNNING
 
     def refuse(
         self, record: AttemptRecord, reason: Reason, detail: str, retry_after_s: float
     ) -> AttemptRefused:
-        """Revoke an attempt that has not started; it never will."""
+        """Revoke an attempt that has not started, so that it never does."""
         if record.phase is not AttemptPhase.QUEUED:
-            raise InvariantError(f"attempt {record.key} refused from {record.phase}")
+            raise InvariantError(
+                f"attempt {record.key} cannot be refused in {record.phase}"
+            )
         record.phase = AttemptPhase.REVOKED
         key = record.key
         refusal = AttemptRefused(
@@ -154,7 +157,7 @@
     ) -> AttemptEnd:
         """End an attempt that ran; its answer is kept for resumption."""
         if record.phase is not AttemptPhase.RUNNING:
-            raise InvariantError(f"attempt {record.key} ends from {record.phase}")
+            raise InvariantError(f"attempt {record.key} cannot end in {record.phase}")
         record.phase = AttemptPhase.FINISHED
         key = record.key
         record.end = AttemptEnd(
@@ -172,22 +175,24 @@
     def revoke_unknown(
         self, request_id: str, attempt: int, entry: str, incarnation: int, now_s: float
     ) -> AttemptRefused | AttemptStatus:
-        """Answer a cancel for an attempt that is not known here.
+        """Answer a cancel for an unknown attempt.
 
-        Its start may still be on its way, on another connection.  Without the
-        record made here it would run after the caller was told that it had
-        not.  An attempt that was handed to another incarnation may have run
-        there, so nothing is proved and nothing is recorded.
+        Its start may still arrive on another connection.  The record created here
+        keeps it from running after the caller was told that it did not run.  An
+        attempt sent to another incarnation of the agent may have run there, so its
+        status is unknown and nothing is recorded.
         """
         if incarnation != self._incarnation:
             return AttemptStatus(request_id, attempt, AttemptPhase.UNKNOWN, 0)
         key = AttemptKey(request_id, attempt)
         record = AttemptRecord(key, entry, None, AttemptPhase.QUEUED, now_s)
         self._records[key] = record
-        return self.refuse(record, Reason.CANCELLED, "before it came", 0.0)
+        return self.refuse(
+            record, Reason.CANCELLED, "cancelled before its start arrived", 0.0
+        )
 
     def acknowledge(self, ack: AttemptAck) -> AttemptRecord | None:
-        """Let go of what the entry has; return the record, if there is one."""
+        """Discard acknowledged bytes; return the record, or None if there is none."""
         record = self.get(ack.request_id, ack.attempt)
         if record is None:
             return None
@@ -198,7 +203,7 @@
         return record
 
     def forget_expired(self, now_s: float) -> None:
-        """Forget ended attempts whose time to live has passed."""
+        """Remove ended attempts whose time to live has passed."""
         for key in list(self._ended):
             record = self._records[key]
             if record.expires_s == float("inf"):
--- a/reedspar/targets/tests/fakes.py
+++ b/reedspar/targets/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Light fakes of what stands around a target controller."""
+"""Fakes of the components that a target controller uses."""
 
 from collections import defaultdict
 from contextlib import asynccontextmanager
@@ -61,7 +61,7 @@
 
 
 class FakeNetwork:
-    """Deliver to handlers by hand, and keep what was sent."""
+    """Network that delivers on request and keeps the messages sent."""
 
     def __init__(self) -> None:
         self.sent: list = []
@@ -105,7 +105,7 @@
 
 
 class FakeTarget:
-    """A target whose answers end when the test releases them."""
+    """Target whose answers complete once the test sets `release`."""
 
     def __init__(self) -> None:
         self.state = EngineState("boot-1", loaded={"quotes": DIGEST})
@@ -114,21 +114,21 @@
         self.digest = DIGEST
         self.runs: list[str] = []
         self.polls = 0
-        self.answers_polls = anyio.Event()
-        self.answers_polls.set()
+        self.may_answer_polls = anyio.Event()
+        self.may_answer_polls.set()
         self.in_flight = 0
-        self.most_in_flight = 0
+        self.max_in_flight = 0
 
     async def read_state(self):
         self.polls += 1
-        await self.answers_polls.wait()
+        await self.may_answer_polls.wait()
         return self.state
 
     @asynccontextmanager
     async def send(self, request: TargetRequest):
         self.runs.append(request.request_id)
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
             yield FakeResponse(self, self.digest)
         finally:
@@ -139,7 +139,7 @@
 
 
 class FakeOffers:
-    """Offers one digest, always."""
+    """Source that always offers the same weights."""
 
     def offered(self):
         return (LoadedWeights("quotes", DIGEST),)
--- a/reedspar/targets/tests/test_controller.py
+++ b/reedspar/targets/tests/test_controller.py
@@ -52,7 +52,8 @@
                     tasks.start_soon,
                 )
                 await self.advance(0.3)
-                # By now the report can't be from before the boot.
+                # Exceeds the report lag, so that no report can describe the time
+                # before the boot.
                 await self.advance(4.0)
                 await scenario()
                 tasks.cancel_scope.cancel()
@@ -73,7 +74,7 @@
         await anyio.wait_all_tasks_blocked()
 
     async def warm_up(self) -> None:
-        """Have the target answer until it may be given all that it bears."""
+        """Complete requests until the limit is at its maximum."""
         self.target.release.set()
         for i in range(10):
             await self.deliver(make_start(f"warm{i}"))
@@ -82,7 +83,7 @@
     def body(self) -> bytes:
         return b"".join(m.data for m in self.network.sent_of(AttemptData))
 
-    def test_whole_answer_carries_length_and_digest(self) -> None:
+    def test_complete_answer_has_length_and_digest(self) -> None:
         async def scenario() -> None:
             await self.deliver(make_start("r1"))
             await self.release()
@@ -94,9 +95,9 @@
 
         self.run_scenario(scenario)
 
-    def test_start_that_comes_twice_runs_once(self) -> None:
-        # The link was replaced and the hand-over came on both connections.
-        # A shop must not be charged twice for it.
+    def test_duplicate_start_runs_once(self) -> None:
+        # Guards against a start that runs twice because it arrived on both the old
+        # and the new connection of a link; the caller would be charged twice.
         async def scenario() -> None:
             await self.deliver(make_start("r1", is_idempotent=False))
             await self.deliver(make_start("r1", is_idempotent=False))
@@ -108,9 +109,9 @@
 
         self.run_scenario(scenario)
 
-    def test_cancel_that_overtakes_its_start_revokes_it(self) -> None:
-        # The start is stuck in a silent connection, the cancel takes a new
-        # one.  The caller is told "not run", so the late start must not run.
+    def test_cancel_before_its_start_revokes_the_attempt(self) -> None:
+        # Guards against running a start that a stalled connection delivers after its
+        # cancel: the caller has been told "not run".
         async def scenario() -> None:
             await self.deliver(AttemptCancel("r1", 1, agent_incarnation=1))
             (refusal,) = self.network.sent_of(AttemptRefused)
@@ -120,9 +121,9 @@
 
         self.run_scenario(scenario)
 
-    def test_restarted_agent_proves_nothing_for_its_predecessor(self) -> None:
-        # The predecessor ran the order and was killed.  Were its successor to
-        # answer "never ran", the shop would send the deposit a second time.
+    def test_restarted_agent_reports_unknown_for_earlier_attempts(self) -> None:
+        # Guards against a restarted agent answering "not run" for an attempt that the
+        # previous process ran: the caller would send the order a second time.
         async def scenario() -> None:
             await self.deliver(AttemptCancel("r1", 1, agent_incarnation=7))
             await self.deliver(AttemptResume("r1", 1, 0, agent_incarnation=7))
@@ -132,8 +133,9 @@
 
         self.run_scenario(scenario)
 
-    def test_resume_sends_the_rest_and_runs_nothing(self) -> None:
-        # The link died in mid-answer.  The entry has the first six bytes.
+    def test_resume_sends_missing_bytes_and_runs_nothing(self) -> None:
+        # Guards against sending bytes again, or running the attempt again, after a
+        # link broke during the answer.  The entry has the first six bytes.
         async def scenario() -> None:
             await self.deliver(make_start("r1"))
             await self.release()
@@ -146,12 +148,12 @@
         self.run_scenario(scenario)
 
     def test_cold_target_gets_one_at_a_time_from_all_entries(self) -> None:
-        # Nine entries each send "just one" to a target in cold start.  Only
-        # the agent sees all nine; the target would fall over under them.
+        # Guards against overloading a cold target when each of nine entries sends one
+        # request; only the agent sees all nine.
         async def scenario() -> None:
             for i in range(9):
                 await self.deliver(make_start(f"r{i}"))
-            self.assertEqual(self.target.most_in_flight, 1)
+            self.assertEqual(self.target.max_in_flight, 1)
             refused = self.network.sent_of(AttemptRefused)
             self.assertEqual(len(refused), 4)
             self.assertTrue(all(m.retry_after_s > 0 for m in refused))
@@ -159,8 +161,8 @@
         self.run_scenario(scenario)
 
     def test_limit_grows_by_completions_and_drops_at_a_crash(self) -> None:
-        # A warm target crashes in full flight.  Its next requests must meet
-        # the cold limit at once, and the suspects are told to the entries.
+        # Guards against keeping the warm limit after a warm target crashed under full
+        # load, and against not reporting the suspect requests to the entries.
         async def scenario() -> None:
             await self.warm_up()
             self.target.release = anyio.Event()
@@ -176,42 +178,41 @@
 
         self.run_scenario(scenario)
 
-    def test_target_that_restarts_while_idle_meets_no_burst(self) -> None:
-        # No stream breaks when an idle target restarts.  The burst that comes
-        # before the next poll must not go to it at the warm limit.
+    def test_target_restarted_while_idle_gets_no_burst(self) -> None:
+        # Guards against sending a burst at the warm limit to a target that restarted
+        # while idle: no stream broke, and the next poll is still due.
         async def scenario() -> None:
             await self.warm_up()
             self.target.release = anyio.Event()
-            self.target.most_in_flight = 0
+            self.target.max_in_flight = 0
             self.target.state = EngineState("boot-2", is_cold=True)
             for i in range(4):
                 self.network.deliver(make_start(f"burst{i}"))
             await anyio.wait_all_tasks_blocked()
-            self.assertEqual(self.target.most_in_flight, 1)
+            self.assertEqual(self.target.max_in_flight, 1)
 
         self.run_scenario(scenario)
 
-    def test_target_that_goes_silent_gets_no_pile_of_requests(self) -> None:
-        # The path to the target goes silent and holds what is sent, and the
-        # target turns cold meanwhile.  Handed over at the warm limit, all of
-        # it would meet the cold target at once when the path clears
-        # (bench/random_run, seed 31).
+    def test_unresponsive_target_accumulates_no_requests(self) -> None:
+        # Guards against overloading a target when a stalled network path holds back
+        # requests and the target turns cold meanwhile: sent at the warm limit, they
+        # would all arrive at once (found by bench/random_run, seed 31).
         async def scenario() -> None:
             await self.warm_up()
             self.target.release = anyio.Event()
             await self.deliver(make_start("held"))
-            self.target.most_in_flight = 1
-            self.target.answers_polls = anyio.Event()
+            self.target.max_in_flight = 1
+            self.target.may_answer_polls = anyio.Event()
             for _ in range(6):
                 await self.advance(0.25)
             await self.deliver(make_start("waits"))
-            self.assertEqual(self.target.most_in_flight, 1)
+            self.assertEqual(self.target.max_in_flight, 1)
             for _ in range(10):
                 await self.advance(0.25)
             await self.deliver(make_start("late"))
             refused = [m.request_id for m in self.network.sent_of(AttemptRefused)]
             self.assertIn("late", refused)
-            self.target.answers_polls.set()
+            self.target.may_answer_polls.set()
             await anyio.wait_all_tasks_blocked()
             self.network.sent.clear()
             await self.release()
@@ -220,10 +221,10 @@
 
         self.run_scenario(scenario)
 
-    def test_requests_one_by_one_cost_no_poll_and_a_queue_gets_one(self) -> None:
-        # Polled before each lone request, the target would answer two calls
-        # for every one that its callers make.  Never polled, a queue that
-        # formed after a quiet moment would be let through one by one.
+    def test_single_requests_cause_no_poll_but_a_queue_causes_one(self) -> None:
+        # Guards against a poll before each single request, which would double the
+        # target's calls, and against a queue after an idle period that is processed
+        # one by one because no poll confirms the boot id.
         async def scenario() -> None:
             await self.warm_up()
             polls = self.target.polls
@@ -231,17 +232,18 @@
                 await self.deliver(make_start(f"single{i}"))
             self.assertEqual(self.target.polls, polls)
             self.target.release = anyio.Event()
-            self.target.most_in_flight = 0
+            self.target.max_in_flight = 0
             for i in range(4):
                 self.network.deliver(make_start(f"burst{i}"))
             await anyio.wait_all_tasks_blocked()
             self.assertEqual(self.target.polls, polls + 1)
-            self.assertEqual(self.target.most_in_flight, 4)
+            self.assertEqual(self.target.max_in_flight, 4)
 
         self.run_scenario(scenario)
 
-    def test_answer_of_unconfirmed_weights_reaches_nobody(self) -> None:
-        # The engine was switched behind the agent's back.
+    def test_answer_of_unconfirmed_weights_is_not_passed_on(self) -> None:
+        # Guards against passing on an answer when something other than the agent
+        # switched the engine's weights.
         async def scenario() -> None:
             self.target.digest = "e" * 64
             await self.deliver(make_start("r1"))
@@ -252,8 +254,8 @@
 
         self.run_scenario(scenario)
 
-    def test_taken_out_zone_refuses_also_what_waits(self) -> None:
-        # Operators take the zone out while requests wait in the queue.
+    def test_zone_taken_out_refuses_queued_attempts(self) -> None:
+        # Guards against running queued requests after operators took the zone out.
         async def scenario() -> None:
             await self.deliver(make_start("r1"))
             await self.deliver(make_start("r2"))
@@ -266,8 +268,8 @@
 
         self.run_scenario(scenario)
 
-    def test_drain_waits_for_the_answer_and_its_delivery(self) -> None:
-        # An agent is stopped by plan in mid-answer: the caller still gets all.
+    def test_drain_waits_until_the_answer_is_delivered(self) -> None:
+        # Guards against cutting an answer off at a planned stop of the agent.
         async def scenario() -> None:
             await self.deliver(make_start("r1"))
             async with anyio.create_task_group() as tasks:
--- a/reedspar/targets/tests/test_gate.py
+++ b/reedspar/targets/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests that the gate alone keeps a cold target from more than it bears."""
+"""Tests that the gate limits the load of a cold target."""
 
 import random
 import statistics
@@ -21,11 +21,10 @@
             self.gate.note_ended()
             self.gate.note_completed()
 
-    def test_report_from_before_the_boot_raises_no_limit(self) -> None:
-        # A warm target restarts.  Its boot shows at once, but its load report
-        # lags and goes on to say "warm" while the new process is cold.  A few
-        # answers later the target gets two at once, falls over, and callers
-        # see broken answers until it has started twice.
+    def test_report_from_before_the_boot_does_not_raise_the_limit(self) -> None:
+        # Guards against raising the limit of a restarted target: its boot id is
+        # visible at once, but its report lags and says "warm" while the new process
+        # is cold.  Two requests at once would crash it again.
         self.gate.note_boot("boot-1", 0.0)
         self.gate.note_report(is_cold=False, now_s=10.0)
         self.answer(10)
@@ -41,10 +40,10 @@
         self.answer(3)
         self.assertEqual(self.gate.limit, FULL_LIMIT)
 
-    def test_silent_turn_to_cold_shows_in_late_first_bytes(self) -> None:
-        # A warm target turns cold without a restart, and its report goes on to
-        # say "warm".  Taken for usual, its slow answers would raise the limit
-        # again, and it would fall over under what it bore before.
+    def test_unreported_cold_start_is_detected_by_late_first_bytes(self) -> None:
+        # Guards against overloading a warm target that turns cold without a restart
+        # while its report says "warm": if its slow answers entered the average as
+        # usual ones, the limit would rise again.
         self.gate.note_boot("boot-1", 0.0)
         self.gate.note_report(is_cold=False, now_s=10.0)
         self.answer(20)
@@ -66,11 +65,13 @@
         self.answer(2)
         self.assertEqual(self.gate.limit, FULL_LIMIT)
 
-    def test_whole_answers_beside_streams_do_not_make_the_target_cold(self) -> None:
-        # Streams show their first byte at once, whole answers only when all of
-        # it is made.  Taken together, most answers looked ten times too late,
-        # and a healthy target was held to the cold limit time and again
-        # (trial with stand_ins.load, 23 streams in a hundred).
+    def test_unstreamed_answers_beside_streams_do_not_make_the_target_cold(
+        self,
+    ) -> None:
+        # Guards against mixing first byte times: streams send their first byte at
+        # once, other answers only when complete.  In a mixed average most answers
+        # looked ten times too late, and a healthy target was repeatedly restricted to
+        # the cold limit (seen with stand_ins.load, 23 streams in a hundred).
         self.gate.note_boot("boot-1", 0.0)
         self.gate.note_report(is_cold=False, now_s=10.0)
         self.answer(20, first_byte_s=0.02)
@@ -84,10 +85,10 @@
             self.assertEqual(self.gate.limit, FULL_LIMIT)
 
     def test_many_long_prompts_do_not_make_the_target_cold(self) -> None:
-        # One request in five has a prompt six times as long as the others, so
-        # three late first bytes come in a row about once in 125 requests.  Each
-        # time the warm target is held to the cold limit for seconds, and
-        # callers are refused though it has room.
+        # Guards against taking long prompts for a cold start.  One prompt in five is
+        # six times as long as the others, so three consecutive late first bytes occur
+        # about once in 125 requests; with the cold limit applied for seconds each
+        # time, callers would be refused despite free capacity.
         rng = random.Random(1)
         limits = []
         for i in range(4000):
