--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -13,13 +13,13 @@
 
 from .cold import ColdLimits
 from .crashes import CrashDetector
+from .eligibility import TargetEligibility, cold_rate_per_s
 from .estimate import (
     Calibration,
-    EngineWork,
+    EngineLoad,
     estimate_first_event_s,
-    estimate_pause_s,
+    estimate_stream_pause_s,
 )
-from .fitness import Fitness, cold_rate_of
 from .loads import (
     LoadReport,
     OwnAttempt,
@@ -28,30 +28,30 @@
     UsualLoad,
     average_load,
 )
-from .refusals import COME_BACK_S, Refusals
+from .refusals import RETRY_AFTER_S, Refusals
 from .replaced import ReplacedWeightsLog
 from .versions import VersionRule
 
 __all__ = ["DirectChooser", "DirectTarget"]
 
-NEAR_BEST_S = 0.02
+ESTIMATE_TOLERANCE_S = 0.02
 """Targets within this of the best estimate are as good: the estimate is no finer,
 and drawing among them keeps entries from all choosing the same one."""
-FAR_S = 0.03
+OTHER_REGION_PENALTY_S = 0.03
 """What a target in another region must be better by.
 
 The links between regions are thin and shared; a usual request and its answer are
 3 KB there.  Within one region nothing is lost by it, for estimates are no finer."""
-AIM_PART = 0.8
+LATENCY_GOAL_FRACTION = 0.8
 """Part of the aimed time within which the first event must be expected.
 
 The rest is for what other entries send meanwhile.  An answer after its aim is worth
 little to its caller, and delays all behind it."""
-QUEUE_SLACK_S = 0.1
+LONG_PROMPT_QUEUE_MAX_S = 0.1
 """What may wait before a request that would be late in any case: two usual prompts."""
-OWN_REASONS = frozenset({Reason.SUPERSEDED, Reason.CANCELLED})
+LOCAL_REASONS = frozenset({Reason.SUPERSEDED, Reason.CANCELLED})
 """Ends that this entry decided on, which say nothing about the target."""
-GAP_PART = 0.95
+GAP_FRACTION = 0.95
 """Part of the pause between events that callers bear which one prompt may make."""
 
 
@@ -60,13 +60,13 @@
     """The target of one attempt (see `ChosenTarget`)."""
 
     name: str
-    estimated_s: float
+    raw_estimate_s: float
     """When its answer would begin, from now, by the estimate before calibration."""
     weights_digest: str = ""
     incarnation: int = 0
     version: int | None = None
     """The version of the request's model that it had when it was chosen."""
-    wait_s: float = 0.0
+    expected_wait_s: float = 0.0
     """When its answer would begin, from now, calibrated and with the distance."""
 
 
@@ -74,12 +74,12 @@
 class _Candidate:
     known: KnownTarget
     load: TargetLoad
-    estimated_s: float
-    expected_s: float
+    raw_estimate_s: float
+    expected_wait_s: float
     """The calibrated estimate, and what the distance counts as."""
-    alone_s: float = 0.0
+    unqueued_wait_s: float = 0.0
     """What the calibrated estimate would be if no prompt waited before it."""
-    pause_s: float = 0.0
+    stream_pause_s: float = 0.0
     """The pause that the prompts before the request make in the streams beside it."""
 
 
@@ -102,7 +102,7 @@
         self._view = view
         self._loads = loads
         self._cold = cold
-        self._fitness = Fitness(view, loads, cold, versions, zones)
+        self._eligibility = TargetEligibility(view, loads, cold, versions, zones)
         self._refusals = Refusals(view, timers, rng)
         self._timers = timers
         self._regions = zones
@@ -116,93 +116,99 @@
         self, request: Request, tried: Collection[str]
     ) -> ChosenTarget | Failure:
         """Return the target of the next attempt, or why there is none."""
-        terms = self._terms_of(request.pool)
+        terms = self._service_parameters(request.pool)
         now_s = self._timers.now_s()
-        fit = self._fitness.list_fit(request, tried, now_s)
-        if not fit:
-            return self._refusals.explain_none(request, tried)
-        usual = average_load((self._loads.of(k.record.id) for k in fit), now_s)
+        eligible = self._eligibility.list_eligible(request, tried, now_s)
+        if not eligible:
+            return self._refusals.refuse_without_target(request, tried)
+        usual = average_load(
+            (self._loads.for_target(k.record.id) for k in eligible), now_s
+        )
         candidates = [
             self._estimate(request, terms, known, load, usual, now_s)
-            for known, load in self._fitness.list_open(fit, terms, now_s)
+            for known, load in self._eligibility.list_available(eligible, terms, now_s)
         ]
         candidates = [
             i
             for i in candidates
-            if self._fitness.is_in_time(i.known.record, request, i.expected_s)
+            if self._eligibility.can_begin_in_time(
+                i.known.record, request, i.expected_wait_s
+            )
         ]
         if not candidates:
             detail = "every fit target is cold or about to switch"
-            return self._refusals.refuse(detail, COME_BACK_S)
-        candidates = [i for i in candidates if _leaves_pauses(i, request)]
+            return self._refusals.refuse(detail, RETRY_AFTER_S)
+        candidates = [i for i in candidates if _keeps_stream_pauses_short(i, request)]
         if not candidates:
             detail = "one more prompt would hold up the streams beside it"
-            return self._refusals.refuse(detail, COME_BACK_S)
-        best = min(candidates, key=lambda item: item.expected_s)
-        best_s = best.expected_s
-        excess_s = best_s - self._limit_s(request, best)
+            return self._refusals.refuse(detail, RETRY_AFTER_S)
+        best = min(candidates, key=lambda item: item.expected_wait_s)
+        best_s = best.expected_wait_s
+        excess_s = best_s - self._wait_limit_s(request, best)
         if excess_s > 0:
             detail = f"the first answer is expected in {best_s:.2f} s"
             return self._refusals.refuse_late(detail, excess_s)
-        near = [i for i in candidates if i.expected_s <= best_s + NEAR_BEST_S]
+        near = [
+            i for i in candidates if i.expected_wait_s <= best_s + ESTIMATE_TOLERANCE_S
+        ]
         chosen = self._rng.choice(near)
         return DirectTarget(
             chosen.known.record.id,
-            chosen.estimated_s,
+            chosen.raw_estimate_s,
             request.weights_digest,
             version=chosen.known.record.weights.get(request.model),
-            wait_s=chosen.expected_s,
+            expected_wait_s=chosen.expected_wait_s,
         )
 
     def on_started(self, request: Request, chosen: ChosenTarget) -> None:
         """Count the attempt among this entry's own."""
         now_s = self._timers.now_s()
-        load = self._loads.of(chosen.name)
+        load = self._loads.for_target(chosen.name)
         assert isinstance(chosen, DirectTarget)
         load.own[request.request_id] = OwnAttempt(
             request.prompt_tokens,
             now_s,
-            chosen.estimated_s,
+            chosen.raw_estimate_s,
             model=request.model,
             version=chosen.version,
-            wait_s=chosen.wait_s,
+            expected_wait_s=chosen.expected_wait_s,
         )
         known = self._view.target(chosen.name)
         if known is not None and known.is_cold(now_s):
-            rate_per_s = cold_rate_of(self._terms_of(request.pool))
+            rate_per_s = cold_rate_per_s(self._service_parameters(request.pool))
             self._cold.note_sent(load, rate_per_s, now_s)
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
         """Note that the prompt was read."""
-        load = self._loads.of(chosen.name)
-        load.note_good()
+        load = self._loads.for_target(chosen.name)
+        load.note_success()
         attempt = load.own.get(request.request_id)
         if attempt is not None and not attempt.has_begun:
             attempt.has_begun = True
             took_s = self._timers.now_s() - attempt.started_s
-            self._calibration(request.pool).note(attempt.expected_s, took_s)
+            self._calibration(request.pool).record(attempt.raw_estimate_s, took_s)
             self._replaced.note_begun(request.request_id, chosen.name, attempt)
 
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
         """Uncount the attempt, and learn from its end."""
-        load = self._loads.of(chosen.name)
+        load = self._loads.for_target(chosen.name)
         load.own.pop(request.request_id, None)
         failure = answer.failure if answer is not None else None
-        if answer is None or failure is None or failure.reason in OWN_REASONS:
+        if answer is None or failure is None or failure.reason in LOCAL_REASONS:
             return
         now_s = self._timers.now_s()
         if answer.outcome is Outcome.UNKNOWN:
             self._crashes.note_broken(chosen.name, request.fingerprint)
         if failure.reason is Reason.CONFLICT:
-            self._note_replaced(chosen.name)
+            self._mark_replaced(chosen.name)
         elif failure.step is Step.LINK or answer.outcome is Outcome.UNKNOWN:
             load.note_unreachable(now_s)
         elif answer.outcome is Outcome.NOT_RUN:
             load.note_full(now_s)
 
-    def _note_replaced(self, target_id: str) -> None:
+    def _mark_replaced(self, target_id: str) -> None:
         """Send nothing more to a target that is gone: its address has another one.
 
         The store may tell of it for seconds.  After a loss of power all targets are
@@ -211,17 +217,17 @@
         """
         known = self._view.target(target_id)
         if known is not None:
-            self._loads.of(target_id).replaced_boot = known.record.boot_id
+            self._loads.for_target(target_id).replaced_boot = known.record.boot_id
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
         """Leave a target alone that has no address any more."""
-        self._loads.of(chosen.name).note_unreachable(self._timers.now_s())
+        self._loads.for_target(chosen.name).note_unreachable(self._timers.now_s())
 
     def note_report(self, target_id: str, report: LoadReport) -> None:
         """Take in a target's own word of its load."""
-        self._loads.of(target_id).note_report(report, self._timers.now_s())
+        self._loads.for_target(target_id).note_report(report, self._timers.now_s())
 
-    def _terms_of(self, pool: str) -> ServiceTerms | None:
+    def _service_parameters(self, pool: str) -> ServiceTerms | None:
         routes = self._view.routes
         return routes.services.get(pool) if routes is not None else None
 
@@ -237,16 +243,31 @@
         distance_s = self._distance_s(known)
         engine = terms.engine if terms is not None else None
         if engine is None:
-            waiting_s = load.count(now_s) * NEAR_BEST_S
+            waiting_s = load.count(now_s) * ESTIMATE_TOLERANCE_S
             return _Candidate(known, load, waiting_s, waiting_s + distance_s)
-        work = _work_of(load, usual, engine, now_s)
-        estimated_s = estimate_first_event_s(engine, work, request.prompt_tokens)
-        expected_s = estimated_s * self._calibration(request.pool).factor + distance_s
-        nothing_waits = EngineWork(0.0, work.writing, 0.0, work.pace)
-        alone_s = estimate_first_event_s(engine, nothing_waits, request.prompt_tokens)
-        alone_s = alone_s * self._calibration(request.pool).factor + distance_s
-        pause_s = estimate_pause_s(engine, work)
-        return _Candidate(known, load, estimated_s, expected_s, alone_s, pause_s)
+        engine_load = _make_engine_load(load, usual, engine, now_s)
+        raw_estimate_s = estimate_first_event_s(
+            engine, engine_load, request.prompt_tokens
+        )
+        expected_wait_s = (
+            raw_estimate_s * self._calibration(request.pool).factor + distance_s
+        )
+        empty_queue = EngineLoad(0.0, engine_load.decoding, 0.0, engine_load.pace)
+        unqueued_wait_s = estimate_first_event_s(
+            engine, empty_queue, request.prompt_tokens
+        )
+        unqueued_wait_s = (
+            unqueued_wait_s * self._calibration(request.pool).factor + distance_s
+        )
+        stream_pause_s = estimate_stream_pause_s(engine, engine_load)
+        return _Candidate(
+            known,
+            load,
+            raw_estimate_s,
+            expected_wait_s,
+            unqueued_wait_s,
+            stream_pause_s,
+        )
 
     def _calibration(self, pool: str) -> Calibration:
         return self._calibrations.setdefault(pool, Calibration())
@@ -254,31 +275,34 @@
     def _distance_s(self, known: KnownTarget) -> float:
         """Return what a target's distance counts as."""
         is_near = self._regions.get(known.record.zone) == self._region
-        return 0.0 if is_near else FAR_S
+        return 0.0 if is_near else OTHER_REGION_PENALTY_S
 
-    def _limit_s(self, request: Request, best: _Candidate) -> float:
+    def _wait_limit_s(self, request: Request, best: _Candidate) -> float:
         """Return the time within which the first answer must be expected.
 
         A long prompt may take longer than the aimed time though nothing waits
         before it.  Refused for that, it would be refused at idle targets, always.
         """
-        if not best.alone_s or request.aim_s <= 0:
+        if not best.unqueued_wait_s or request.aim_s <= 0:
             return float("inf")
-        return max(request.aim_s * AIM_PART, best.alone_s + QUEUE_SLACK_S)
+        return max(
+            request.aim_s * LATENCY_GOAL_FRACTION,
+            best.unqueued_wait_s + LONG_PROMPT_QUEUE_MAX_S,
+        )
 
 
-def _leaves_pauses(candidate: _Candidate, request: Request) -> bool:
+def _keeps_stream_pauses_short(candidate: _Candidate, request: Request) -> bool:
     """Tell whether the streams beside the request go on without a long pause."""
-    return not request.gap_s or candidate.pause_s <= request.gap_s * GAP_PART
+    return not request.gap_s or candidate.stream_pause_s <= request.gap_s * GAP_FRACTION
 
 
-def _work_of(
+def _make_engine_load(
     load: TargetLoad, usual: UsualLoad, engine: EngineTerms, now_s: float
-) -> EngineWork:
+) -> EngineLoad:
     others_waiting = load.others_waiting(now_s, usual)
     own_waiting = load.own_waiting()
     waiting = own_waiting + others_waiting
     tokens = load.own_waiting_tokens() + others_waiting * engine.usual_prompt_tokens
     pace = load.report.pace if load.report is not None else 1.0
-    writing = max(0.0, load.count(now_s, usual) - waiting)
-    return EngineWork(tokens, writing, waiting, max(1.0, pace))
+    decoding = max(0.0, load.count(now_s, usual) - waiting)
+    return EngineLoad(tokens, decoding, waiting, max(1.0, pace))
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -31,12 +31,12 @@
     "create_direct_attempt_client",
 ]
 
-SILENT_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 """Silence after which an idempotent attempt is better made elsewhere, in seconds.
 
 Callers give a stream up after 2 s without an event; the next target needs half a
 second for the prompt."""
-SWEEP_S = 0.1
+SWEEP_INTERVAL_S = 0.1
 _logger = logging.getLogger(__name__)
 
 
@@ -71,12 +71,12 @@
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningAttempt:
     """The task that reads one answer."""
 
     attempt: OpenAttempt
     scope: anyio.CancelScope
-    has_room: anyio.Event
+    buffer_has_room: anyio.Event
     failure: Failure | None = None
     """Why it was ended from here."""
 
@@ -97,8 +97,8 @@
         self._tasks = tasks
         self._note_report = note_report
         self._limits = limits
-        self._running: dict[int, _Running] = {}
-        timers.call_every(SWEEP_S, self.sweep)
+        self._running: dict[int, _RunningAttempt] = {}
+        timers.call_every(SWEEP_INTERVAL_S, self.sweep)
 
     @property
     def open_count(self) -> int:
@@ -110,7 +110,7 @@
         if not self._dialer.has_address(target):
             return Failure(Reason.UNAVAILABLE, Step.LINK, target, "has no address")
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
-        running = _Running(attempt, anyio.CancelScope(), anyio.Event())
+        running = _RunningAttempt(attempt, anyio.CancelScope(), anyio.Event())
         self._running[id(attempt)] = running
         self._tasks.start_soon(self._run, attempt, running)
         return attempt
@@ -120,7 +120,7 @@
         data = attempt.assembly.take()
         running = self._running.get(id(attempt))
         if running is not None:
-            running.has_room.set()
+            running.buffer_has_room.set()
         return data
 
     def close(self, attempt: OpenAttempt) -> None:
@@ -136,29 +136,31 @@
         hang; the caller would wait until it gives up by itself.
         """
         now_s = self._timers.now_s()
-        waiting = [r for r in self._running.values() if _is_waiting(r)]
+        waiting = [r for r in self._running.values() if _awaits_head(r)]
         withdrawn = sum(self._withdraw(running) for running in waiting)
         if withdrawn:
             _logger.info("attempts withdrawn", extra={"count": withdrawn})
         for running in list(self._running.values()):
             attempt = running.attempt
             silent_s = now_s - attempt.heard_s
-            is_waiting = attempt.assembly.is_open and not attempt.assembly.pieces
-            if is_waiting and silent_s >= SILENT_S:
-                self._give_up(running, f"silent for {silent_s:.1f} s")
+            awaits_body = attempt.assembly.is_open and not attempt.assembly.pieces
+            if awaits_body and silent_s >= SILENCE_TIMEOUT_S:
+                self._abandon(running, f"silent for {silent_s:.1f} s")
 
-    def _withdraw(self, running: _Running) -> bool:
+    def _withdraw(self, running: _RunningAttempt) -> bool:
         """End an attempt that may not begin any more; tell whether it was one."""
         attempt = running.attempt
         request_id = attempt.assembly.start.request_id
-        failure = self._limits.check_waiting(attempt.target, request_id, SWEEP_S)
+        failure = self._limits.check_waiting(
+            attempt.target, request_id, SWEEP_INTERVAL_S
+        )
         if failure is None:
             return False
         running.failure = failure
         running.scope.cancel()
         return True
 
-    def _give_up(self, running: _Running, detail: str) -> None:
+    def _abandon(self, running: _RunningAttempt, detail: str) -> None:
         attempt = running.attempt
         if not attempt.assembly.start.is_idempotent or running.failure is not None:
             return
@@ -166,7 +168,7 @@
         running.failure = Failure(Reason.TIMEOUT, step, attempt.target, detail)
         running.scope.cancel()
 
-    async def _run(self, attempt: OpenAttempt, running: _Running) -> None:
+    async def _run(self, attempt: OpenAttempt, running: _RunningAttempt) -> None:
         target = attempt.target
         failure: Failure | None = Failure(
             Reason.CANCELLED, Step.TARGET_CALL, target, "let go of"
@@ -184,7 +186,9 @@
         attempt.assembly.on_direct_end(running.failure or failure)
         attempt.wake()
 
-    async def _read(self, attempt: OpenAttempt, running: _Running) -> Failure | None:
+    async def _read(
+        self, attempt: OpenAttempt, running: _RunningAttempt
+    ) -> Failure | None:
         """Read an answer to its end; return why it is not whole."""
         start = attempt.assembly.start
         request = TargetRequest(
@@ -201,7 +205,9 @@
         target = attempt.target
 
         def check_before_write() -> Failure | None:
-            return self._limits.check_hand_over(target, start.request_id, SWEEP_S)
+            return self._limits.check_hand_over(
+                target, start.request_id, SWEEP_INTERVAL_S
+            )
 
         async with self._dialer.send(target, request, check_before_write) as response:
             if isinstance(response, Failure):
@@ -217,11 +223,11 @@
             attempt.assembly.on_head(head)
             if response.load is not None:
                 self._note_report(attempt.target, response.load)
-            self._note_heard(attempt)
+            self._mark_received(attempt)
             return await self._read_body(attempt, running, response)
 
     async def _read_body(
-        self, attempt: OpenAttempt, running: _Running, response: TargetResponse
+        self, attempt: OpenAttempt, running: _RunningAttempt, response: TargetResponse
     ) -> Failure | None:
         assembly = attempt.assembly
         key = (assembly.start.request_id, assembly.start.attempt)
@@ -229,20 +235,20 @@
             if isinstance(piece, Failure):
                 return piece
             while assembly.pending_bytes >= attempt.room_bytes:
-                running.has_room = anyio.Event()
-                await running.has_room.wait()
+                running.buffer_has_room = anyio.Event()
+                await running.buffer_has_room.wait()
             data = AttemptData(*key, assembly.size_bytes, piece)
             room_bytes = assembly.pending_bytes + len(piece)
             assembly.on_data(data, room_bytes)
-            self._note_heard(attempt)
+            self._mark_received(attempt)
         return None
 
-    def _note_heard(self, attempt: OpenAttempt) -> None:
+    def _mark_received(self, attempt: OpenAttempt) -> None:
         attempt.heard_s = self._timers.now_s()
         attempt.wake()
 
 
-def _is_waiting(running: _Running) -> bool:
+def _awaits_head(running: _RunningAttempt) -> bool:
     """Tell whether nothing has come of an answer, and the attempt goes on."""
     assembly = running.attempt.assembly
     return assembly.is_open and assembly.head is None and running.failure is None
--- a/reedspar/direct/cold.py
+++ b/reedspar/direct/cold.py
@@ -13,7 +13,7 @@
 
 __all__ = ["ColdLimits"]
 
-STARTUP_S = 4.0
+STARTUP_MAX_S = 4.0
 """Time after the start of an entry in which its list of entries may be incomplete.
 
 After a power loss all entries start within seconds of each other, and an entry is
@@ -33,7 +33,7 @@
 With 46 senders 92 came within a second, counted under virtual time."""
 SENDERS_MIN = 3
 """Senders reckoned with at least: an entry that has just started may know of none."""
-CACHED_MAX = 4096
+CACHED_TARGETS_MAX = 4096
 """Maximum number of cached target ids; each restart of a target adds a new id."""
 SCORE_RANGE = 2.0**64
 """Number of possible rendezvous scores."""
@@ -51,8 +51,8 @@
         self._startup_end_s = self._startup_deadline_s = float("-inf")
 
     def note_started(self, now_s: float) -> None:
-        """Apply the startup limits until entries settle, for at most `STARTUP_S`."""
-        self._startup_deadline_s = now_s + STARTUP_S
+        """Apply startup limits until entries settle, for at most `STARTUP_MAX_S`."""
+        self._startup_deadline_s = now_s + STARTUP_MAX_S
         self._startup_end_s = now_s + SETTLE_S
 
     def note_entries_changed(self, now_s: float) -> None:
@@ -108,7 +108,7 @@
         if is_top_ranked is None:
             ranked = rank_by_rendezvous(target_id, self._names)
             is_top_ranked = self._name in ranked[:SENDERS_MAX]
-            if len(self._top_ranked_cache) >= CACHED_MAX:
+            if len(self._top_ranked_cache) >= CACHED_TARGETS_MAX:
                 self._top_ranked_cache.clear()
             self._top_ranked_cache[target_id] = is_top_ranked
         return is_top_ranked
--- a/reedspar/direct/crashes.py
+++ b/reedspar/direct/crashes.py
@@ -9,12 +9,12 @@
 
 __all__ = ["CrashDetector"]
 
-BROKEN_KEPT_S = 6.0
+SUSPECT_WINDOW_S = 6.0
 """How long a broken attempt may be what its target crashed of.
 
 The platform drops the entry of a target that has crashed after three heartbeats of
 1.2 s; two seconds are for the store and for a restart."""
-BROKEN_MAX = 256
+BROKEN_ATTEMPTS_MAX = 256
 
 _logger = logging.getLogger(__name__)
 
@@ -26,19 +26,19 @@
         self,
         name: str,
         timers: TimerService,
-        tell: Callable[[str, tuple[str, ...]], None],
+        report_crash: Callable[[str, tuple[str, ...]], None],
     ) -> None:
         self._name = name
         self._timers = timers
-        self._tell = tell
-        self._broken: deque[tuple[float, str, str]] = deque(maxlen=BROKEN_MAX)
+        self._report_crash = report_crash
+        self._broken: deque[tuple[float, str, str]] = deque(maxlen=BROKEN_ATTEMPTS_MAX)
         self._known: dict[str, KnownTarget] = {}
 
     def note_broken(self, target_id: str, fingerprint: str) -> None:
         """Note that a target broke off while it may have worked on a request."""
         self._broken.append((self._timers.now_s(), target_id, fingerprint))
 
-    def note_change(self, change: TargetChange, known: KnownTarget | None) -> None:
+    def on_target_change(self, change: TargetChange, known: KnownTarget | None) -> None:
         """Take a change of a target; `known` is what is known of it from now on."""
         before = self._known.pop(change.target_id, None)
         if known is not None:
@@ -46,10 +46,10 @@
         if before is None or before.record.state is TargetState.LEAVING:
             return
         if known is None or known.record.boot_id != before.record.boot_id:
-            self._note_crash(before)
+            self._check_crash(before)
 
-    def _note_crash(self, before: KnownTarget) -> None:
-        horizon_s = self._timers.now_s() - BROKEN_KEPT_S
+    def _check_crash(self, before: KnownTarget) -> None:
+        horizon_s = self._timers.now_s() - SUSPECT_WINDOW_S
         fingerprints = {
             fingerprint
             for at_s, target_id, fingerprint in self._broken
@@ -62,4 +62,4 @@
             "target crashed", extra={"target": boot_id, "requests": len(fingerprints)}
         )
         # Each entry knows its own requests alone, so each tells of a crash of its own.
-        self._tell(f"{boot_id}/{self._name}", tuple(sorted(fingerprints)))
+        self._report_crash(f"{boot_id}/{self._name}", tuple(sorted(fingerprints)))
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/directory.py
@@ -7,7 +7,7 @@
 
 __all__ = ["choose_entries", "list_allowed_regions"]
 
-OWN_ZONE_MIN = 2
+NEARBY_ENTRIES_MIN = 2
 """Entries of the caller's zone that must be there before it is told only of them.
 
 With one, a caller would have no other address left once that one failed it."""
@@ -17,7 +17,7 @@
     entries: Iterable[DaemonRecord],
     zone: str,
     region: str,
-    homes: frozenset[str] | None,
+    allowed_regions: frozenset[str] | None,
 ) -> list[DaemonRecord]:
     """Return the entries for a caller in a zone, the nearest that suffice.
 
@@ -29,13 +29,15 @@
     allowed = [
         entry
         for entry in entries
-        if homes is None or entry.region in homes or entry.region == region
+        if allowed_regions is None
+        or entry.region in allowed_regions
+        or entry.region == region
     ]
     near = [entry for entry in allowed if entry.zone == zone]
-    if len(near) >= OWN_ZONE_MIN:
+    if len(near) >= NEARBY_ENTRIES_MIN:
         return near
     same_region = [entry for entry in allowed if entry.region == region]
-    if len(same_region) >= OWN_ZONE_MIN:
+    if len(same_region) >= NEARBY_ENTRIES_MIN:
         return same_region
     return allowed
 
@@ -44,9 +46,9 @@
     """Return the regions that all routes of a host allow; None for all regions."""
     if table is None:
         return None
-    homes: Collection[frozenset[str]] = [
+    allowed_regions: Collection[frozenset[str]] = [
         route.regions
         for route in table.routes.get(host.lower(), ())
         if route.regions is not None
     ]
-    return frozenset.intersection(*homes) if homes else None
+    return frozenset.intersection(*allowed_regions) if allowed_regions else None
--- a/reedspar/direct/fitness.py
+++ b/reedspar/direct/eligibility.py
@@ -10,10 +10,10 @@
 from .loads import TargetLoad, TargetLoads
 from .versions import VersionRule
 
-__all__ = ["Fitness", "closed_reason", "cold_rate_of"]
+__all__ = ["TargetEligibility", "cold_rate_per_s", "ineligibility_reason"]
 
 
-class Fitness:
+class TargetEligibility:
     """Tells fit targets from others, and which of them may be sent to now."""
 
     def __init__(
@@ -30,51 +30,51 @@
         self._versions = versions
         self._regions = regions
 
-    def list_fit(
+    def list_eligible(
         self, request: Request, tried: Collection[str], now_s: float
     ) -> list[KnownTarget]:
         """Return the targets that could run a request and were not tried yet."""
         return [
             known
             for known in self._view.targets(request.pool)
-            if known.record.id not in tried and self._is_fit(known, request, now_s)
+            if known.record.id not in tried and self._is_eligible(known, request, now_s)
         ]
 
-    def list_open(
-        self, fit: list[KnownTarget], terms: ServiceTerms | None, now_s: float
+    def list_available(
+        self, eligible: list[KnownTarget], terms: ServiceTerms | None, now_s: float
     ) -> list[tuple[KnownTarget, TargetLoad]]:
         """Return the targets that may be sent to now.
 
         Were all that failed lately left alone, the rest would drown in what
         they would have got.  So at least half of the targets stay in.
         """
-        rate_per_s = cold_rate_of(terms)
-        pairs = [(known, self._loads.of(known.record.id)) for known in fit]
-        pairs = [pair for pair in pairs if now_s >= pair[1].closed_until_s]
+        rate_per_s = cold_rate_per_s(terms)
+        pairs = [(known, self._loads.for_target(known.record.id)) for known in eligible]
+        pairs = [pair for pair in pairs if now_s >= pair[1].not_taking_until_s]
         pairs = [
             (known, load)
             for known, load in pairs
             if not known.is_cold(now_s)
             or self._cold.may_send(known.record.id, load, rate_per_s, now_s)
         ]
-        rested = [pair for pair in pairs if now_s >= pair[1].rest_until_s]
-        if len(rested) * 2 >= len(pairs):
-            return rested
-        pairs.sort(key=lambda pair: pair[1].rest_until_s)
+        available = [pair for pair in pairs if now_s >= pair[1].backoff_until_s]
+        if len(available) * 2 >= len(pairs):
+            return available
+        pairs.sort(key=lambda pair: pair[1].backoff_until_s)
         return pairs[: (len(pairs) + 1) // 2]
 
-    def is_in_time(
-        self, record: TargetRecord, request: Request, expected_s: float
+    def can_begin_in_time(
+        self, record: TargetRecord, request: Request, expected_wait_s: float
     ) -> bool:
         """Tell whether the request begins before its target's version is too old."""
         version = record.weights.get(request.model)
         if version is None:
             return True
-        return self._versions.may_serve(request.model, version, expected_s)
+        return self._versions.may_serve(request.model, version, expected_wait_s)
 
-    def _is_fit(self, known: KnownTarget, request: Request, now_s: float) -> bool:
+    def _is_eligible(self, known: KnownTarget, request: Request, now_s: float) -> bool:
         record = known.record
-        if closed_reason(record, self._view, self._loads):
+        if ineligibility_reason(record, self._view, self._loads):
             return False
         region = self._regions.get(record.zone)
         if request.regions is not None and region not in request.regions:
@@ -87,17 +87,19 @@
         return not request.weights_digest or request.weights_digest == str(version)
 
 
-def closed_reason(record: TargetRecord, view: FleetView, loads: TargetLoads) -> str:
+def ineligibility_reason(
+    record: TargetRecord, view: FleetView, loads: TargetLoads
+) -> str:
     """Return why a target may get nothing, whatever the request; empty if it may."""
     if record.state is not TargetState.READY:
         return "it leaves"
     if record.zone in view.zones_out:
         return "its zone is out"
-    if loads.of(record.id).replaced_boot == record.boot_id:
+    if loads.for_target(record.id).replaced_boot == record.boot_id:
         return "another target has its address"
     return ""
 
 
-def cold_rate_of(terms: ServiceTerms | None) -> float:
+def cold_rate_per_s(terms: ServiceTerms | None) -> float:
     """Return the requests a second that a cold target bears; 0 if unbounded."""
     return terms.cold_requests_per_s if terms is not None else 0.0
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -16,15 +16,15 @@
     find_workspace,
 )
 
-__all__ = ["BoundByRoute", "IdentifyRoute"]
+__all__ = ["DeadlineFilter", "RouteIdentificationFilter"]
 
 AUTHORIZATION_HEADER = "authorization"
 NOT_READY_RETRY_S = 0.5
-DOUBT_RETRY_S = 1.0
+SLOW_STORE_RETRY_S = 1.0
 """By then the next renewal has told whether the store still is slow."""
 
 
-class IdentifyRoute:
+class RouteIdentificationFilter:
     """Find the route, the workspace and the service of a request."""
 
     def __init__(
@@ -43,23 +43,27 @@
             )
         route = find_route(table, request.host, request.path)
         if route is None:
-            return self._deny(Reason.NOT_FOUND, "no route")
+            return self._refuse_or_defer(Reason.NOT_FOUND, "no route")
         workspace: WorkspaceAccess | None = None
         if table.has_workspaces and not route.is_public:
             authorization = request.header_map.get(AUTHORIZATION_HEADER, "")
             workspace = find_workspace(table.workspaces, authorization)
             if workspace is None:
-                return self._deny(Reason.UNAUTHENTICATED, "no workspace holds this key")
-        self._fill(request, route, workspace)
+                return self._refuse_or_defer(
+                    Reason.UNAUTHENTICATED, "no workspace holds this key"
+                )
+        self._apply_route(request, route, workspace)
         return await proceed(request)
 
-    def _deny(self, reason: Reason, detail: str) -> Answer:
+    def _refuse_or_defer(self, reason: Reason, detail: str) -> Answer:
         """Refuse for good, or only for now while news of the store may be late."""
         if not self._is_store_slow():
             return _refuse(reason, detail)
-        return _refuse(Reason.STALE, f"{detail}, but the store is slow", DOUBT_RETRY_S)
+        return _refuse(
+            Reason.STALE, f"{detail}, but the store is slow", SLOW_STORE_RETRY_S
+        )
 
-    def _fill(
+    def _apply_route(
         self, request: Request, route: Route, workspace: WorkspaceAccess | None
     ) -> None:
         request.pool = route.choose_service(self._rng)
@@ -74,13 +78,13 @@
         request.regions = route.regions
         if workspace is not None:
             request.workspace = workspace.name
-            request.regions = _join_regions(route.regions, workspace.regions)
+            request.regions = _intersect_regions(route.regions, workspace.regions)
             if workspace.priority is not None:
                 request.priority = workspace.priority
         request.fingerprint = fingerprint_request(request)
 
 
-class BoundByRoute:
+class DeadlineFilter:
     """Bound a request by the caller's own patience and the route's timeout."""
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
@@ -95,7 +99,7 @@
         return await proceed(request)
 
 
-def _join_regions(
+def _intersect_regions(
     first: frozenset[str] | None, second: frozenset[str] | None
 ) -> frozenset[str] | None:
     """Return the regions that both allow; None allows all."""
--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/limits.py
@@ -4,14 +4,14 @@
 from reedspar.fleet import FleetView
 from reedspar.timers import TimerService
 
-from .fitness import closed_reason
+from .eligibility import ineligibility_reason
 from .loads import OwnAttempt, TargetLoads
-from .refusals import COME_BACK_S
+from .refusals import RETRY_AFTER_S
 from .versions import VersionRule
 
 __all__ = ["AttemptLimits"]
 
-LINK_MAX_S = 0.4
+LINK_DELAY_MAX_S = 0.4
 """Most that the way to a target is taken to last."""
 
 
@@ -31,62 +31,68 @@
         self._timers = timers
 
     def check_hand_over(
-        self, target_id: str, request_id: str, next_s: float
+        self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
         """Return why a request must not be written now; None and note it if it may.
 
-        Looks at what waits are `next_s` apart (see `check_waiting`).
+        Looks at what waits are `check_interval_s` apart (see `check_waiting`).
         """
         known = self._view.target(target_id)
         closed = (
-            closed_reason(known.record, self._view, self._loads)
+            ineligibility_reason(known.record, self._view, self._loads)
             if known
             else "it is gone"
         )
         if closed:
             return _refuse(target_id, f"while connecting was found: {closed}")
-        attempt = self._loads.of(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None:
             return None
         version = self._version_of(target_id, attempt)
         now_s = self._timers.now_s()
-        if version is not None and not self._may_begin(attempt, version, now_s, next_s):
+        if version is not None and not self._may_begin(
+            attempt, version, now_s, check_interval_s
+        ):
             detail = f"connected too late to begin on version {version}"
             return _refuse(target_id, detail)
         attempt.handed_over_s = now_s
         return None
 
     def check_waiting(
-        self, target_id: str, request_id: str, next_s: float
+        self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
         """Return why a request that has not begun must be withdrawn now, if it must.
 
-        The next look is `next_s` later.  The target hears of the withdrawal after a
-        time that is taken to be that of the connection, back and forth.
+        The next check is `check_interval_s` later.  The withdrawal is assumed to reach
+        the target after as long as connecting took.
         """
-        attempt = self._loads.of(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None or attempt.handed_over_s is None:
             return None
         version = self._version_of(target_id, attempt)
         if version is None:
             return None
-        heard_s = (
-            self._timers.now_s() + next_s + _link_s(attempt, attempt.handed_over_s)
+        noticed_at_s = (
+            self._timers.now_s()
+            + check_interval_s
+            + _link_delay_s(attempt, attempt.handed_over_s)
         )
-        if heard_s < self._versions.until_s(attempt.model, version):
+        if noticed_at_s < self._versions.service_deadline_s(attempt.model, version):
             return None
         detail = f"withdrawn before it began on version {version}"
         return Failure(Reason.CANCELLED, Step.TARGET_CALL, target_id, detail)
 
     def _may_begin(
-        self, attempt: OwnAttempt, version: int, now_s: float, next_s: float
+        self, attempt: OwnAttempt, version: int, now_s: float, check_interval_s: float
     ) -> bool:
         """Tell whether an attempt begins in time, and before it would be withdrawn."""
-        begins_s = now_s + attempt.wait_s
-        withdrawn_s = begins_s + next_s + _link_s(attempt, now_s)
-        is_left_alone = withdrawn_s < self._versions.until_s(attempt.model, version)
-        return is_left_alone and self._versions.may_serve(
-            attempt.model, version, attempt.wait_s
+        begins_at_s = now_s + attempt.expected_wait_s
+        withdrawn_at_s = begins_at_s + check_interval_s + _link_delay_s(attempt, now_s)
+        begins_before_withdrawal = withdrawn_at_s < self._versions.service_deadline_s(
+            attempt.model, version
+        )
+        return begins_before_withdrawal and self._versions.may_serve(
+            attempt.model, version, attempt.expected_wait_s
         )
 
     def _version_of(self, target_id: str, attempt: OwnAttempt) -> int | None:
@@ -97,10 +103,10 @@
         return known.record.weights.get(attempt.model, attempt.version)
 
 
-def _link_s(attempt: OwnAttempt, handed_over_s: float) -> float:
+def _link_delay_s(attempt: OwnAttempt, handed_over_s: float) -> float:
     """Return how long the way to the target is taken to last."""
-    return min(LINK_MAX_S, handed_over_s - attempt.started_s)
+    return min(LINK_DELAY_MAX_S, handed_over_s - attempt.started_s)
 
 
 def _refuse(target_id: str, detail: str) -> Failure:
-    return Failure(Reason.SUPERSEDED, Step.LINK, target_id, detail, COME_BACK_S)
+    return Failure(Reason.SUPERSEDED, Step.LINK, target_id, detail, RETRY_AFTER_S)
--- a/reedspar/direct/load_listener.py
+++ b/reedspar/direct/load_listener.py
@@ -18,9 +18,9 @@
     ) -> None:
         self._view = view
         self._chooser = chooser
-        network.subscribe(TargetLoadNews, self._take)
+        network.subscribe(TargetLoadNews, self._on_news)
 
-    def _take(self, sender: Sender, news: TargetLoadNews) -> None:
+    def _on_news(self, sender: Sender, news: TargetLoadNews) -> None:
         known = self._view.find_target(news.host, news.port)
         if known is None:
             return
--- a/reedspar/direct/loads.py
+++ b/reedspar/direct/loads.py
@@ -15,21 +15,21 @@
     "average_load",
 ]
 
-REPORT_FADE_S = 1.5
+REPORT_DECAY_S = 1.5
 """How fast a report loses its weight, in seconds.
 
 A usual answer takes about as long, so what a report counted has mostly ended."""
-REST_MIN_S = 0.15
-REST_MAX_S = 2.0
+BACKOFF_MIN_S = 0.15
+BACKOFF_MAX_S = 2.0
 """How long a target is left alone that could not be reached; doubles each time."""
-FULL_REST_S = 0.1
+FULL_BACKOFF_S = 0.1
 """How long a target is left alone that said it is full: about ten steps of a batch,
 in which a place falls free."""
 
-UNKNOWN_WEIGHT = 0.1
+NO_REPORT_WEIGHT = 0.1
 """Weight, in fresh reports, of knowing nothing: without any report targets are idle."""
 
-CLOSED_S = 1.0
+NOT_TAKING_TTL_S = 1.0
 """How long an agent's word counts that its target takes nothing; agents repeat it four
 times a second, and one that has died must not close its target for good."""
 
@@ -53,13 +53,13 @@
 
     prompt_tokens: int
     started_s: float
-    expected_s: float = 0.0
+    raw_estimate_s: float = 0.0
     """When its first event was expected, by the estimate before calibration."""
     has_begun: bool = False
     model: str = ""
     version: int | None = None
     """The version of the model's weights that the target had when it was chosen."""
-    wait_s: float = 0.0
+    expected_wait_s: float = 0.0
     """When its first event was expected, calibrated and with the distance."""
     handed_over_s: float | None = None
     """When its request was written, once there was a connection."""
@@ -73,12 +73,12 @@
     report: LoadReport | None = None
     reported_s: float = float("-inf")
     own_at_report: int = 0
-    rest_until_s: float = float("-inf")
+    backoff_until_s: float = float("-inf")
     failures: int = 0
     cold_bucket: TokenBucket | None = None
     replaced_boot: str = ""
     """The start of the target after which another one was found at its address."""
-    closed_until_s: float = float("-inf")
+    not_taking_until_s: float = float("-inf")
     """Until when the target takes nothing, by its agent's last word."""
 
     def own_waiting_tokens(self) -> int:
@@ -94,15 +94,15 @@
 
         What its report said fades to what is usual in its pool.
         """
-        trust = self.trust(now_s)
-        faded = (1 - trust) * usual.others if usual is not None else 0.0
-        return trust * self.others_at_report + faded
+        report_weight = self.report_weight(now_s)
+        average_part = (1 - report_weight) * usual.others if usual is not None else 0.0
+        return report_weight * self.others_at_report + average_part
 
     def others_waiting(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
         """Return how many requests of others wait at the target."""
-        trust = self.trust(now_s)
-        faded = (1 - trust) * usual.waiting if usual is not None else 0.0
-        return trust * self.waiting_at_report + faded
+        report_weight = self.report_weight(now_s)
+        average_part = (1 - report_weight) * usual.waiting if usual is not None else 0.0
+        return report_weight * self.waiting_at_report + average_part
 
     def count(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
         """Return how many requests the target is thought to have."""
@@ -128,27 +128,29 @@
         self.report = report
         self.reported_s = now_s
         self.own_at_report = len(self.own)
-        self.closed_until_s = now_s + CLOSED_S if not report.is_taking else now_s
+        self.not_taking_until_s = (
+            now_s + NOT_TAKING_TTL_S if not report.is_taking else now_s
+        )
 
     def note_unreachable(self, now_s: float) -> None:
         """Leave the target alone for a while, longer each time."""
-        rest_s = min(REST_MAX_S, REST_MIN_S * 2**self.failures)
+        backoff_s = min(BACKOFF_MAX_S, BACKOFF_MIN_S * 2**self.failures)
         self.failures = min(self.failures + 1, 8)
-        self.rest_until_s = now_s + rest_s
+        self.backoff_until_s = now_s + backoff_s
 
     def note_full(self, now_s: float) -> None:
         """Leave the target alone until a place may be free."""
-        self.rest_until_s = max(self.rest_until_s, now_s + FULL_REST_S)
+        self.backoff_until_s = max(self.backoff_until_s, now_s + FULL_BACKOFF_S)
 
-    def note_good(self) -> None:
+    def note_success(self) -> None:
         """Forget earlier failures: the target answers."""
         self.failures = 0
 
-    def trust(self, now_s: float) -> float:
+    def report_weight(self, now_s: float) -> float:
         """Return the weight of the last report, from 0 to 1."""
         if self.report is None:
             return 0.0
-        return math.exp((self.reported_s - now_s) / REPORT_FADE_S)
+        return math.exp((self.reported_s - now_s) / REPORT_DECAY_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,12 +169,12 @@
 def average_load(loads: Iterable[TargetLoad], now_s: float) -> UsualLoad:
     """Return the average of the reports, each by its weight."""
     others = waiting = 0.0
-    weight = UNKNOWN_WEIGHT
+    weight = NO_REPORT_WEIGHT
     for load in loads:
-        trust = load.trust(now_s)
-        others += trust * load.others_at_report
-        waiting += trust * load.waiting_at_report
-        weight += trust
+        report_weight = load.report_weight(now_s)
+        others += report_weight * load.others_at_report
+        waiting += report_weight * load.waiting_at_report
+        weight += report_weight
     return UsualLoad(others / weight, waiting / weight)
 
 
@@ -182,7 +184,7 @@
     def __init__(self) -> None:
         self._loads: dict[str, TargetLoad] = {}
 
-    def of(self, target_id: str) -> TargetLoad:
+    def for_target(self, target_id: str) -> TargetLoad:
         """Return the load of a target."""
         load = self._loads.get(target_id)
         if load is None:
@@ -201,4 +203,4 @@
         if load is not None:
             load.report = None
             load.failures = 0
-            load.rest_until_s = float("-inf")
+            load.backoff_until_s = float("-inf")
--- a/reedspar/direct/replaced.py
+++ b/reedspar/direct/replaced.py
@@ -10,10 +10,10 @@
 
 __all__ = ["ReplacedWeightsLog"]
 
-NEAR_S = 1.0
+LOGGED_BEFORE_BOUND_S = 1.0
 """Time before the bound from which such a request gets a line."""
-LINES_PER_S = 5.0
-LINES_BURST = 20.0
+LOG_LINES_PER_S = 5.0
+LOG_LINES_BURST = 20.0
 
 _logger = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
     def __init__(self, versions: VersionRule, timers: TimerService) -> None:
         self._versions = versions
         self._timers = timers
-        self._bucket = TokenBucket(LINES_PER_S, LINES_BURST)
+        self._bucket = TokenBucket(LOG_LINES_PER_S, LOG_LINES_BURST)
         self._counts = dict.fromkeys(("in_time", "near", "past"), 0)
 
     def read_counts(self) -> list[tuple[float, dict[str, str]]]:
@@ -35,14 +35,20 @@
         """Count an answer that begins now, and log it if the bound is close."""
         if attempt.version is None:
             return
-        named_s = self._versions.replaced_s(attempt.model, attempt.version)
-        if named_s is None:
+        replaced_at_s = self._versions.replaced_at_s(attempt.model, attempt.version)
+        if replaced_at_s is None:
             return
         now_s = self._timers.now_s()
-        left_s = named_s + self._versions.bound_s - now_s
-        when = "past" if left_s < 0 else "near" if left_s < NEAR_S else "in_time"
+        left_s = replaced_at_s + self._versions.bound_s - now_s
+        when = (
+            "past"
+            if left_s < 0
+            else "near"
+            if left_s < LOGGED_BEFORE_BOUND_S
+            else "in_time"
+        )
         self._counts[when] += 1
-        if left_s >= NEAR_S or not self._bucket.is_ready(now_s):
+        if left_s >= LOGGED_BEFORE_BOUND_S or not self._bucket.is_ready(now_s):
             return
         self._bucket.take(1, now_s)
         handed_over_s = attempt.handed_over_s
@@ -56,9 +62,9 @@
                 "model": attempt.model,
                 "version": attempt.version,
                 "left_ms": round(left_s * 1000),
-                "chosen_ms": round((attempt.started_s - named_s) * 1000),
-                "handed_over_ms": round((handed_over_s - named_s) * 1000),
-                "begun_ms": round((now_s - named_s) * 1000),
-                "expected_ms": round(attempt.wait_s * 1000),
+                "chosen_ms": round((attempt.started_s - replaced_at_s) * 1000),
+                "handed_over_ms": round((handed_over_s - replaced_at_s) * 1000),
+                "begun_ms": round((now_s - replaced_at_s) * 1000),
+                "expected_ms": round(attempt.expected_wait_s * 1000),
             },
         )
--- a/reedspar/direct/request_log.py
+++ b/reedspar/direct/request_log.py
@@ -16,12 +16,12 @@
 SAMPLE_EVERY = 50
 """Of answered requests, one in so many gets a line of its own: 0.5 a second at the
 25 requests a second of the busiest entry."""
-LINES_PER_S = 20.0
-LINES_BURST = 100.0
+LOG_LINES_PER_S = 20.0
+LOG_LINES_BURST = 100.0
 """Bound on lines of requests that ended badly, about 10 KB a second; the rest is
 counted in the next summary."""
-SUMMARY_S = 5.0
-FAILED_STATUS = 400
+SUMMARY_INTERVAL_S = 5.0
+ERROR_STATUS_MIN = 400
 
 _logger = logging.getLogger(__name__)
 
@@ -33,13 +33,13 @@
         self._view = view
         self._timers = timers
         self._metrics = metrics
-        self._bucket = TokenBucket(LINES_PER_S, LINES_BURST)
+        self._bucket = TokenBucket(LOG_LINES_PER_S, LOG_LINES_BURST)
         self._endings: Counter[str] = Counter()
-        self._left_out = 0
+        self._unlogged = 0
         self._answered = 0
         self._in_flight = 0
         metrics.in_flight.observe(lambda: self._in_flight)
-        timers.call_every(SUMMARY_S, self._summarize)
+        timers.call_every(SUMMARY_INTERVAL_S, self._log_summary)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Let the request proceed, and log how it ended."""
@@ -47,49 +47,51 @@
         try:
             answer = await proceed(request)
         except anyio.get_cancelled_exc_class():
-            self._note(request, "abandoned", self._describe(request))
+            self._log_ending(request, "abandoned", self._make_log_fields(request))
             raise
         finally:
             self._in_flight -= 1
-        self._note_answer(request, answer)
+        self._log_answer(request, answer)
         return answer
 
-    def _note_answer(self, request: Request, answer: Answer) -> None:
+    def _log_answer(self, request: Request, answer: Answer) -> None:
         ending = answer.outcome.value
-        fields = self._describe(request) | {"status": answer.status}
+        fields = self._make_log_fields(request) | {"status": answer.status}
         failure = answer.failure
         if failure is not None:
             ending = f"{ending} {failure.reason.value}"
             fields |= {"failure": str(failure), "retry_after_s": failure.retry_after_s}
             labels = {"reason": failure.reason.value, "step": failure.step.value}
             self._metrics.refusals.add(1, labels)
-        elif answer.status >= FAILED_STATUS:
+        elif answer.status >= ERROR_STATUS_MIN:
             ending = f"{ending} {answer.status}"
         labels = {"outcome": answer.outcome.value, "pool": request.pool}
         self._metrics.requests.add(1, labels)
         seconds = self._timers.now_s() - request.arrived_s
         self._metrics.request_duration.record(seconds, {"pool": request.pool})
-        self._note(request, ending, fields)
+        self._log_ending(request, ending, fields)
 
-    def _note(self, request: Request, ending: str, fields: dict[str, object]) -> None:
+    def _log_ending(
+        self, request: Request, ending: str, fields: dict[str, object]
+    ) -> None:
         self._endings[ending] += 1
         if ending == Outcome.ANSWERED.value:
             self._answered += 1
             if self._answered % SAMPLE_EVERY != 1:
                 return
-        elif not self._take_line():
-            self._left_out += 1
+        elif not self._acquire_log_line():
+            self._unlogged += 1
             return
         _logger.info("request %s", ending, extra=fields)
 
-    def _take_line(self) -> bool:
+    def _acquire_log_line(self) -> bool:
         now_s = self._timers.now_s()
         if not self._bucket.is_ready(now_s):
             return False
         self._bucket.take(1, now_s)
         return True
 
-    def _describe(self, request: Request) -> dict[str, object]:
+    def _make_log_fields(self, request: Request) -> dict[str, object]:
         """Return what decided the request: its own data, and the table's version."""
         table = self._view.routes
         now_s = self._timers.now_s()
@@ -107,7 +109,7 @@
             "routes_version": table.version if table is not None else None,
         }
 
-    def _summarize(self) -> None:
+    def _log_summary(self) -> None:
         """Tell how many requests ended how since the last summary."""
         if not self._endings:
             return
@@ -115,10 +117,10 @@
             "requests ended",
             extra={
                 "endings": dict(self._endings),
-                "left_out": self._left_out,
+                "left_out": self._unlogged,
                 "in_flight": self._in_flight,
-                "period_s": SUMMARY_S,
+                "period_s": SUMMARY_INTERVAL_S,
             },
         )
         self._endings.clear()
-        self._left_out = 0
+        self._unlogged = 0
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -27,7 +27,7 @@
 from .client import DirectAttemptClient, TargetDialer, create_direct_attempt_client
 from .cold import ColdLimits
 from .crashes import CrashDetector
-from .filters import BoundByRoute, IdentifyRoute
+from .filters import DeadlineFilter, RouteIdentificationFilter
 from .limits import AttemptLimits
 from .loads import TargetLoads
 from .replaced import ReplacedWeightsLog
@@ -35,7 +35,7 @@
 
 __all__ = ["DirectService", "create_direct_service"]
 
-SLACK_PART = 0.7
+RETRY_SLACK_FRACTION = 0.7
 """Part of the slack for retries that the entries share out among themselves.
 
 The rest is for entries that don't know of each other yet."""
@@ -63,7 +63,7 @@
     def apply_bounds(self, bounds: BoundSettings) -> None:
         """Take bounds that have changed."""
         self.versions.set_bound(bounds.version_ms / 1000)
-        self.follower.set_retries(bounds.retry_share, bounds.retry_slack)
+        self.follower.set_retry_limits(bounds.retry_share, bounds.retry_slack)
 
 
 class _FleetFollower:
@@ -83,49 +83,51 @@
         self._cold = cold
         self._budgets = budgets
         self._retry_slack = retry_slack
-        self._boots: dict[str, str] = {}
+        self._boot_ids: dict[str, str] = {}
         self._timers = timers
-        self._note_entries()
+        self._update_entries()
 
     def note_started(self) -> None:
         """Apply the startup limits for cold targets from now on."""
         self._cold.set_target_count(self._view.target_count())
         self._cold.note_started(self._timers.now_s())
 
-    def set_retries(self, share: float, slack: float) -> None:
+    def set_retry_limits(self, share: float, slack: float) -> None:
         """Take the retries that all entries may make together."""
         self._retry_slack = slack
         self._budgets.set_share(share)
-        self._note_entries()
+        self._update_entries()
 
-    def note(self, change: FleetChange) -> None:
+    def apply_change(self, change: FleetChange) -> None:
         """Take in a change."""
         if isinstance(change, TargetChange):
             self._cold.set_target_count(self._view.target_count())
-            self._note_target(change)
+            self._update_target(change)
         elif isinstance(change, DaemonChange):
-            self._note_entries()
+            self._update_entries()
             self._cold.note_entries_changed(self._timers.now_s())
 
-    def _note_target(self, change: TargetChange) -> None:
+    def _update_target(self, change: TargetChange) -> None:
         record = change.record
         if record is None:
-            self._boots.pop(change.target_id, None)
+            self._boot_ids.pop(change.target_id, None)
             self._loads.forget(change.target_id)
-        elif self._boots.get(record.id) != record.boot_id:
-            self._boots[record.id] = record.boot_id
+        elif self._boot_ids.get(record.id) != record.boot_id:
+            self._boot_ids[record.id] = record.boot_id
             self._loads.forget_restarted(record.id)
 
-    def _note_entries(self) -> None:
+    def _update_entries(self) -> None:
         entries = self._view.daemons(Role.ENTRY.value)
         self._cold.set_entries(entry.name for entry in entries)
         count = max(ENTRIES_MIN, len(entries))
-        self._budgets.set_burst(SLACK_PART * self._retry_slack / count)
+        self._budgets.set_burst(RETRY_SLACK_FRACTION * self._retry_slack / count)
 
 
-def _note_crash(crashes: CrashDetector, view: FleetView, change: FleetChange) -> None:
+def _pass_to_crash_detector(
+    crashes: CrashDetector, view: FleetView, change: FleetChange
+) -> None:
     if isinstance(change, TargetChange):
-        crashes.note_change(change, view.target(change.target_id))
+        crashes.on_target_change(change, view.target(change.target_id))
 
 
 def create_direct_service(
@@ -177,13 +179,13 @@
     )
     budgets = RetryBudgets(bounds.retry_share)
     follower = _FleetFollower(view, loads, cold, budgets, bounds.retry_slack, timers)
-    view.on_change(follower.note)
-    view.on_change(lambda change: _note_crash(crashes, view, change))
+    view.on_change(follower.apply_change)
+    view.on_change(lambda change: _pass_to_crash_detector(crashes, view, change))
     terms = RelayTerms(retry_wait_s=0.0, verdict_margin_s=0.0)
     filters: list[Filter] = [
         *first_filters,
-        IdentifyRoute(view, is_store_slow, rng),
-        BoundByRoute(),
+        RouteIdentificationFilter(view, is_store_slow, rng),
+        DeadlineFilter(),
         Guard(quarantine, timers),
         Relay(client, chooser, budgets, quarantine, timers, terms),
     ]
--- a/reedspar/direct/tests/test_choice.py
+++ b/reedspar/direct/tests/test_choice.py
@@ -6,7 +6,7 @@
 import anyio
 
 from reedspar.direct import DirectService, LoadReport
-from reedspar.direct.loads import FULL_REST_S
+from reedspar.direct.loads import FULL_BACKOFF_S
 from reedspar.direct.tests.cases import (
     Call,
     DirectTestCase,
@@ -98,7 +98,7 @@
             for _ in range(10):
                 call = await self.send(service, Call("/q/1", x_model="m"))
                 self.assertEqual(call.status, 200)
-                await anyio.sleep(FULL_REST_S)
+                await anyio.sleep(FULL_BACKOFF_S)
             self.assertEqual([name for name, _ in dialer.sent].count("q1"), 1)
             again = make_engine_target("q1", started_ms=7)
             view.apply(TargetChange("q1", again))
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -5,7 +5,7 @@
 from reedspar.direct.cold import ColdLimits
 from reedspar.direct.directory import choose_entries, list_allowed_regions
 from reedspar.direct.estimate import (
-    EngineWork,
+    EngineLoad,
     estimate_first_event_s,
     estimate_service_s,
 )
@@ -17,8 +17,8 @@
 from reedspar.timers import TimerService, VirtualClock
 
 
-def expect_s(waiting: float, writing: float, tokens: float, prompt: int) -> float:
-    return estimate_first_event_s(ENGINE, EngineWork(tokens, writing, waiting), prompt)
+def expect_s(waiting: float, decoding: float, tokens: float, prompt: int) -> float:
+    return estimate_first_event_s(ENGINE, EngineLoad(tokens, decoding, waiting), prompt)
 
 
 class EstimateTest(unittest.TestCase):
@@ -63,10 +63,10 @@
     def test_unreachable_target_rests_longer_each_time(self) -> None:
         load = TargetLoad()
         load.note_unreachable(0.0)
-        first_s = load.rest_until_s
+        first_s = load.backoff_until_s
         load.note_unreachable(first_s)
-        self.assertGreater(load.rest_until_s - first_s, first_s)
-        load.note_good()
+        self.assertGreater(load.backoff_until_s - first_s, first_s)
+        load.note_success()
         self.assertEqual(load.failures, 0)
 
 
@@ -171,8 +171,12 @@
         DaemonRecord("b1", "entry", "b", "rb", "10.0.0.3", 1, 80),
     ]
 
-    def names(self, zone: str, region: str, homes: frozenset | None = None) -> list:
-        return [e.name for e in choose_entries(self.entries, zone, region, homes)]
+    def names(
+        self, zone: str, region: str, allowed_regions: frozenset | None = None
+    ) -> list:
+        return [
+            e.name for e in choose_entries(self.entries, zone, region, allowed_regions)
+        ]
 
     def test_own_zone_while_it_has_two(self) -> None:
         self.assertEqual(self.names("a", "ra"), ["a1", "a2"])
--- a/reedspar/direct/tests/test_identify.py
+++ b/reedspar/direct/tests/test_identify.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from reedspar.direct.filters import IdentifyRoute
+from reedspar.direct.filters import RouteIdentificationFilter
 from reedspar.direct.tests.fakes import make_table
 from reedspar.errors import Reason
 from reedspar.fleet import FleetView, RoutesChange
@@ -14,12 +14,12 @@
 from reedspar.timers import TimerService, VirtualClock
 
 
-class IdentifyRouteTest(unittest.TestCase):
+class RouteIdentificationFilterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = FleetView(TimerService(VirtualClock()))
         self.view.apply(RoutesChange(make_table()))
         self.is_store_slow = False
-        self.filter = IdentifyRoute(
+        self.filter = RouteIdentificationFilter(
             self.view, lambda: self.is_store_slow, random.Random(1)
         )
 
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced.py
@@ -3,7 +3,7 @@
 import unittest
 
 from reedspar.direct.loads import OwnAttempt
-from reedspar.direct.replaced import LINES_BURST, ReplacedWeightsLog
+from reedspar.direct.replaced import LOG_LINES_BURST, ReplacedWeightsLog
 from reedspar.direct.versions import VersionRule
 from reedspar.fleet import FleetView, WeightsChange
 from reedspar.timers import TimerService, VirtualClock
@@ -55,7 +55,7 @@
         with self.assertLogs(LOGGER, "INFO") as logs:
             for _ in range(100):
                 self.note()
-        self.assertEqual(len(logs.records), LINES_BURST)
+        self.assertEqual(len(logs.records), LOG_LINES_BURST)
         self.assertEqual(sum(self.counts().values()), 100)
 
 
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_replaced_weights.py
@@ -95,7 +95,7 @@
             self.assertEqual(call.outcome, "not-run")
             self.assertIn("retry-after", call.headers)
             self.assertEqual(dialer.sent, [])
-            load = service.loads.of("older")
+            load = service.loads.for_target("older")
             self.assertEqual((load.failures, len(load.own)), (0, 0))
 
         self.run_with(script)
@@ -113,7 +113,7 @@
             self.assertEqual(call.status, 200)
             self.assertEqual([name for name, _ in dialer.begun], ["newer"])
             self.assertEqual(dialer.closed, ["older", "newer"])
-            self.assertEqual(service.loads.of("older").failures, 0)
+            self.assertEqual(service.loads.for_target("older").failures, 0)
 
         self.run_with(script)
 
