--- a/reedspar/direct/__init__.py
+++ b/reedspar/direct/__init__.py
@@ -1,8 +1,8 @@
-"""Requests that go straight from an entry to a target, by routes.
+"""Requests that an entry sends directly to a target, without an agent.
 
-The chain of filters, the relay and the endings are those of
-`reedspar.requests`; this package finds the route, chooses the target by what
-the entry itself knows of its load, and opens attempts without an agent.
+This package finds the route of a request, chooses the target by the loads that the
+entry knows, and opens the attempts.  The filter chain, the relay and the outcomes are
+those of `reedspar.requests`.
 """
 
 from .client import DirectAttemptClient, DirectResponse, TargetDialer
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -1,4 +1,4 @@
-"""The choice of a target for an attempt that goes straight to it."""
+"""Choice of a target by the estimated time to the first event of the answer."""
 
 import random
 from collections.abc import Collection
@@ -35,24 +35,28 @@
 __all__ = ["DirectChooser", "DirectTarget"]
 
 ESTIMATE_TOLERANCE_S = 0.02
-"""Targets within this of the best estimate are as good: the estimate is no finer,
-and drawing among them keeps entries from all choosing the same one."""
+"""Difference from the best estimate within which targets count as equally good.
+
+Estimates are no more precise than this, and a random choice among these targets keeps
+the entries from all choosing the same one."""
 OTHER_REGION_PENALTY_S = 0.03
-"""What a target in another region must be better by.
+"""Time added to the estimate of a target in another region.
 
-The links between regions are thin and shared; a usual request and its answer are
-3 KB there.  Within one region nothing is lost by it, for estimates are no finer."""
+Links between regions are shared and have little bandwidth, of which a typical request
+and its answer use 3 KB.  Estimates are no more precise than this, so preferring targets
+of this region costs no time."""
 LATENCY_GOAL_FRACTION = 0.8
-"""Part of the aimed time within which the first event must be expected.
+"""Fraction of the latency goal within which the first event must be expected.
 
-The rest is for what other entries send meanwhile.  An answer after its aim is worth
-little to its caller, and delays all behind it."""
+The rest is a reserve for requests that other entries send meanwhile.  An answer after
+the goal is worth little to its caller and delays the requests behind it."""
 LONG_PROMPT_QUEUE_MAX_S = 0.1
-"""What may wait before a request that would be late in any case: two usual prompts."""
+"""Queueing time, of about two typical prompts, allowed before a request whose prompt
+alone exceeds the latency goal."""
 LOCAL_REASONS = frozenset({Reason.SUPERSEDED, Reason.CANCELLED})
-"""Ends that this entry decided on, which say nothing about the target."""
+"""Failures caused by this entry, which say nothing about the target."""
 GAP_FRACTION = 0.95
-"""Part of the pause between events that callers bear which one prompt may make."""
+"""Fraction of the acceptable gap between events that queued prompts may cause."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +65,13 @@
 
     name: str
     raw_estimate_s: float
-    """When its answer would begin, from now, by the estimate before calibration."""
+    """Estimated time to the first event, before calibration."""
     weights_digest: str = ""
     incarnation: int = 0
     version: int | None = None
-    """The version of the request's model that it had when it was chosen."""
+    """Version of the request's model at the target when it was chosen."""
     expected_wait_s: float = 0.0
-    """When its answer would begin, from now, calibrated and with the distance."""
+    """Expected time to the first event, calibrated and with the region penalty."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,15 +80,15 @@
     load: TargetLoad
     raw_estimate_s: float
     expected_wait_s: float
-    """The calibrated estimate, and what the distance counts as."""
+    """Expected time to the first event, calibrated and with the region penalty."""
     unqueued_wait_s: float = 0.0
-    """What the calibrated estimate would be if no prompt waited before it."""
+    """The same with no prompt queued before the request."""
     stream_pause_s: float = 0.0
-    """The pause that the prompts before the request make in the streams beside it."""
+    """Pause that queued prompts cause in the streams already running."""
 
 
 class DirectChooser:
-    """Chooses by the time in which a target would begin to answer."""
+    """Chooses the target with the shortest expected time to the first event."""
 
     def __init__(
         self,
@@ -115,7 +119,7 @@
     def choose(
         self, request: Request, tried: Collection[str]
     ) -> ChosenTarget | Failure:
-        """Return the target of the next attempt, or why there is none."""
+        """Return the target of the next attempt, or a failure if there is none."""
         terms = self._service_parameters(request.pool)
         now_s = self._timers.now_s()
         eligible = self._eligibility.list_eligible(request, tried, now_s)
@@ -136,11 +140,11 @@
             )
         ]
         if not candidates:
-            detail = "every fit target is cold or about to switch"
+            detail = "every eligible target is cold or about to switch weights"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
         candidates = [i for i in candidates if _keeps_stream_pauses_short(i, request)]
         if not candidates:
-            detail = "one more prompt would hold up the streams beside it"
+            detail = "another prompt would delay the streams already running"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
         best = min(candidates, key=lambda item: item.expected_wait_s)
         best_s = best.expected_wait_s
@@ -161,7 +165,7 @@
         )
 
     def on_started(self, request: Request, chosen: ChosenTarget) -> None:
-        """Count the attempt among this entry's own."""
+        """Add the attempt to this entry's own attempts at the target."""
         now_s = self._timers.now_s()
         load = self._loads.for_target(chosen.name)
         assert isinstance(chosen, DirectTarget)
@@ -179,7 +183,7 @@
             self._cold.note_sent(load, rate_per_s, now_s)
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
-        """Note that the prompt was read."""
+        """Record the end of the prompt's prefill."""
         load = self._loads.for_target(chosen.name)
         load.note_success()
         attempt = load.own.get(request.request_id)
@@ -192,7 +196,7 @@
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
-        """Uncount the attempt, and learn from its end."""
+        """Remove the attempt and update the target's state from its failure, if any."""
         load = self._loads.for_target(chosen.name)
         load.own.pop(request.request_id, None)
         failure = answer.failure if answer is not None else None
@@ -209,22 +213,23 @@
             load.note_full(now_s)
 
     def _mark_replaced(self, target_id: str) -> None:
-        """Send nothing more to a target that is gone: its address has another one.
+        """Exclude a target whose address now belongs to another one.
 
-        The store may tell of it for seconds.  After a loss of power all targets are
-        new ones; each request went to two of the old, and was refused: 200 in three
-        seconds, a twelfth of a day's.
+        The store may list the replaced target for seconds.  After a power loss every
+        target is replaced; without this exclusion each request was sent to two
+        replaced targets and refused: 200 in three seconds, a twelfth of a day's
+        refusals.
         """
         known = self._view.target(target_id)
         if known is not None:
             self._loads.for_target(target_id).replaced_boot = known.record.boot_id
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
-        """Leave a target alone that has no address any more."""
+        """Back off from a target that no longer has an address."""
         self._loads.for_target(chosen.name).note_unreachable(self._timers.now_s())
 
     def note_report(self, target_id: str, report: LoadReport) -> None:
-        """Take in a target's own word of its load."""
+        """Process a target's report of its load."""
         self._loads.for_target(target_id).note_report(report, self._timers.now_s())
 
     def _service_parameters(self, pool: str) -> ServiceTerms | None:
@@ -273,15 +278,15 @@
         return self._calibrations.setdefault(pool, Calibration())
 
     def _distance_s(self, known: KnownTarget) -> float:
-        """Return what a target's distance counts as."""
+        """Return the penalty for a target in another region, 0 in this region."""
         is_near = self._regions.get(known.record.zone) == self._region
         return 0.0 if is_near else OTHER_REGION_PENALTY_S
 
     def _wait_limit_s(self, request: Request, best: _Candidate) -> float:
-        """Return the time within which the first answer must be expected.
+        """Return the longest acceptable expected time to the first event.
 
-        A long prompt may take longer than the aimed time though nothing waits
-        before it.  Refused for that, it would be refused at idle targets, always.
+        A long prompt may exceed the latency goal even at an idle target.  With the
+        goal as the only limit it would always be refused.
         """
         if not best.unqueued_wait_s or request.aim_s <= 0:
             return float("inf")
@@ -292,7 +297,7 @@
 
 
 def _keeps_stream_pauses_short(candidate: _Candidate, request: Request) -> bool:
-    """Tell whether the streams beside the request go on without a long pause."""
+    """Return whether streams already running continue without a long pause."""
     return not request.gap_s or candidate.stream_pause_s <= request.gap_s * GAP_FRACTION
 
 
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -1,8 +1,8 @@
-"""Attempts straight at targets, without an agent between.
+"""Client for attempts that an entry sends directly to a target.
 
-Each attempt has a connection of its own and closes it at its end: nothing
-that a target sends too much or too late can meet another request, and a
-request never goes out on a connection that the target is just closing.
+Each attempt uses a connection of its own and closes it at its end.  Surplus or late
+bytes from a target can't reach another request, and no request is sent on a connection
+that the target is about to close.
 """
 
 import logging
@@ -32,25 +32,25 @@
 ]
 
 SILENCE_TIMEOUT_S = 1.5
-"""Silence after which an idempotent attempt is better made elsewhere, in seconds.
+"""Silence after which an idempotent attempt is abandoned for another target.
 
-Callers give a stream up after 2 s without an event; the next target needs half a
-second for the prompt."""
+Callers abandon a stream after 2 s without an event, and the next target needs 0.5 s for
+the prompt."""
 SWEEP_INTERVAL_S = 0.1
 _logger = logging.getLogger(__name__)
 
 
 class DirectResponse(TargetResponse, Protocol):
-    """A target's answer while it arrives, with what its head says of the load."""
+    """Answer of a target while it arrives, with the load report from its headers."""
 
     load: LoadReport | None
 
 
 class TargetDialer(Protocol):
-    """Sends requests to targets by their ids."""
+    """Sends requests to targets identified by their ids."""
 
     def has_address(self, target_id: str) -> bool:
-        """Tell whether the target has an address."""
+        """Return whether the target's address is known."""
         ...
 
     def send(
@@ -59,7 +59,7 @@
         request: TargetRequest,
         check_before_write: Callable[[], Failure | None],
     ) -> AbstractAsyncContextManager[DirectResponse | Failure]:
-        """Hand over a request on a connection of its own.
+        """Send a request on a connection of its own.
 
         `check_before_write` is called between connecting and writing.  If it returns
         a failure, that failure is yielded and nothing is written.
@@ -72,13 +72,13 @@
 
 @dataclass(slots=True)
 class _RunningAttempt:
-    """The task that reads one answer."""
+    """An open attempt and the task that reads its answer."""
 
     attempt: OpenAttempt
     scope: anyio.CancelScope
     buffer_has_room: anyio.Event
     failure: Failure | None = None
-    """Why it was ended from here."""
+    """Reason why this entry ended the attempt."""
 
 
 class DirectAttemptClient:
@@ -102,11 +102,11 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many attempts wait for their answer."""
+        """Return the number of open attempts."""
         return len(self._running)
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
-        """Hand a request over; a failure means that nothing was handed over."""
+        """Start an attempt; a failure means that nothing was sent."""
         if not self._dialer.has_address(target):
             return Failure(Reason.UNAVAILABLE, Step.LINK, target, "has no address")
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
@@ -116,7 +116,7 @@
         return attempt
 
     def take(self, attempt: OpenAttempt) -> bytes:
-        """Return the bytes that arrived, and let the target send on."""
+        """Return the bytes that arrived, and resume reading from the target."""
         data = attempt.assembly.take()
         running = self._running.get(id(attempt))
         if running is not None:
@@ -124,13 +124,13 @@
         return data
 
     def close(self, attempt: OpenAttempt) -> None:
-        """Let go of an attempt; closing its connection stops the target's work."""
+        """Close an attempt and its connection, which stops the target's work."""
         running = self._running.pop(id(attempt), None)
         if running is not None:
             running.scope.cancel()
 
     def sweep(self) -> None:
-        """Withdraw attempts that may not begin any more; give up silent ones.
+        """Withdraw attempts that may no longer begin, and abandon silent ones.
 
         A connection can go silent for good without a reset, and a target can
         hang; the caller would wait until it gives up by itself.
@@ -148,7 +148,7 @@
                 self._abandon(running, f"silent for {silent_s:.1f} s")
 
     def _withdraw(self, running: _RunningAttempt) -> bool:
-        """End an attempt that may not begin any more; tell whether it was one."""
+        """End an attempt that may no longer begin; return whether it was ended."""
         attempt = running.attempt
         request_id = attempt.assembly.start.request_id
         failure = self._limits.check_waiting(
@@ -171,13 +171,13 @@
     async def _run(self, attempt: OpenAttempt, running: _RunningAttempt) -> None:
         target = attempt.target
         failure: Failure | None = Failure(
-            Reason.CANCELLED, Step.TARGET_CALL, target, "let go of"
+            Reason.CANCELLED, Step.TARGET_CALL, target, "closed by the entry"
         )
         with running.scope:
             try:
                 failure = await self._read(attempt, running)
             except Exception as error:
-                # Raised further, one target's odd answer would end the daemon.
+                # Re-raising it would let one target's invalid answer end the daemon.
                 _logger.exception("attempt failed", extra={"target": target})
                 detail = f"{type(error).__name__}: {error}"
                 failure = Failure(
@@ -189,7 +189,7 @@
     async def _read(
         self, attempt: OpenAttempt, running: _RunningAttempt
     ) -> Failure | None:
-        """Read an answer to its end; return why it is not whole."""
+        """Read an answer to its end; return why it is incomplete, None if complete."""
         start = attempt.assembly.start
         request = TargetRequest(
             start.request_id,
@@ -249,7 +249,7 @@
 
 
 def _awaits_head(running: _RunningAttempt) -> bool:
-    """Tell whether nothing has come of an answer, and the attempt goes on."""
+    """Return whether a running attempt has not received its answer's head."""
     assembly = running.attempt.assembly
     return assembly.is_open and assembly.head is None and running.failure is None
 
@@ -261,5 +261,5 @@
     note_report: Callable[[str, LoadReport], None],
     limits: AttemptLimits,
 ) -> DirectAttemptClient:
-    """Make a client whose attempts run in `tasks`."""
+    """Create a client whose attempts run in `tasks`."""
     return DirectAttemptClient(dialer, timers, tasks, note_report, limits)
--- a/reedspar/direct/cold.py
+++ b/reedspar/direct/cold.py
@@ -1,8 +1,7 @@
-"""Decision: this entry's part of what a cold target bears.
+"""Limits of the requests that this entry sends to cold targets.
 
-All entries send to targets by themselves.  Without agreement each keeps to its
-part of the rate that the operator's configuration grants, so that all parts
-together stay within it.
+Entries choose targets independently.  Without coordination, each keeps to its share of
+the rate that the operator's configuration grants, so that the shares add up to it.
 """
 
 from collections.abc import Iterable
@@ -24,15 +23,16 @@
 """Minimum number of entries assumed during startup, per listed target."""
 
 COLD_BURST = 1.0
-"""Requests that an entry may send a cold target at once after a rest."""
+"""Requests that an entry may send to a cold target at once after a pause."""
 SENDERS_MAX = 9
 """Entries that may send to one cold target.
 
-Each may send one request at once after a rest.  Nine go nine beyond the rate within
-a second; the platform bears half the rate and five more, which is 23 at 36 a second.
-With 46 senders 92 came within a second, counted under virtual time."""
+Each may send one request at once after a pause, so nine senders exceed the rate by at
+most nine within a second.  The platform tolerates an excess of half the rate and five,
+which is 23 at 36 requests a second.  With 46 senders, 92 requests arrived within a
+second under virtual time."""
 SENDERS_MIN = 3
-"""Senders reckoned with at least: an entry that has just started may know of none."""
+"""Minimum number of senders assumed: an entry that just started may know no others."""
 CACHED_TARGETS_MAX = 4096
 """Maximum number of cached target ids; each restart of a target adds a new id."""
 SCORE_RANGE = 2.0**64
@@ -40,7 +40,7 @@
 
 
 class ColdLimits:
-    """Limits what cold targets get from this entry."""
+    """Limits the requests from this entry to cold targets."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -65,7 +65,7 @@
         self._target_count = count
 
     def set_entries(self, names: Iterable[str]) -> None:
-        """Take the entries that may send; this one is always among them."""
+        """Set the names of the entries that may send; this entry is always included."""
         names = frozenset({self._name, *names})
         if names != self._names:
             self._names = names
@@ -74,7 +74,7 @@
     def may_send(
         self, target_id: str, load: TargetLoad, rate_per_s: float, now_s: float
     ) -> bool:
-        """Tell whether a cold target may get one more request now."""
+        """Return whether one more request may be sent to a cold target now."""
         if rate_per_s <= 0:
             return True
         if not self._is_sender(target_id, now_s):
@@ -93,7 +93,7 @@
             self._bucket_of(load, rate_per_s, now_s).take(1, now_s)
 
     def _is_sender(self, target_id: str, now_s: float) -> bool:
-        """Tell whether this entry is among the few that may send to a target."""
+        """Return whether this entry is one of the senders for a target."""
         expected = ENTRIES_PER_TARGET * self._target_count
         if self._is_starting(now_s) and expected > len(self._names):
             # Approximates the ranking that holds once all entries are known.
@@ -103,7 +103,7 @@
         return self._is_top_ranked(target_id)
 
     def _is_top_ranked(self, target_id: str) -> bool:
-        """Tell whether this entry ranks among the first `SENDERS_MAX` for a target."""
+        """Return whether this entry ranks in the first `SENDERS_MAX` for a target."""
         is_top_ranked = self._top_ranked_cache.get(target_id)
         if is_top_ranked is None:
             ranked = rank_by_rendezvous(target_id, self._names)
--- a/reedspar/direct/crashes.py
+++ b/reedspar/direct/crashes.py
@@ -1,4 +1,4 @@
-"""Noticing that a target has crashed, and which requests it had of this entry."""
+"""Detection of target crashes and of the requests that may have caused them."""
 
 import logging
 from collections import deque
@@ -10,17 +10,17 @@
 __all__ = ["CrashDetector"]
 
 SUSPECT_WINDOW_S = 6.0
-"""How long a broken attempt may be what its target crashed of.
+"""Age up to which a broken attempt is a suspect when its target crashes.
 
-The platform drops the entry of a target that has crashed after three heartbeats of
-1.2 s; two seconds are for the store and for a restart."""
+The platform removes the record of a crashed target after three missed heartbeats of
+1.2 s; another 2 s cover the store's delay and a restart."""
 BROKEN_ATTEMPTS_MAX = 256
 
 _logger = logging.getLogger(__name__)
 
 
 class CrashDetector:
-    """Joins broken attempts and targets that went without leaving."""
+    """Matches broken attempts with targets that disappeared without shutting down."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._known: dict[str, KnownTarget] = {}
 
     def note_broken(self, target_id: str, fingerprint: str) -> None:
-        """Note that a target broke off while it may have worked on a request."""
+        """Record that a target broke off while it may have been running a request."""
         self._broken.append((self._timers.now_s(), target_id, fingerprint))
 
     def on_target_change(self, change: TargetChange, known: KnownTarget | None) -> None:
-        """Take a change of a target; `known` is what is known of it from now on."""
+        """Process a change of a target; `known` is its new state, None if removed."""
         before = self._known.pop(change.target_id, None)
         if known is not None:
             self._known[change.target_id] = known
@@ -61,5 +61,5 @@
         _logger.info(
             "target crashed", extra={"target": boot_id, "requests": len(fingerprints)}
         )
-        # Each entry knows its own requests alone, so each tells of a crash of its own.
+        # The id includes this entry's name, as each entry knows only its own requests.
         self._report_crash(f"{boot_id}/{self._name}", tuple(sorted(fingerprints)))
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/directory.py
@@ -1,4 +1,4 @@
-"""Decision: which entries a caller is told to use."""
+"""Choice of the entries whose addresses a caller is given."""
 
 from collections.abc import Collection, Iterable
 
@@ -8,9 +8,9 @@
 __all__ = ["choose_entries", "list_allowed_regions"]
 
 NEARBY_ENTRIES_MIN = 2
-"""Entries of the caller's zone that must be there before it is told only of them.
+"""Minimum number of entries in the caller's zone, or region, to return only those.
 
-With one, a caller would have no other address left once that one failed it."""
+With a single address, a caller would have no alternative when that entry fails."""
 
 
 def choose_entries(
@@ -19,12 +19,11 @@
     region: str,
     allowed_regions: frozenset[str] | None,
 ) -> list[DaemonRecord]:
-    """Return the entries for a caller in a zone, the nearest that suffice.
+    """Return the entries for a caller: those of its zone, its region, or all.
 
-    Bytes between zones cost, and between regions they share a thin link, so a
-    caller uses its own zone's entries as long as there are enough.  Requests
-    that must stay in their homes are told only of entries there or beside the
-    caller.
+    Traffic between zones is charged and traffic between regions shares links of little
+    bandwidth, so a caller gets the entries of its zone if there are enough.  Requests
+    restricted to some regions get only entries there or in the caller's region.
     """
     allowed = [
         entry
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -1,4 +1,7 @@
-"""Decision: which targets a request may go to at all, whatever their load."""
+"""Eligibility and availability of targets for a request.
+
+Eligible targets can run the request; of these, available ones may be sent to now.
+"""
 
 from collections.abc import Collection, Mapping
 
@@ -14,7 +17,7 @@
 
 
 class TargetEligibility:
-    """Tells fit targets from others, and which of them may be sent to now."""
+    """Lists the eligible and the available targets of a request."""
 
     def __init__(
         self,
@@ -33,7 +36,7 @@
     def list_eligible(
         self, request: Request, tried: Collection[str], now_s: float
     ) -> list[KnownTarget]:
-        """Return the targets that could run a request and were not tried yet."""
+        """Return the targets that can run a request and were not tried yet."""
         return [
             known
             for known in self._view.targets(request.pool)
@@ -43,10 +46,10 @@
     def list_available(
         self, eligible: list[KnownTarget], terms: ServiceTerms | None, now_s: float
     ) -> list[tuple[KnownTarget, TargetLoad]]:
-        """Return the targets that may be sent to now.
+        """Return the eligible targets that may be sent to now.
 
-        Were all that failed lately left alone, the rest would drown in what
-        they would have got.  So at least half of the targets stay in.
+        Excluding every target in backoff could overload the remaining ones, so at least
+        half of the targets are returned.
         """
         rate_per_s = cold_rate_per_s(terms)
         pairs = [(known, self._loads.for_target(known.record.id)) for known in eligible]
@@ -66,7 +69,7 @@
     def can_begin_in_time(
         self, record: TargetRecord, request: Request, expected_wait_s: float
     ) -> bool:
-        """Tell whether the request begins before its target's version is too old."""
+        """Return whether a request would begin before its target's version expires."""
         version = record.weights.get(request.model)
         if version is None:
             return True
@@ -90,16 +93,16 @@
 def ineligibility_reason(
     record: TargetRecord, view: FleetView, loads: TargetLoads
 ) -> str:
-    """Return why a target may get nothing, whatever the request; empty if it may."""
+    """Return why a target may get no request at all, or an empty string."""
     if record.state is not TargetState.READY:
-        return "it leaves"
+        return "it is leaving"
     if record.zone in view.zones_out:
-        return "its zone is out"
+        return "its zone is taken out"
     if loads.for_target(record.id).replaced_boot == record.boot_id:
         return "another target has its address"
     return ""
 
 
 def cold_rate_per_s(terms: ServiceTerms | None) -> float:
-    """Return the requests a second that a cold target bears; 0 if unbounded."""
+    """Return the limit of requests a second to a cold target; 0 if unlimited."""
     return terms.cold_requests_per_s if terms is not None else 0.0
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -1,8 +1,8 @@
-"""Decision: how soon a model engine would begin to answer one more request.
+"""Estimates of a model engine's time to the first event of one more request.
 
-An engine reads prompts one after the other and writes for all requests of its
-batch meanwhile, so the first event of a request comes once the prompts before
-it and its own are read, and a place in the batch is free.
+An engine prefills prompts one after the other while it decodes for all requests of its
+batch.  The first event of a request therefore follows the prefill of the prompts before
+it and of its own, once a slot of the batch is free.
 """
 
 import math
@@ -19,37 +19,39 @@
 ]
 
 NETWORK_DELAY_S = 0.02
-"""Connecting and two ways between zones."""
+"""Time for connecting and for a round trip between zones."""
 
 CALIBRATION_WEIGHT = 0.05
-"""Weight of one request in the calibration: about three seconds' worth of an entry's
-requests at six a second."""
+"""Weight of one request in the calibration factor.
+
+It averages over about 3 s at an entry with six requests a second."""
 CALIBRATION_FACTOR_MIN = 0.7
 CALIBRATION_FACTOR_MAX = 2.5
-"""Bounds of the calibration.
+"""Bounds of the calibration factor.
 
-Engines that switch their weights, or come back cold, hold up a few first events by many
-times the estimate.  Unbounded, entries would refuse for seconds what engines bear."""
+Engines that switch weights or restart cold delay a few first events by many times the
+estimate.  Without bounds, entries would then refuse requests for seconds although the
+engines have capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """What an engine has before it, as far as is known."""
+    """Known load of an engine."""
 
     waiting_tokens: float
-    """Prompt tokens of requests that have not begun to answer."""
+    """Prompt tokens of requests whose answers have not begun."""
     decoding: float
-    """Requests that have begun to answer."""
+    """Requests whose answers have begun."""
     waiting: float
-    """Requests that have not begun to answer."""
+    """Requests whose answers have not begun."""
     pace: float = 1.0
-    """How many times as long as usual the engine takes."""
+    """Ratio of the engine's current processing time to its usual one."""
 
 
 def estimate_first_event_s(
     terms: EngineTerms, engine_load: EngineLoad, prompt_tokens: float
 ) -> float:
-    """Return the time until one more request would get its first event."""
+    """Return the estimated time to the first event of one more request."""
     tokens = engine_load.waiting_tokens + prompt_tokens
     prefill_s = _prefill_time_s(terms, tokens, prompt_tokens)
     passes = math.ceil(tokens / terms.read_tokens_per_pass) if tokens else 1
@@ -61,11 +63,12 @@
 
 
 def estimate_stream_pause_s(terms: EngineTerms, engine_load: EngineLoad) -> float:
-    """Return the longest pause that waiting prompts make in the streams beside them.
+    """Return the longest pause that queued prompts cause in running streams.
 
-    An engine reads up to a fixed number of prompt tokens in each of the steps between
-    two events, so all that waits may be read between two events of a stream.  A
-    request's own prompt is not counted: large ones would be refused most.
+    In each step between two events an engine prefills up to a fixed number of prompt
+    tokens, so all queued prompts may be prefilled between two events of a stream.  The
+    new request's own prompt is not counted; otherwise long prompts would be refused
+    more often than others.
     """
     if engine_load.decoding < 1:
         return 0.0
@@ -77,10 +80,10 @@
 
 
 class Calibration:
-    """How much longer first events take than the estimate says.
+    """Ratio of measured to estimated times to the first event.
 
-    Each entry knows its own requests alone, so the estimate misses what others have
-    just sent.  Corrected by what came true, it is right on average again.
+    Each entry knows only its own requests, so the estimate misses requests that others
+    have just sent.  The moving average of the ratio corrects this on average.
     """
 
     def __init__(self) -> None:
@@ -88,11 +91,11 @@
 
     @property
     def factor(self) -> float:
-        """Return what estimates are to be multiplied by."""
+        """Return the factor by which estimates are multiplied."""
         return self._factor
 
     def record(self, expected_s: float, actual_s: float) -> None:
-        """Take in how long a first event took."""
+        """Record the estimated and the measured time to a first event."""
         if expected_s <= 0:
             return
         ratio = min(
@@ -107,15 +110,15 @@
 def estimate_service_s(
     terms: EngineTerms, batch: float, answer_tokens: float = 0.0
 ) -> float:
-    """Return how long a usual request stays in a batch of that size."""
+    """Return how long a typical request stays in a batch of that size."""
     tokens = answer_tokens or terms.usual_answer_tokens
     step_s = terms.step_s + batch * terms.step_per_request_s
     decode_s = tokens * step_s
     prefill_s = _prefill_time_s(
         terms, terms.usual_prompt_tokens, terms.usual_prompt_tokens
     )
-    # While it writes, the prompts of those that take its neighbours' places
-    # are read: each neighbour is replaced once in the time of one request.
+    # Each other request of the batch is replaced once during this time, and the
+    # prefill of each replacement delays decoding.
     return decode_s + prefill_s * max(1.0, batch)
 
 
@@ -130,7 +133,7 @@
 
 
 def _slot_wait_s(terms: EngineTerms, engine_load: EngineLoad) -> float:
-    """Return how long a request waits for a place in the batch."""
+    """Return how long a request waits for a slot of the batch."""
     excess = engine_load.decoding + engine_load.waiting + 1 - terms.slots
     if excess <= 0:
         return 0.0
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -1,4 +1,4 @@
-"""The first filters of requests by routes: whose they are, how long they may take."""
+"""Filters that find a request's route and workspace and set its deadline."""
 
 import random
 from collections.abc import Callable
@@ -21,7 +21,8 @@
 AUTHORIZATION_HEADER = "authorization"
 NOT_READY_RETRY_S = 0.5
 SLOW_STORE_RETRY_S = 1.0
-"""By then the next renewal has told whether the store still is slow."""
+"""Retry delay while the store is slow: by then the next lease renewal has measured
+whether it still is."""
 
 
 class RouteIdentificationFilter:
@@ -35,7 +36,7 @@
         self._rng = rng
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Refuse what has no route, or whose key no workspace holds."""
+        """Refuse a request without a route, or with a key that no workspace has."""
         table = self._view.routes
         if table is None:
             return _refuse(
@@ -56,7 +57,7 @@
         return await proceed(request)
 
     def _refuse_or_defer(self, reason: Reason, detail: str) -> Answer:
-        """Refuse for good, or only for now while news of the store may be late."""
+        """Refuse for good, or only for now while the store's updates may be late."""
         if not self._is_store_slow():
             return _refuse(reason, detail)
         return _refuse(
@@ -85,10 +86,10 @@
 
 
 class DeadlineFilter:
-    """Bound a request by the caller's own patience and the route's timeout."""
+    """Limit a request to the caller's timeout and the route's."""
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Set the deadline."""
+        """Set the deadline; refuse a request without time left."""
         allowed_s = request.route_timeout_s
         if request.allowed_s is not None:
             allowed_s = min(allowed_s, request.allowed_s)
@@ -102,7 +103,7 @@
 def _intersect_regions(
     first: frozenset[str] | None, second: frozenset[str] | None
 ) -> frozenset[str] | None:
-    """Return the regions that both allow; None allows all."""
+    """Return the regions that both sets allow; None allows all."""
     if first is None or second is None:
         return second if first is None else first
     return first & second
--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/limits.py
@@ -1,4 +1,4 @@
-"""Decision: until when an attempt may be handed to its target, and may wait there."""
+"""Checks of an attempt before it is sent and while it waits for its answer."""
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.fleet import FleetView
@@ -12,11 +12,11 @@
 __all__ = ["AttemptLimits"]
 
 LINK_DELAY_MAX_S = 0.4
-"""Most that the way to a target is taken to last."""
+"""Upper bound of the assumed delay to a target."""
 
 
 class AttemptLimits:
-    """Looks again at what a target was chosen by, where the attempt takes effect."""
+    """Repeats the checks by which a target was chosen, with current information."""
 
     def __init__(
         self,
@@ -33,18 +33,18 @@
     def check_hand_over(
         self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
-        """Return why a request must not be written now; None and note it if it may.
+        """Return why a request must not be sent now, or None and record the hand-over.
 
-        Looks at what waits are `check_interval_s` apart (see `check_waiting`).
+        `check_interval_s` is the time between two calls of `check_waiting`.
         """
         known = self._view.target(target_id)
         closed = (
             ineligibility_reason(known.record, self._view, self._loads)
             if known
-            else "it is gone"
+            else "it is no longer known"
         )
         if closed:
-            return _refuse(target_id, f"while connecting was found: {closed}")
+            return _refuse(target_id, f"unavailable after connecting: {closed}")
         attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None:
             return None
@@ -61,10 +61,10 @@
     def check_waiting(
         self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
-        """Return why a request that has not begun must be withdrawn now, if it must.
+        """Return why a request that has not begun must be withdrawn, or None.
 
         The next check is `check_interval_s` later.  The withdrawal is assumed to reach
-        the target after as long as connecting took.
+        the target within the time of a round trip, which is that of connecting.
         """
         attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None or attempt.handed_over_s is None:
@@ -85,7 +85,7 @@
     def _may_begin(
         self, attempt: OwnAttempt, version: int, now_s: float, check_interval_s: float
     ) -> bool:
-        """Tell whether an attempt begins in time, and before it would be withdrawn."""
+        """Return whether an attempt would begin in time and not be withdrawn before."""
         begins_at_s = now_s + attempt.expected_wait_s
         withdrawn_at_s = begins_at_s + check_interval_s + _link_delay_s(attempt, now_s)
         begins_before_withdrawal = withdrawn_at_s < self._versions.service_deadline_s(
@@ -96,7 +96,7 @@
         )
 
     def _version_of(self, target_id: str, attempt: OwnAttempt) -> int | None:
-        """Return the version of the attempt's model that its target has by now."""
+        """Return the version of the attempt's model that its target has now."""
         known = self._view.target(target_id)
         if known is None:
             return attempt.version
@@ -104,7 +104,7 @@
 
 
 def _link_delay_s(attempt: OwnAttempt, handed_over_s: float) -> float:
-    """Return how long the way to the target is taken to last."""
+    """Return the assumed delay to the target, derived from the connection time."""
     return min(LINK_DELAY_MAX_S, handed_over_s - attempt.started_s)
 
 
--- a/reedspar/direct/load_listener.py
+++ b/reedspar/direct/load_listener.py
@@ -1,4 +1,4 @@
-"""Loads of targets as the agents beside them tell them."""
+"""Listener for the target loads that agents report."""
 
 from reedspar.fleet import FleetView, TargetLoadNews
 from reedspar.links import Network
@@ -11,7 +11,7 @@
 
 
 class LoadListener:
-    """Hands agents' news to the choice of targets."""
+    """Passes the loads that agents report to the chooser."""
 
     def __init__(
         self, view: FleetView, chooser: DirectChooser, network: Network
@@ -33,5 +33,5 @@
 def create_load_listener(
     view: FleetView, chooser: DirectChooser, network: Network
 ) -> LoadListener:
-    """Make a listener and subscribe it to the agents' news."""
+    """Create a listener that is subscribed to the agents' reports."""
     return LoadListener(view, chooser, network)
--- a/reedspar/direct/loads.py
+++ b/reedspar/direct/loads.py
@@ -1,4 +1,4 @@
-"""What this entry knows of each target's load: its own sends, and late reports."""
+"""Load of each target, from this entry's own attempts and the target's reports."""
 
 import math
 from collections.abc import Iterable
@@ -16,27 +16,29 @@
 ]
 
 REPORT_DECAY_S = 1.5
-"""How fast a report loses its weight, in seconds.
+"""Time constant of the exponential decay of a report's weight.
 
-A usual answer takes about as long, so what a report counted has mostly ended."""
+It is about the duration of a typical answer, after which most of the requests that a
+report counted have ended."""
 BACKOFF_MIN_S = 0.15
 BACKOFF_MAX_S = 2.0
-"""How long a target is left alone that could not be reached; doubles each time."""
+"""Bounds of the exponential backoff from an unreachable target."""
 FULL_BACKOFF_S = 0.1
-"""How long a target is left alone that said it is full: about ten steps of a batch,
-in which a place falls free."""
+"""Backoff from a target that reported that it is full: about ten steps of a batch, in
+which a slot becomes free."""
 
 NO_REPORT_WEIGHT = 0.1
-"""Weight, in fresh reports, of knowing nothing: without any report targets are idle."""
+"""Weight of the assumption that targets are idle, in units of a fresh report."""
 
 NOT_TAKING_TTL_S = 1.0
-"""How long an agent's word counts that its target takes nothing; agents repeat it four
-times a second, and one that has died must not close its target for good."""
+"""Time for which an agent's report that its target takes no requests is valid.
+
+Agents repeat it four times a second; the report of an agent that died must expire."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A target's own word of its load."""
+    """Load that a target, or the agent beside it, reports."""
 
     running: int
     waiting: int
@@ -44,7 +46,7 @@
     is_taking: bool = True
     """False while the target takes no new requests."""
     pace: float = 1.0
-    """How many times as long as usual the target takes."""
+    """Ratio of the target's current processing time to its usual one."""
 
 
 @dataclass(slots=True)
@@ -54,20 +56,20 @@
     prompt_tokens: int
     started_s: float
     raw_estimate_s: float = 0.0
-    """When its first event was expected, by the estimate before calibration."""
+    """Estimated time to the first event, before calibration."""
     has_begun: bool = False
     model: str = ""
     version: int | None = None
-    """The version of the model's weights that the target had when it was chosen."""
+    """Version of the model's weights at the target when it was chosen."""
     expected_wait_s: float = 0.0
-    """When its first event was expected, calibrated and with the distance."""
+    """Expected time to the first event, calibrated and with the region penalty."""
     handed_over_s: float | None = None
-    """When its request was written, once there was a connection."""
+    """Time when the request was sent, None before."""
 
 
 @dataclass(slots=True)
 class TargetLoad:
-    """One target's load as this entry sees it."""
+    """Load of one target as this entry knows it."""
 
     own: dict[str, OwnAttempt] = field(default_factory=dict)
     report: LoadReport | None = None
@@ -77,40 +79,40 @@
     failures: int = 0
     cold_bucket: TokenBucket | None = None
     replaced_boot: str = ""
-    """The start of the target after which another one was found at its address."""
+    """Boot id of the target that another one has replaced at its address."""
     not_taking_until_s: float = float("-inf")
-    """Until when the target takes nothing, by its agent's last word."""
+    """End of the period in which the target takes no requests, as last reported."""
 
     def own_waiting_tokens(self) -> int:
-        """Return the prompt tokens of own attempts that have not begun to answer."""
+        """Return the prompt tokens of own attempts whose answers have not begun."""
         return sum(a.prompt_tokens for a in self.own.values() if not a.has_begun)
 
     def own_waiting(self) -> int:
-        """Return how many own attempts have not begun to answer."""
+        """Return the number of own attempts whose answers have not begun."""
         return sum(not attempt.has_begun for attempt in self.own.values())
 
     def others_in_flight(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
-        """Return how many requests of others the target is thought to have.
+        """Return the estimated number of requests from other entries at the target.
 
-        What its report said fades to what is usual in its pool.
+        As the report gets older, the estimate moves to the average of the pool.
         """
         report_weight = self.report_weight(now_s)
         average_part = (1 - report_weight) * usual.others if usual is not None else 0.0
         return report_weight * self.others_at_report + average_part
 
     def others_waiting(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
-        """Return how many requests of others wait at the target."""
+        """Return the estimated number of waiting requests from other entries."""
         report_weight = self.report_weight(now_s)
         average_part = (1 - report_weight) * usual.waiting if usual is not None else 0.0
         return report_weight * self.waiting_at_report + average_part
 
     def count(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
-        """Return how many requests the target is thought to have."""
+        """Return the estimated number of all requests at the target."""
         return len(self.own) + self.others_in_flight(now_s, usual)
 
     @property
     def others_at_report(self) -> int:
-        """Return how many requests of others the last report counted."""
+        """Return the number of requests from other entries in the last report."""
         if self.report is None:
             return 0
         total = self.report.running + self.report.waiting
@@ -118,13 +120,13 @@
 
     @property
     def waiting_at_report(self) -> int:
-        """Return how many requests of others waited at the last report."""
+        """Return the number of others' waiting requests in the last report."""
         if self.report is None:
             return 0
         return min(self.report.waiting, self.others_at_report)
 
     def note_report(self, report: LoadReport, now_s: float) -> None:
-        """Take in a report of now."""
+        """Record a report that has just arrived."""
         self.report = report
         self.reported_s = now_s
         self.own_at_report = len(self.own)
@@ -133,17 +135,17 @@
         )
 
     def note_unreachable(self, now_s: float) -> None:
-        """Leave the target alone for a while, longer each time."""
+        """Back off from the target, longer after each consecutive failure."""
         backoff_s = min(BACKOFF_MAX_S, BACKOFF_MIN_S * 2**self.failures)
         self.failures = min(self.failures + 1, 8)
         self.backoff_until_s = now_s + backoff_s
 
     def note_full(self, now_s: float) -> None:
-        """Leave the target alone until a place may be free."""
+        """Back off from the target until a slot may be free."""
         self.backoff_until_s = max(self.backoff_until_s, now_s + FULL_BACKOFF_S)
 
     def note_success(self) -> None:
-        """Forget earlier failures: the target answers."""
+        """Reset the failure count, as the target answers."""
         self.failures = 0
 
     def report_weight(self, now_s: float) -> float:
@@ -155,11 +157,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UsualLoad:
-    """What the targets of a pool have of others' requests, on average.
+    """Average number of requests from other entries at the targets of a pool.
 
-    An entry among many hears of one target every few seconds, and of some target all
-    the time.  Taken for idle as soon as its own report is old, each target would be
-    filled by all entries at once.
+    One of many entries gets a report of a given target only every few seconds, but a
+    report of some target all the time.  If a target counted as idle once its report is
+    old, all entries would fill it at once.
     """
 
     others: float = 0.0
@@ -167,7 +169,7 @@
 
 
 def average_load(loads: Iterable[TargetLoad], now_s: float) -> UsualLoad:
-    """Return the average of the reports, each by its weight."""
+    """Return the weighted average of the reports."""
     others = waiting = 0.0
     weight = NO_REPORT_WEIGHT
     for load in loads:
@@ -179,26 +181,26 @@
 
 
 class TargetLoads:
-    """The loads by target."""
+    """Loads of all targets."""
 
     def __init__(self) -> None:
         self._loads: dict[str, TargetLoad] = {}
 
     def for_target(self, target_id: str) -> TargetLoad:
-        """Return the load of a target."""
+        """Return the load of a target, a new one if it is unknown."""
         load = self._loads.get(target_id)
         if load is None:
             load = self._loads[target_id] = TargetLoad()
         return load
 
     def forget(self, target_id: str) -> None:
-        """Drop a target that is gone and has no attempt left."""
+        """Remove a target that no longer exists, unless it has open attempts."""
         load = self._loads.get(target_id)
         if load is not None and not load.own:
             del self._loads[target_id]
 
     def forget_restarted(self, target_id: str) -> None:
-        """Drop what was reported before a restart."""
+        """Discard the report and the backoff from before a target's restart."""
         load = self._loads.get(target_id)
         if load is not None:
             load.report = None
--- a/reedspar/direct/refusals.py
+++ b/reedspar/direct/refusals.py
@@ -1,4 +1,4 @@
-"""What a caller is told whose request goes to no target, and when it may return."""
+"""Refusals of requests for which no target was chosen, with their retry delays."""
 
 import random
 from collections.abc import Collection
@@ -11,27 +11,26 @@
 __all__ = ["RETRY_AFTER_S", "Refusals"]
 
 RETRY_AFTER_S = 1.0
-"""When a caller may come back whose request can't begin in time any more.
+"""Retry delay of a request that can no longer begin in time.
 
-It is late in any case then, and callers come back just once: what counts is that the
-next try is served.  Targets switch weights in 1.5 s, and a full one has worked off
-its queue in one."""
+The request is late in any case and callers retry only once, so the retry should
+succeed.  Targets switch weights in 1.5 s, and a full one works off its queue in 1 s."""
 NO_TARGET_RETRY_FRACTION = 0.27
-"""Part of the caller's time left after which it may come back if no target can serve.
+"""Retry delay, as a fraction of the caller's time left, if no target can serve.
 
-Such a gap takes seconds: the targets have to get weights, or to start.  Callers come
-back once, and wait a third of their time at most."""
+This takes seconds to change, as targets have to load weights or to start.  Callers
+retry once and wait at most a third of their time."""
 NO_TARGET_RETRY_JITTER = 0.2
-"""Part by which that is drawn out, so that it stays below a third."""
+"""Maximum fraction by which that delay is extended; it stays below a third."""
 SHORT_EXCESS_MAX_S = 0.15
-"""An excess over the aimed time that is over soon enough for the same caller."""
+"""Excess over the latency goal below which it is used as the retry delay."""
 RETRY_JITTER = 0.5
-"""Part by which the time to come back is drawn out, so that callers refused in the
-same moment don't return in the same moment."""
+"""Maximum fraction by which a retry delay is extended, so that callers refused at the
+same time don't retry at the same time."""
 
 
 class Refusals:
-    """Words refusals, and draws the times to come back."""
+    """Creates refusals with randomized retry delays."""
 
     def __init__(
         self, view: FleetView, timers: TimerService, rng: random.Random
@@ -43,7 +42,7 @@
     def refuse_without_target(
         self, request: Request, tried: Collection[str]
     ) -> Failure:
-        """Refuse a request that no known target can run."""
+        """Return the refusal of a request that no known target can run."""
         known = sum(1 for _ in self._view.targets(request.pool))
         detail = f"none of {known} known targets of {request.pool} may be given work"
         if tried:
@@ -59,13 +58,13 @@
         )
 
     def refuse_late(self, detail: str, excess_s: float) -> Failure:
-        """Refuse a request whose first answer would come too late by `excess_s`."""
+        """Return a refusal because the first event would be `excess_s` late."""
         return self.refuse(
             detail, excess_s if excess_s < SHORT_EXCESS_MAX_S else RETRY_AFTER_S
         )
 
     def refuse(self, detail: str, after_s: float) -> Failure:
-        """Refuse a request that may come back after about `after_s` seconds."""
+        """Return a refusal with a retry delay of at least `after_s`."""
         jittered_s = after_s * (1 + RETRY_JITTER * self._rng.random())
         return Failure(
             Reason.OVERLOADED, Step.ROUTE, detail=detail, retry_after_s=jittered_s
--- a/reedspar/direct/replaced.py
+++ b/reedspar/direct/replaced.py
@@ -1,4 +1,4 @@
-"""Log lines and counts of requests that began on weights a newer version replaced."""
+"""Log lines and counts of requests that began on replaced weights."""
 
 import logging
 
@@ -11,7 +11,7 @@
 __all__ = ["ReplacedWeightsLog"]
 
 LOGGED_BEFORE_BOUND_S = 1.0
-"""Time before the bound from which such a request gets a line."""
+"""Time before the bound from which such a request is logged."""
 LOG_LINES_PER_S = 5.0
 LOG_LINES_BURST = 20.0
 
@@ -19,7 +19,7 @@
 
 
 class ReplacedWeightsLog:
-    """Tells requests that began close to the bound, and how their time passed."""
+    """Logs requests that began near or after the bound, with their timing."""
 
     def __init__(self, versions: VersionRule, timers: TimerService) -> None:
         self._versions = versions
@@ -28,11 +28,11 @@
         self._counts = dict.fromkeys(("in_time", "near", "past"), 0)
 
     def read_counts(self) -> list[tuple[float, dict[str, str]]]:
-        """Return how many requests began on replaced weights, by when."""
+        """Return the counts of requests that began on replaced weights, with labels."""
         return [(count, {"when": when}) for when, count in self._counts.items()]
 
     def note_begun(self, request_id: str, target_id: str, attempt: OwnAttempt) -> None:
-        """Count an answer that begins now, and log it if the bound is close."""
+        """Count an answer that begins now, and log it if it is near the bound."""
         if attempt.version is None:
             return
         replaced_at_s = self._versions.replaced_at_s(attempt.model, attempt.version)
--- a/reedspar/direct/request_log.py
+++ b/reedspar/direct/request_log.py
@@ -1,4 +1,4 @@
-"""One log line for each request that ended badly, and a sample of the others."""
+"""Log lines of failed requests, a sample of the answered ones, and summaries."""
 
 import logging
 from collections import Counter
@@ -14,12 +14,12 @@
 __all__ = ["RequestLog"]
 
 SAMPLE_EVERY = 50
-"""Of answered requests, one in so many gets a line of its own: 0.5 a second at the
-25 requests a second of the busiest entry."""
+"""One in this many answered requests is logged: 0.5 lines a second at the 25 requests a
+second of the busiest entry."""
 LOG_LINES_PER_S = 20.0
 LOG_LINES_BURST = 100.0
-"""Bound on lines of requests that ended badly, about 10 KB a second; the rest is
-counted in the next summary."""
+"""Limit of log lines of failed requests, about 10 KB a second; the others are counted
+in the next summary."""
 SUMMARY_INTERVAL_S = 5.0
 ERROR_STATUS_MIN = 400
 
@@ -27,7 +27,7 @@
 
 
 class RequestLog:
-    """Logs and counts the endings of requests (the first filter)."""
+    """Filter that logs and counts how requests end; the first of the chain."""
 
     def __init__(self, view: FleetView, timers: TimerService, metrics: Metrics) -> None:
         self._view = view
@@ -42,7 +42,7 @@
         timers.call_every(SUMMARY_INTERVAL_S, self._log_summary)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Let the request proceed, and log how it ended."""
+        """Pass the request on and log how it ended."""
         self._in_flight += 1
         try:
             answer = await proceed(request)
@@ -92,7 +92,7 @@
         return True
 
     def _make_log_fields(self, request: Request) -> dict[str, object]:
-        """Return what decided the request: its own data, and the table's version."""
+        """Return the log fields of a request and the version of the route table."""
         table = self._view.routes
         now_s = self._timers.now_s()
         return {
@@ -110,7 +110,7 @@
         }
 
     def _log_summary(self) -> None:
-        """Tell how many requests ended how since the last summary."""
+        """Log the counts of endings since the last summary."""
         if not self._endings:
             return
         _logger.info(
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -1,4 +1,4 @@
-"""Composition of an entry whose requests go straight to targets."""
+"""Composition of an entry's request service, which sends directly to targets."""
 
 import random
 from collections.abc import Callable
@@ -36,16 +36,16 @@
 __all__ = ["DirectService", "create_direct_service"]
 
 RETRY_SLACK_FRACTION = 0.7
-"""Part of the slack for retries that the entries share out among themselves.
+"""Fraction of the retry slack that the known entries divide among themselves.
 
-The rest is for entries that don't know of each other yet."""
+The rest is a reserve for entries that don't know of each other yet."""
 ENTRIES_MIN = 3
-"""Entries reckoned with at least: one that has just started may know of no other."""
+"""Minimum number of entries assumed: one that just started may know no others."""
 
 
 @dataclass(frozen=True, slots=True)
 class DirectService:
-    """The parts that a daemon needs to reach."""
+    """The request service and the components that a daemon accesses."""
 
     application: RequestApplication
     client: DirectAttemptClient
@@ -56,18 +56,18 @@
     follower: "_FleetFollower"
 
     def note_store_listed(self) -> None:
-        """Note that the store has been listed, before this entry registers."""
+        """Record the initial listing of the store, before this entry registers."""
         self.versions.note_store_listed()
         self.follower.note_started()
 
     def apply_bounds(self, bounds: BoundSettings) -> None:
-        """Take bounds that have changed."""
+        """Apply changed bounds."""
         self.versions.set_bound(bounds.version_ms / 1000)
         self.follower.set_retry_limits(bounds.retry_share, bounds.retry_slack)
 
 
 class _FleetFollower:
-    """Tells the parts of the service what they need of the fleet's changes."""
+    """Updates the components of the service when the fleet changes."""
 
     def __init__(
         self,
@@ -93,13 +93,13 @@
         self._cold.note_started(self._timers.now_s())
 
     def set_retry_limits(self, share: float, slack: float) -> None:
-        """Take the retries that all entries may make together."""
+        """Set the limits of retries by all entries together."""
         self._retry_slack = slack
         self._budgets.set_share(share)
         self._update_entries()
 
     def apply_change(self, change: FleetChange) -> None:
-        """Take in a change."""
+        """Process a change of the fleet."""
         if isinstance(change, TargetChange):
             self._cold.set_target_count(self._view.target_count())
             self._update_target(change)
@@ -145,7 +145,7 @@
     rng: random.Random,
     first_filters: tuple[Filter, ...] = (),
 ) -> DirectService:
-    """Build the entry side on the daemon's view of the fleet."""
+    """Create the request service of an entry on the daemon's view of the fleet."""
     bounds = settings.bounds
     loads = TargetLoads()
     cold = ColdLimits(settings.name)
--- a/reedspar/direct/tests/cases.py
+++ b/reedspar/direct/tests/cases.py
@@ -1,4 +1,4 @@
-"""What the tests of direct requests share: callers, and an entry before targets."""
+"""Shared parts of the tests of direct requests: callers and an entry."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 class Call:
-    """One caller's request, and what it got."""
+    """One caller's request and the response to it, as an ASGI connection."""
 
     def __init__(self, path: str, method: str = "POST", **headers: str) -> None:
         self.messages: list[dict] = []
--- a/reedspar/direct/tests/fakes.py
+++ b/reedspar/direct/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Targets that answer as a test says, behind an entry that sends straight to them."""
+"""Fake targets with scripted answers, and an entry that sends directly to them."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -61,7 +61,7 @@
     layers=16,
     warm_s=0.3,
 )
-"""An engine as today's deployments have it."""
+"""Parameters of an engine as in current deployments."""
 SETTINGS = SiteSettings.model_validate(
     {
         "name": "entry-1",
@@ -82,7 +82,7 @@
 
 
 def not_run(target_id: str) -> Failure:
-    """Return a target's word that it did not run a request."""
+    """Return the failure reported by a target that did not run a request."""
     return Failure(Reason.OVERLOADED, Step.TARGET_CALL, target_id, "full")
 
 
@@ -92,7 +92,7 @@
 
 
 class FakeResponse:
-    """An answer in pieces; a failure as the last piece breaks it off."""
+    """Answer in pieces; a failure as the last piece breaks it off."""
 
     def __init__(
         self,
@@ -121,14 +121,14 @@
 
 
 class FakeDialer:
-    """Hands requests to a script, and notes what became of them."""
+    """Dialer that lets a script answer and records the requests."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
         self.sent: list[tuple[str, TargetRequest]] = []
         self.closed: list[str] = []
         self.begun: list[tuple[str, float]] = []
-        """Targets that began to answer, and when by the event loop's time."""
+        """Targets that began to answer, with the event loop's time."""
         self.connect_s = 0.0
         self.script: Script = lambda target_id, request: FakeResponse([b"ok"])
 
@@ -162,7 +162,7 @@
 
 
 class HostBorder(PoolBorder):
-    """Callers that ask by host and path, and say what they want in headers."""
+    """Reads requests by host and path, with model and limits from headers."""
 
     def takes(self, scope: Scope) -> bool:
         return True
@@ -185,7 +185,7 @@
 
 
 def make_table(version: int = 1, **changes: Any) -> RouteTable:
-    """Return routes to quotes (streams), orders and their status."""
+    """Return a table with routes to streams, orders and their status."""
 
     def make_route(prefix: str, kind: RequestKind, pool: str, **more: Any) -> Route:
         values: dict[str, Any] = {
@@ -223,7 +223,7 @@
 
 
 def make_engine_target(target_id: str, **changes: Any) -> TargetRecord:
-    """Return the record of an engine that holds the model's first version."""
+    """Return the record of an engine with the model's first version."""
     values: dict[str, Any] = {
         "id": target_id,
         "pool": "quotes",
@@ -239,7 +239,7 @@
 def make_direct_service(
     timers: TimerService, tasks: Any, targets: list[TargetRecord]
 ) -> tuple[DirectService, FakeDialer, FleetView]:
-    """Return an entry that knows the targets, with its dialer and its view."""
+    """Return an entry's service that knows the targets, with its dialer and view."""
     view = FleetView(timers)
     view.apply(RoutesChange(make_table()))
     for record in targets:
@@ -262,7 +262,7 @@
 
 
 class LoopClock(Clock):
-    """The event loop's own clock."""
+    """Clock of the event loop."""
 
     def now_s(self) -> float:
         return anyio.current_time()
--- a/reedspar/direct/tests/test_choice.py
+++ b/reedspar/direct/tests/test_choice.py
@@ -38,7 +38,8 @@
         return call
 
     def test_leaving_targets_and_zones_that_are_out_get_nothing(self) -> None:
-        # A target leaves and a zone is taken out; both must get no new work.
+        # Guards against sending new work to a target that is shutting down, or into a
+        # zone that operators took out.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -70,7 +71,7 @@
         self.run_with(script)
 
     def test_target_without_the_model_gets_no_request_for_it(self) -> None:
-        # A target that was added is empty until its weights have come.
+        # Guards against sending to a new target before it has loaded weights.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -82,9 +83,9 @@
         self.run_with(script)
 
     def test_target_that_another_one_has_replaced_gets_nothing_more(self) -> None:
-        # Power is lost and every target comes back under another id.  The store tells
-        # of the old ones for seconds.  Each request went to two of them, which sent
-        # it away, and its caller was refused.
+        # Guards against refusals after a power loss, when every target returns under
+        # another id while the store lists the old ones for seconds: each request was
+        # sent to two old targets, declined, and refused to its caller.
         def answer(target_id: str, request: TargetRequest) -> Any:
             if target_id == "q2":
                 return FakeResponse([b"ok"])
@@ -110,8 +111,8 @@
         self.run_with(script)
 
     def test_full_engines_are_not_sent_more(self) -> None:
-        # Every engine has long prompts before it.  The caller is refused at once,
-        # and told when the first event could come in time.
+        # Guards against queueing a request behind long prompts at full engines: the
+        # caller must be refused at once, with a retry delay.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -126,8 +127,8 @@
         self.run_with(script)
 
     def test_caller_comes_back_late_when_no_target_can_serve(self) -> None:
-        # No target has the weights that may be used.  Callers that were told a second
-        # came back into the same gap, were refused again, and gave up.
+        # Guards against a short retry delay while no target has usable weights: callers
+        # that retried after one second were refused again and gave up.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -147,8 +148,8 @@
         self.run_with(script)
 
     def test_long_prompt_is_not_refused_at_an_idle_engine(self) -> None:
-        # A prompt is so long that its first event can't come within the aimed time.
-        # Refused for that it would never be served.
+        # Guards against refusing a prompt so long that even an idle engine exceeds the
+        # latency goal: it would never be served.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -170,7 +171,7 @@
         self.run_with(script)
 
     def test_cold_target_gets_its_part_alone(self) -> None:
-        # A target has just started and falls over under full load.
+        # Guards against crashing a target that has just started by full load.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_crashes.py
+++ b/reedspar/direct/tests/test_crashes.py
@@ -24,8 +24,8 @@
 
 class CrashTest(DirectTestCase):
     def test_request_that_crashes_its_targets_is_refused(self) -> None:
-        # A caller sends a request that crashes each target that runs it, and sends
-        # it again.  Without an end all targets would go down in turn.
+        # Guards against a request that crashes each target that runs it and that its
+        # caller repeats: without quarantine all targets would crash in turn.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions behind the choice of a target, under virtual time."""
+"""Tests of the rules behind the choice of a target, under virtual time."""
 
 import unittest
 
@@ -54,8 +54,8 @@
         self.assertEqual(load.own_waiting_tokens(), 1200)
 
     def test_report_loses_its_weight(self) -> None:
-        # Reports come with answers alone.  A target that looked full once would
-        # get nothing, and so never tell that it is idle.
+        # Guards against never using a target again that was once reported as full:
+        # reports arrive only with answers.
         load = TargetLoad()
         load.note_report(LoadReport(16, 10, 16), 0.0)
         self.assertLess(load.count(5.0), 1.0)
@@ -72,8 +72,8 @@
 
 class ColdTest(unittest.TestCase):
     def test_all_entries_together_keep_to_the_rate(self) -> None:
-        # Nine entries each send what they may to one cold target, as fast as they
-        # can.  It bears 36 a second; above 59 it falls over.
+        # Guards against exceeding the rate of a cold target when all entries send to it
+        # as fast as they may.  Its limit is 36 requests a second; above 59 it crashes.
         for entries in (3, 9, 46):
             with self.subTest(entries=entries):
                 names = [f"entry-{i}" for i in range(entries)]
@@ -124,7 +124,7 @@
         self.assertTrue(self.rule.may_serve("m", 2))
 
     def test_peers_word_ends_the_older_versions_time_earlier(self) -> None:
-        # The news came 2 s late here; the bound counts from the naming.
+        # The version became known here 2 s late; the bound counts from its naming.
         self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
@@ -144,8 +144,8 @@
         self.assertFalse(self.rule.may_serve("m", 1))
 
     def test_each_version_is_bound_by_the_one_after_it(self) -> None:
-        # A third version is named while the second travels.  The first must go
-        # by the second's bound, the second serves on until the third's.
+        # Guards against a third version that moves the first version's deadline: the
+        # first must not be used after the second's bound, the second until the third's.
         self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
@@ -156,8 +156,8 @@
         self.assertTrue(self.rule.may_serve("m", 2))
 
     def test_version_named_before_the_start_is_taken_for_an_old_one(self) -> None:
-        # An entry restarts and cannot know when a version was named.  Taken for new,
-        # an older one began requests 20 s after it had to be replaced.
+        # Guards against a restarted entry taking a listed version for a new one: it
+        # began requests on the older version 20 s after its deadline.
         self.name(2)
         self.rule.note_store_listed()
         self.clock.advance(1.1)
@@ -182,8 +182,8 @@
         self.assertEqual(self.names("a", "ra"), ["a1", "a2"])
 
     def test_caller_is_never_left_with_one_address(self) -> None:
-        # A zone has one entry left.  When that fails its callers, they need
-        # another address at once.
+        # Guards against returning only the last entry of a zone: when it fails, callers
+        # need another address at once.
         self.assertEqual(self.names("b", "rb"), ["a1", "a2", "b1"])
 
     def test_requests_stay_in_their_homes(self) -> None:
--- a/reedspar/direct/tests/test_endings.py
+++ b/reedspar/direct/tests/test_endings.py
@@ -59,7 +59,7 @@
         self.run_with(script)
 
     def test_order_goes_on_only_after_word_that_it_did_not_run(self) -> None:
-        # A target is full and says so; another one takes the order.
+        # A full target declines the order, so another one may run it.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -75,8 +75,8 @@
         self.run_with(script)
 
     def test_order_whose_target_breaks_is_not_sent_again(self) -> None:
-        # The target dies with the order.  Nobody knows whether the deposit was
-        # booked, and the shop is told just that.
+        # Guards against running an order twice after its target crashed: whether it
+        # took effect is unknown, and the caller must be told so.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -121,7 +121,7 @@
         self.run_with(script)
 
     def test_answer_that_breaks_off_is_never_passed_on_as_whole(self) -> None:
-        # A target's answer is cut.  An order's caller must not take half for whole.
+        # Guards against passing on the first part of a truncated answer as complete.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -136,7 +136,7 @@
         self.run_with(script)
 
     def test_route_timeout_ends_a_request_at_once(self) -> None:
-        # A target hangs.  The caller is told at the route's timeout, not later.
+        # Guards against answering later than the timeout when a target hangs.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -151,8 +151,8 @@
         self.run_with(script)
 
     def test_request_at_a_silent_target_is_made_elsewhere(self) -> None:
-        # A connection goes silent for good, without a reset.  Waiting for it, the
-        # caller would give up though another target is free.
+        # Guards against waiting for a stalled connection that is never reset: the
+        # caller would give up although another target is free.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -166,7 +166,7 @@
         self.run_with(script)
 
     def test_caller_that_leaves_frees_its_target(self) -> None:
-        # A shop hangs up.  A target that works on for nobody is lost to others.
+        # Guards against a target that keeps working for a caller that disconnected.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_hand_over.py
+++ b/reedspar/direct/tests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Tests of news that come while an attempt connects, over ASGI and in virtual time."""
+"""Tests of fleet changes while an attempt connects, over ASGI in virtual time."""
 
 import unittest
 
@@ -20,12 +20,12 @@
 
 
 class HandOverTest(unittest.TestCase):
-    """News come while a request is on its way to `first`."""
+    """Applies fleet changes while an attempt connects to target `first`."""
 
     def send(
         self, path: str, *news: FleetChange, is_left: bool = False
     ) -> tuple[Call, FakeDialer]:
-        """Return a call during whose connection the news came, or its caller left."""
+        """Return a call; while it connects, changes arrive or its caller leaves."""
         return run_virtual(self._send, path, news, is_left)
 
     async def _send(
@@ -59,24 +59,25 @@
             self.assertEqual([name for name, _ in dialer.sent], ["second"])
 
     def test_target_that_announces_its_leaving_meanwhile_gets_nothing(self) -> None:
-        # A target says that it leaves while a connection to it is being made.  The
-        # request was written all the same, up to 0.4 s nearer to the target's end.
+        # Guards against sending a request to a target that announced its shutdown while
+        # the connection was being made, which takes up to 0.4 s.
         leaving = make_order_target("first", state=TargetState.LEAVING)
         self.check_moved(TargetChange("first", leaving))
 
     def test_target_whose_entry_is_removed_meanwhile_gets_nothing(self) -> None:
-        # A target is removed without a word while a connection to it is being made.
+        # Guards against sending to a target that was removed, without announcing it,
+        # while the connection was being made.
         self.check_moved(TargetChange("first", None))
 
     def test_zone_that_is_taken_out_meanwhile_gets_nothing(self) -> None:
-        # Operators empty a zone.  Nothing may be sent there from now on.
+        # Guards against sending to a zone that operators took out meanwhile.
         self.check_moved(ZoneChange("a", True))
 
     def test_caller_that_leaves_while_connecting_sends_nothing_to_a_target(
         self,
     ) -> None:
-        # A shop hangs up before its connection to a target stands.  Written then, the
-        # request would have a target work for nobody.
+        # Guards against sending a request whose caller disconnected before the target
+        # was connected: the target would work for nobody.
         _, dialer = self.send("/q/1")
         self.assertEqual(len(dialer.sent), 1)
         call, dialer = self.send("/q/1", is_left=True)
@@ -84,7 +85,8 @@
         self.assertEqual(call.messages, [])
 
     def test_order_that_was_not_written_is_told_as_not_run(self) -> None:
-        # The only target leaves.  The order reached nobody and may be placed again.
+        # The only target was removed before the order was sent, so the caller may
+        # safely send it again.
         call, dialer = self.send("/o/1", TargetChange("first", None))
         self.assertEqual(call.outcome, "not-run")
         self.assertEqual(dialer.sent, [])
--- a/reedspar/direct/tests/test_identify.py
+++ b/reedspar/direct/tests/test_identify.py
@@ -42,8 +42,8 @@
         self.assertIs(failure.reason, Reason.NOT_FOUND)
 
     def test_unknown_route_is_refused_for_now_while_the_store_is_slow(self) -> None:
-        # Operators add a route while the store answers late.  An entry that has
-        # not heard of it yet told callers for good that there is no such route.
+        # Guards against a permanent refusal of a new route that a slow store has not
+        # delivered to this entry yet.
         self.is_store_slow = True
         failure = self.ask("nobody.example").failure
         assert failure is not None
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -1,8 +1,8 @@
-"""Tests of the choice of targets under load: many entries that decide by themselves.
+"""Tests of the choice of targets under load by many independent entries.
 
-The loads are those of heavy days: what ten engines bear, what they just bear, a quarter
-more than five engines bear while others still get their weights, and a large site.  The
-bounds lie between what the present figures reach and what the ones before reached.
+The loads are those of busy days: within the capacity of ten engines, at it, a quarter
+above the capacity of five engines while others still load weights, and a large site.
+The asserted bounds lie between the results of the current rules and of earlier ones.
 """
 
 import unittest
@@ -24,23 +24,24 @@
         self.assertGreater(outcomes.worth, 0.95)
 
     def test_load_above_capacity_is_refused_and_not_late(self) -> None:
-        # Five engines have weights when ten are needed.  Each entry filled them up to
-        # the last moment by what it knew, and one answer in eight came late.
+        # Guards against late answers when five engines have weights but ten are needed.
+        # Entries that filled the engines up to the latency goal by their own knowledge
+        # made one answer in eight late.
         outcomes = self.play("a quarter over, five engines")
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.7)
 
     def test_many_entries_refuse_though_each_sees_little(self) -> None:
-        # Forty-six entries each send an engine a fortieth of what it gets, and took
-        # it for idle.  Nobody was refused, and half of the answers came late.
+        # Guards against taking engines for idle: each of 46 entries sends an engine a
+        # fortieth of its load.  Without refusals half of the answers were late.
         outcomes = self.play("at the limit, 46 entries")
         self.assertLess(outcomes.late, 0.4)
         self.assertGreater(outcomes.worth, 0.64)
 
     def test_entries_that_hear_little_serve_what_the_engines_bear(self) -> None:
-        # Thirty-eight entries stand before twenty-nine engines.  Each hears of one
-        # engine every few seconds and took it for idle in between; four answers in ten
-        # began late though the engines bear the load.
+        # Guards against taking engines for idle between reports: with 38 entries and 29
+        # engines, an entry gets a report of one engine every few seconds.  Four answers
+        # in ten began late although the engines have the capacity.
         outcomes = self.play("heavy, 38 entries")
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.8)
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of requests that began on replaced weights."""
+"""Tests of the log and counts of requests that began on replaced weights."""
 
 import unittest
 
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_replaced_weights.py
@@ -1,4 +1,4 @@
-"""Tests of the end of an older version's time, over ASGI and in virtual time."""
+"""Tests of requests near an older version's deadline, over ASGI in virtual time."""
 
 import functools
 import unittest
@@ -27,7 +27,7 @@
 
 
 class ReplacedWeightsTest(unittest.TestCase):
-    """One target has the version before, and a busier one the version just named."""
+    """One idle target has the older version and a busy one the newer version."""
 
     targets = [
         make_engine_target("older"),
@@ -37,7 +37,7 @@
     view: FleetView
 
     def run_with(self, script: Script) -> None:
-        """Run `script` with the time at which the second version is named."""
+        """Run `script` with the time at which the newer version was named."""
 
         async def run() -> None:
             timers = TimerService(LoopClock())
@@ -57,7 +57,7 @@
     async def call_at(
         self, service: DirectService, at_s: float, path: str = "/q/1", **headers: str
     ) -> Call:
-        """Have a request come in at a time at which `newer` is busy."""
+        """Send a request at `at_s`, when `newer` is busy and `older` idle."""
         await anyio.sleep_until(at_s)
         service.chooser.note_report("older", IDLE)
         service.chooser.note_report("newer", BUSY)
@@ -68,8 +68,8 @@
     def test_request_whose_connection_takes_long_begins_on_the_newer_version(
         self,
     ) -> None:
-        # The target was chosen in time.  Then the connection took 0.39 s and the link
-        # 0.2 s, and the older version began the request past its bound.
+        # Guards against beginning a request on the older version after its bound: the
+        # target was chosen in time, but then connecting took 0.39 s and the link 0.2 s.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
@@ -84,8 +84,8 @@
         self.run_with(script)
 
     def test_request_that_was_not_written_was_not_run(self) -> None:
-        # No target has the newer version.  The caller is told that nothing ran, and
-        # the sound target, whose connection came too late, is not left alone for it.
+        # No target has the newer version.  The request must count as not run, and the
+        # target, which was only connected too late, must not be put into backoff.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
@@ -101,8 +101,8 @@
         self.run_with(script)
 
     def test_request_that_waits_at_the_bound_begins_on_the_newer_version(self) -> None:
-        # Handed over in time, a request waited in its target's queue for longer than
-        # expected, and the older version began it past its bound.
+        # Guards against beginning a request on the older version after its bound when
+        # it was sent in time but waited longer than expected in the target's queue.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
@@ -118,7 +118,8 @@
         self.run_with(script)
 
     def test_withdrawn_order_is_not_sent_again_nor_called_not_run(self) -> None:
-        # What may not be repeated waits at the bound.  It may just have begun.
+        # A non-idempotent request still waits at the bound.  It may have begun just
+        # before its withdrawal, so its outcome is unknown.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
@@ -132,7 +133,7 @@
         self.run_with(script)
 
     def test_withdrawal_is_earlier_where_connecting_took_long(self) -> None:
-        # A link that takes 0.3 s takes as long to tell the target of the withdrawal.
+        # A withdrawal takes as long to reach the target as connecting, here 0.3 s.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
@@ -145,8 +146,9 @@
         self.run_with(script)
 
     def test_request_that_begins_as_expected_is_not_withdrawn(self) -> None:
-        # Written in time for its version, what may not be repeated was withdrawn at the
-        # next look, before its answer was due: the caller was told that it failed.
+        # Guards against withdrawing a non-idempotent request, sent in time for its
+        # version, at the next check although its answer is not yet due: the caller
+        # would be told that it failed.
         for late_ms in range(0, 600, 20):
             self.run_with(functools.partial(self.check_not_withdrawn, late_ms / 1000))
 
@@ -175,8 +177,8 @@
         self.run_with(script)
 
     def test_stream_that_resumes_on_its_older_version_keeps_the_bound(self) -> None:
-        # A stream broke and waits at another target of its own version.  The caller
-        # sees that it was cut, since no version may begin it.
+        # A broken stream waits at another target of its version until the bound.  No
+        # version may resume it then, so the caller must see that it is incomplete.
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
--- a/reedspar/direct/tests/test_streams.py
+++ b/reedspar/direct/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of streams that go straight to targets, over ASGI."""
+"""Tests of streams sent directly to targets, over ASGI."""
 
 import unittest
 from typing import Any
@@ -25,8 +25,8 @@
 
 class StreamTest(DirectTestCase):
     def test_stream_goes_on_at_another_target(self) -> None:
-        # A target dies in the middle of an event.  The caller gets every event
-        # once, under the first target's headers.
+        # A target fails in the middle of an event.  The caller must get every event
+        # exactly once, with the first target's headers.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -53,8 +53,8 @@
         self.run_with(script)
 
     def test_stream_never_goes_on_with_other_weights(self) -> None:
-        # The only other target holds a newer version.  An answer joined from two
-        # versions would be from neither; the caller sees that it was cut.
+        # Guards against an answer combined from two versions: the only other target has
+        # a newer version, so the caller must see that the stream is incomplete.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -78,7 +78,7 @@
         self.run_with(script)
 
     def test_stream_whose_next_target_breaks_before_its_head_is_cut(self) -> None:
-        # The head of a refusal was sent in the middle of the stream.
+        # Guards against sending the head of a refusal in the middle of a stream.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -1,4 +1,4 @@
-"""Decision: which version of a model's weights may still begin a request."""
+"""Rule for which versions of a model's weights may still begin a request."""
 
 from reedspar.fleet import FleetView, NamedVersion
 from reedspar.timers import TimerService
@@ -6,22 +6,22 @@
 __all__ = ["VersionRule"]
 
 OLDER_VERSION_MARGIN_S = 0.4
-"""Before the bound, nothing more is sent to an older version.
+"""Time before the bound from which no request is sent to an older version.
 
-The news of a version takes up to a quarter of a second to come; of news that come
-later, peers tell by when they had them."""
+A new version becomes known here within 0.25 s.  If it takes longer, the peers report
+when they learned of it."""
 WAIT_FACTOR = 2.0
-"""How many times as long as expected a request may wait before it begins to run."""
+"""Assumed maximum ratio of a request's actual to its expected wait."""
 UNDATED_VERSION_GRACE_S = 1.0
-"""After a start, how long an older version is still used.
+"""Time for which an older version is still used after the start of this entry.
 
-When the version was named is not known then.  The platform counts nothing within
-three seconds after the start of a process, of which it takes up to one to start and
-to list the store; a request may wait half a second before it begins."""
+It is then unknown when the newer version was named.  The platform counts no violations
+within 3 s after a process starts, of which starting and listing the store take up to
+1 s; a request may wait 0.5 s before it begins."""
 
 
 class VersionRule:
-    """An older version serves until the newer one must be everywhere."""
+    """Allows an older version until the newer one must be in use everywhere."""
 
     def __init__(self, view: FleetView, timers: TimerService, bound_s: float) -> None:
         self._view = view
@@ -31,29 +31,29 @@
 
     @property
     def bound_s(self) -> float:
-        """Return the time after which a newer version must be everywhere."""
+        """Return the time in which a newer version must be in use everywhere."""
         return self._bound_s
 
     def set_bound(self, bound_s: float) -> None:
-        """Take the time after which a newer version must be everywhere."""
+        """Set the time in which a newer version must be in use everywhere."""
         self._bound_s = bound_s
 
     def note_store_listed(self) -> None:
-        """Note that versions named from now on are named now."""
+        """Record the initial listing; versions that arrive later are new."""
         self._listed_at_s = self._timers.now_s()
 
     def replaced_at_s(self, model: str, version: int) -> float | None:
-        """Return when the first version above `version` was named, if one was."""
+        """Return when the first version above `version` was named, None if none was."""
         newer = self._newer_versions(model, version)
         return min((item.named_s for item in newer), default=None)
 
     def may_serve(self, model: str, version: int, wait_s: float = 0.0) -> bool:
-        """Tell whether a request that will wait may begin on a version."""
+        """Return whether a request with an expected wait may begin on a version."""
         begins_at_s = self._timers.now_s() + WAIT_FACTOR * wait_s
         return begins_at_s < self.service_deadline_s(model, version)
 
     def service_deadline_s(self, model: str, version: int) -> float:
-        """Return until when requests may begin on a version."""
+        """Return the time until which requests may begin on a version."""
         newer = self._newer_versions(model, version)
         if not newer:
             return float("inf")
