--- a/reedspar/direct/tests/cases.py
+++ b/reedspar/direct/tests/cases.py
@@ -15,11 +15,18 @@
 )
 from reedspar.timers import create_timer_service
 
-__all__ = ["EVENTS", "PAUSE_S", "Call", "DirectTestCase", "event", "make_order_target"]
+__all__ = [
+    "EVENTS",
+    "STREAM_PAUSE_S",
+    "Call",
+    "DirectTestCase",
+    "event",
+    "make_order_target",
+]
 
 EVENTS = "text/event-stream"
-PAUSE_S = 0.02
-KEY = {"authorization": "Bearer key", "host": "shop.example"}
+STREAM_PAUSE_S = 0.02
+DEFAULT_HEADERS = {"authorization": "Bearer key", "host": "shop.example"}
 
 
 def make_order_target(target_id: str, **changes: Any) -> TargetRecord:
@@ -35,8 +42,11 @@
 
     def __init__(self, path: str, method: str = "POST", **headers: str) -> None:
         self.messages: list[dict] = []
-        self.gone = anyio.Event()
-        all_headers = {**KEY, **{k.replace("_", "-"): v for k, v in headers.items()}}
+        self.disconnected = anyio.Event()
+        all_headers = {
+            **DEFAULT_HEADERS,
+            **{k.replace("_", "-"): v for k, v in headers.items()},
+        }
         self.scope = {
             "type": "http",
             "http_version": "1.1",
@@ -52,7 +62,7 @@
         if not self._is_read:
             self._is_read = True
             return {"type": "http.request", "body": b"", "more_body": False}
-        await self.gone.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(self, message: Any) -> None:
--- a/reedspar/direct/tests/test_choice.py
+++ b/reedspar/direct/tests/test_choice.py
@@ -82,7 +82,7 @@
 
         self.run_with(script)
 
-    def test_target_that_another_one_has_replaced_gets_nothing_more(self) -> None:
+    def test_replaced_target_gets_no_more_requests(self) -> None:
         # Guards against refusals after a power loss, when every target returns under
         # another id while the store lists the old ones for seconds: each request was
         # sent to two old targets, declined, and refused to its caller.
@@ -126,7 +126,7 @@
 
         self.run_with(script)
 
-    def test_caller_comes_back_late_when_no_target_can_serve(self) -> None:
+    def test_retry_delay_is_long_when_no_target_can_serve(self) -> None:
         # Guards against a short retry delay while no target has usable weights: callers
         # that retried after one second were refused again and gave up.
         async def script(
@@ -170,7 +170,7 @@
 
         self.run_with(script)
 
-    def test_cold_target_gets_its_part_alone(self) -> None:
+    def test_cold_target_gets_only_its_share(self) -> None:
         # Guards against crashing a target that has just started by full load.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -17,24 +17,24 @@
 from reedspar.timers import TimerService, VirtualClock
 
 
-def expect_s(waiting: float, decoding: float, tokens: float, prompt: int) -> float:
+def estimate_s(waiting: float, decoding: float, tokens: float, prompt: int) -> float:
     return estimate_first_event_s(ENGINE, EngineLoad(tokens, decoding, waiting), prompt)
 
 
 class EstimateTest(unittest.TestCase):
-    def test_idle_engine_takes_the_time_of_the_prompt(self) -> None:
+    def test_idle_engine_takes_the_prefill_time(self) -> None:
         # 979 tokens at 20.7 a millisecond are 47 ms.
-        self.assertAlmostEqual(expect_s(0, 0, 0, 979), 0.067, delta=0.005)
+        self.assertAlmostEqual(estimate_s(0, 0, 0, 979), 0.067, delta=0.005)
 
-    def test_prompts_before_it_and_writers_delay_it(self) -> None:
-        idle_s = expect_s(0, 0, 0, 979)
-        behind_s = expect_s(3, 0, 2937, 979)
-        beside_s = expect_s(0, 8, 0, 979)
+    def test_queued_prompts_and_decoding_delay_the_first_event(self) -> None:
+        idle_s = estimate_s(0, 0, 0, 979)
+        behind_s = estimate_s(3, 0, 2937, 979)
+        beside_s = estimate_s(0, 8, 0, 979)
         self.assertGreater(behind_s, idle_s + 0.12)
         self.assertGreater(beside_s, idle_s + 0.04)
 
-    def test_full_batch_delays_it_by_a_place(self) -> None:
-        self.assertGreater(expect_s(0, 16, 0, 979), expect_s(0, 15, 0, 979) + 0.05)
+    def test_full_batch_adds_the_wait_for_a_slot(self) -> None:
+        self.assertGreater(estimate_s(0, 16, 0, 979), estimate_s(0, 15, 0, 979) + 0.05)
 
     def test_service_takes_longer_in_a_larger_batch(self) -> None:
         alone_s = estimate_service_s(ENGINE, 1)
@@ -53,14 +53,14 @@
         self.assertEqual(load.count(0.0), 9)
         self.assertEqual(load.own_waiting_tokens(), 1200)
 
-    def test_report_loses_its_weight(self) -> None:
+    def test_report_weight_decays(self) -> None:
         # Guards against never using a target again that was once reported as full:
         # reports arrive only with answers.
         load = TargetLoad()
         load.note_report(LoadReport(16, 10, 16), 0.0)
         self.assertLess(load.count(5.0), 1.0)
 
-    def test_unreachable_target_rests_longer_each_time(self) -> None:
+    def test_backoff_from_unreachable_target_grows(self) -> None:
         load = TargetLoad()
         load.note_unreachable(0.0)
         first_s = load.backoff_until_s
@@ -71,7 +71,7 @@
 
 
 class ColdTest(unittest.TestCase):
-    def test_all_entries_together_keep_to_the_rate(self) -> None:
+    def test_all_entries_together_keep_the_rate(self) -> None:
         # Guards against exceeding the rate of a cold target when all entries send to it
         # as fast as they may.  Its limit is 36 requests a second; above 59 it crashes.
         for entries in (3, 9, 46):
@@ -123,7 +123,7 @@
         self.assertFalse(self.rule.may_serve("m", 1))
         self.assertTrue(self.rule.may_serve("m", 2))
 
-    def test_peers_word_ends_the_older_versions_time_earlier(self) -> None:
+    def test_earlier_naming_time_from_peer_moves_the_deadline(self) -> None:
         # The version became known here 2 s late; the bound counts from its naming.
         self.rule.note_store_listed()
         self.clock.advance(1.0)
@@ -134,7 +134,7 @@
         self.clock.advance(0.2)
         self.assertFalse(self.rule.may_serve("m", 1))
 
-    def test_peers_word_does_not_lengthen_the_time_after_a_start(self) -> None:
+    def test_naming_time_from_peer_does_not_extend_the_grace_after_start(self) -> None:
         self.name(2)
         self.rule.note_store_listed()
         self.view.note_named("m", 2, self.clock.now_s() - 0.5, "entry-2")
@@ -143,7 +143,7 @@
         self.clock.advance(0.2)
         self.assertFalse(self.rule.may_serve("m", 1))
 
-    def test_each_version_is_bound_by_the_one_after_it(self) -> None:
+    def test_deadline_of_a_version_follows_from_the_next_one(self) -> None:
         # Guards against a third version that moves the first version's deadline: the
         # first must not be used after the second's bound, the second until the third's.
         self.rule.note_store_listed()
@@ -155,7 +155,7 @@
         self.assertFalse(self.rule.may_serve("m", 1))
         self.assertTrue(self.rule.may_serve("m", 2))
 
-    def test_version_named_before_the_start_is_taken_for_an_old_one(self) -> None:
+    def test_version_listed_at_start_is_not_taken_for_new(self) -> None:
         # Guards against a restarted entry taking a listed version for a new one: it
         # began requests on the older version 20 s after its deadline.
         self.name(2)
@@ -178,7 +178,7 @@
             e.name for e in choose_entries(self.entries, zone, region, allowed_regions)
         ]
 
-    def test_own_zone_while_it_has_two(self) -> None:
+    def test_own_zone_suffices_with_two_entries(self) -> None:
         self.assertEqual(self.names("a", "ra"), ["a1", "a2"])
 
     def test_caller_is_never_left_with_one_address(self) -> None:
@@ -186,11 +186,11 @@
         # need another address at once.
         self.assertEqual(self.names("b", "rb"), ["a1", "a2", "b1"])
 
-    def test_requests_stay_in_their_homes(self) -> None:
+    def test_entries_are_limited_to_allowed_regions(self) -> None:
         self.assertEqual(self.names("b", "rb", frozenset({"ra"})), ["a1", "a2", "b1"])
         self.assertEqual(self.names("c", "rc", frozenset({"rb"})), ["b1"])
 
-    def test_host_without_routes_has_no_homes(self) -> None:
+    def test_host_without_routes_allows_all_regions(self) -> None:
         self.assertIsNone(list_allowed_regions(RouteTable(1), "a.example"))
         self.assertIsNone(list_allowed_regions(None, "a.example"))
 
--- a/reedspar/direct/tests/test_endings.py
+++ b/reedspar/direct/tests/test_endings.py
@@ -25,7 +25,7 @@
 
 
 class EndingTest(DirectTestCase):
-    def test_whole_answer(self) -> None:
+    def test_complete_answer(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -58,7 +58,7 @@
 
         self.run_with(script)
 
-    def test_order_goes_on_only_after_word_that_it_did_not_run(self) -> None:
+    def test_order_is_sent_elsewhere_only_after_a_target_declined_it(self) -> None:
         # A full target declines the order, so another one may run it.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
@@ -88,7 +88,7 @@
 
         self.run_with(script)
 
-    def test_order_that_no_target_took_was_not_run(self) -> None:
+    def test_order_without_a_reachable_target_was_not_run(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -99,7 +99,7 @@
 
         self.run_with(script)
 
-    def test_status_request_is_made_again_elsewhere(self) -> None:
+    def test_status_request_is_retried_at_another_target(self) -> None:
         for failure in (broken, unreachable, not_run):
             with self.subTest(failure=failure.__name__):
                 self._check_second_try(failure)
@@ -120,7 +120,7 @@
 
         self.run_with(script)
 
-    def test_answer_that_breaks_off_is_never_passed_on_as_whole(self) -> None:
+    def test_truncated_answer_is_never_passed_on_as_complete(self) -> None:
         # Guards against passing on the first part of a truncated answer as complete.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
@@ -150,7 +150,7 @@
 
         self.run_with(script)
 
-    def test_request_at_a_silent_target_is_made_elsewhere(self) -> None:
+    def test_request_at_a_silent_target_is_retried_elsewhere(self) -> None:
         # Guards against waiting for a stalled connection that is never reset: the
         # caller would give up although another target is free.
         async def script(
@@ -165,14 +165,14 @@
 
         self.run_with(script)
 
-    def test_caller_that_leaves_frees_its_target(self) -> None:
+    def test_disconnected_caller_frees_its_target(self) -> None:
         # Guards against a target that keeps working for a caller that disconnected.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
             dialer.script = lambda target_id, request: 9.0
             call = Call("/q/1", x_model="m")
-            call.gone.set()
+            call.disconnected.set()
             await service.application(call.scope, call.receive, call.send)
             await anyio.sleep(0.05)
             self.assertEqual(len(dialer.closed), 1)
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -9,7 +9,7 @@
 
 from bench.many_deciders import LOADS, Outcomes, play
 
-SECONDS = 12.0
+SIMULATED_S = 12.0
 
 
 class ManyDecidersTest(unittest.TestCase):
@@ -17,9 +17,9 @@
         self.loads = {load.name: load for load in LOADS}
 
     def play(self, name: str) -> Outcomes:
-        return play(self.loads[name], SECONDS)
+        return play(self.loads[name], SIMULATED_S)
 
-    def test_load_that_engines_bear_is_served(self) -> None:
+    def test_load_within_capacity_is_served(self) -> None:
         outcomes = self.play("borne, nine entries")
         self.assertGreater(outcomes.worth, 0.95)
 
@@ -31,14 +31,14 @@
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.7)
 
-    def test_many_entries_refuse_though_each_sees_little(self) -> None:
+    def test_many_entries_refuse_excess_load(self) -> None:
         # Guards against taking engines for idle: each of 46 entries sends an engine a
         # fortieth of its load.  Without refusals half of the answers were late.
         outcomes = self.play("at the limit, 46 entries")
         self.assertLess(outcomes.late, 0.4)
         self.assertGreater(outcomes.worth, 0.64)
 
-    def test_entries_that_hear_little_serve_what_the_engines_bear(self) -> None:
+    def test_many_entries_serve_load_within_capacity(self) -> None:
         # Guards against taking engines for idle between reports: with 38 entries and 29
         # engines, an entry gets a report of one engine every few seconds.  Four answers
         # in ten began late although the engines have the capacity.
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced.py
@@ -28,7 +28,7 @@
     def counts(self) -> dict[str, float]:
         return {labels["when"]: count for count, labels in self.log.read_counts()}
 
-    def test_line_tells_where_the_time_went(self) -> None:
+    def test_log_line_shows_the_timing(self) -> None:
         self.clock.advance(BOUND_S + 0.1)
         with self.assertLogs(LOGGER, "INFO") as logs:
             self.note()
@@ -40,7 +40,7 @@
         self.assertEqual(record["expected_ms"], 200)
         self.assertEqual(self.counts(), {"in_time": 0, "near": 0, "past": 1})
 
-    def test_only_the_last_second_is_told(self) -> None:
+    def test_only_the_last_second_is_logged(self) -> None:
         with self.assertNoLogs(LOGGER, "INFO"):
             self.note()
             self.note(version=2)
@@ -50,7 +50,7 @@
             self.note()
         self.assertEqual(self.counts(), {"in_time": 1, "near": 1, "past": 0})
 
-    def test_lines_are_bounded_and_counts_are_not(self) -> None:
+    def test_log_lines_are_limited_and_counts_are_not(self) -> None:
         self.clock.advance(BOUND_S)
         with self.assertLogs(LOGGER, "INFO") as logs:
             for _ in range(100):
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_replaced_weights.py
@@ -20,7 +20,7 @@
 from reedspar.timers import TimerService
 
 BOUND_S = 10.0
-SOON_S = 0.05
+SHORT_DELAY_S = 0.05
 BUSY = LoadReport(6, 2, 16)
 IDLE = LoadReport(0, 0, 16)
 Script = Callable[[DirectService, FakeDialer, float], Awaitable[None]]
@@ -75,7 +75,7 @@
         ) -> None:
             dialer.connect_s = 0.39
             dialer.script = lambda target_id, request: (
-                0.2 if target_id == "older" else SOON_S
+                0.2 if target_id == "older" else SHORT_DELAY_S
             )
             call = await self.call_at(service, named_s + 9.42)
             self.assertEqual(call.status, 200)
@@ -83,7 +83,7 @@
 
         self.run_with(script)
 
-    def test_request_that_was_not_written_was_not_run(self) -> None:
+    def test_request_that_was_not_sent_was_not_run(self) -> None:
         # No target has the newer version.  The request must count as not run, and the
         # target, which was only connected too late, must not be put into backoff.
         async def script(
@@ -107,7 +107,7 @@
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
             dialer.script = lambda target_id, request: (
-                1.2 if target_id == "older" else SOON_S
+                1.2 if target_id == "older" else SHORT_DELAY_S
             )
             call = await self.call_at(service, named_s + 9.0)
             self.assertEqual(call.status, 200)
@@ -117,7 +117,7 @@
 
         self.run_with(script)
 
-    def test_withdrawn_order_is_not_sent_again_nor_called_not_run(self) -> None:
+    def test_withdrawn_order_is_not_sent_again_and_its_outcome_is_unknown(self) -> None:
         # A non-idempotent request still waits at the bound.  It may have begun just
         # before its withdrawal, so its outcome is unknown.
         async def script(
@@ -161,7 +161,7 @@
     ) -> None:
         self.view.apply(TargetChange("newer", None))
         dialer.connect_s = 0.2
-        dialer.script = lambda target_id, request: SOON_S
+        dialer.script = lambda target_id, request: SHORT_DELAY_S
         call = await self.call_at(service, named_s + 9.0 + late_s, "/once/1")
         self.assertIn(call.outcome, ("answered", "not-run"), late_s)
 
@@ -187,7 +187,7 @@
             def answer(target_id: str, request: object) -> object:
                 if len(dialer.sent) > 1:
                     return 1.2
-                pieces = [event(1), SOON_S, broken(target_id)]
+                pieces = [event(1), SHORT_DELAY_S, broken(target_id)]
                 return FakeResponse(pieces, content_type=EVENTS)
 
             dialer.script = answer
@@ -199,7 +199,7 @@
 
         self.run_with(script)
 
-    def test_attempt_at_a_target_that_has_switched_meanwhile_goes_on(self) -> None:
+    def test_attempt_at_a_target_that_switched_meanwhile_continues(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, named_s: float
         ) -> None:
--- a/reedspar/direct/tests/test_streams.py
+++ b/reedspar/direct/tests/test_streams.py
@@ -6,7 +6,7 @@
 from reedspar.direct import DirectService
 from reedspar.direct.tests.cases import (
     EVENTS,
-    PAUSE_S,
+    STREAM_PAUSE_S,
     Call,
     DirectTestCase,
     event,
@@ -24,7 +24,7 @@
 
 
 class StreamTest(DirectTestCase):
-    def test_stream_goes_on_at_another_target(self) -> None:
+    def test_stream_resumes_at_another_target(self) -> None:
         # A target fails in the middle of an event.  The caller must get every event
         # exactly once, with the first target's headers.
         async def script(
@@ -35,7 +35,7 @@
                     pieces = [
                         event(1),
                         event(2) + b"id: 3\nda",
-                        PAUSE_S,
+                        STREAM_PAUSE_S,
                         broken(target_id),
                     ]
                     return FakeResponse(pieces, content_type=EVENTS)
@@ -52,7 +52,7 @@
 
         self.run_with(script)
 
-    def test_stream_never_goes_on_with_other_weights(self) -> None:
+    def test_stream_never_resumes_with_other_weights(self) -> None:
         # Guards against an answer combined from two versions: the only other target has
         # a newer version, so the caller must see that the stream is incomplete.
         async def script(
@@ -64,7 +64,7 @@
 
             def answer(target_id: str, request: Any) -> Any:
                 version = {"q1": "1", "q2": "2"}[target_id]
-                pieces = [event(1), PAUSE_S, broken(target_id)]
+                pieces = [event(1), STREAM_PAUSE_S, broken(target_id)]
                 return FakeResponse(pieces, content_type=EVENTS, weights=version)
 
             dialer.script = answer
@@ -85,7 +85,7 @@
             def answer(target_id: str, request: Any) -> Any:
                 if len(dialer.sent) > 1:
                     return broken(target_id)
-                pieces = [event(1), PAUSE_S, broken(target_id)]
+                pieces = [event(1), STREAM_PAUSE_S, broken(target_id)]
                 return FakeResponse(pieces, content_type=EVENTS)
 
             dialer.script = answer
@@ -103,7 +103,7 @@
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
             dialer.script = lambda target_id, request: FakeResponse(
-                [event(1), PAUSE_S, broken(target_id)], content_type=EVENTS
+                [event(1), STREAM_PAUSE_S, broken(target_id)], content_type=EVENTS
             )
             call = Call("/once/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
@@ -112,7 +112,7 @@
 
         self.run_with(script)
 
-    def test_stream_that_breaks_before_its_first_event_starts_anew(self) -> None:
+    def test_stream_that_breaks_before_its_first_event_restarts(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
