--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -76,7 +76,7 @@
         timers: TimerService,
         target: Target,
         offers: OfferSource,
-        may_start_work: Callable[[], Failure | None],
+        check_work_allowed: Callable[[], Failure | None],
         spawn: Callable[..., object],
     ) -> None:
         self._settings = settings
@@ -85,7 +85,7 @@
         self._timers = timers
         self._target = target
         self._offers = offers
-        self._may_start_work = may_start_work
+        self._check_work_allowed = check_work_allowed
         self._spawn = spawn
         limit = target_settings.concurrency_limit
         gate_settings = GateSettings(
@@ -217,7 +217,7 @@
             )
         if self._is_draining or self._switching:
             return Failure(Reason.DRAINING, step)
-        failure = self._may_start_work()
+        failure = self._check_work_allowed()
         if failure is not None:
             return failure
         if not self._is_reachable or not self._offers.is_offering():
@@ -345,7 +345,7 @@
     timers: TimerService,
     target: Target,
     offers: OfferSource,
-    may_start_work: Callable[[], Failure | None],
+    check_work_allowed: Callable[[], Failure | None],
     spawn: Callable[..., object],
 ) -> TargetController:
     """Create the controller of the target described by the settings."""
@@ -359,6 +359,6 @@
         timers,
         target,
         offers,
-        may_start_work,
+        check_work_allowed,
         spawn,
     )
