--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -44,7 +44,7 @@
 
 Links between regions are shared and have little bandwidth, of which a typical request
 and its answer use 3 KB.  Estimates are no more precise than this, so preferring targets
-of this region costs no time."""
+of the same region costs hardly any time."""
 LATENCY_GOAL_FRACTION = 0.8
 """Fraction of the latency goal within which the first event must be expected.
 
@@ -126,23 +126,27 @@
         if not eligible:
             return self._refusals.refuse_without_target(request, tried)
         usual = average_load(
-            (self._loads.for_target(k.record.id) for k in eligible), now_s
+            (self._loads.for_target(known.record.id) for known in eligible), now_s
         )
         candidates = [
             self._estimate(request, terms, known, load, usual, now_s)
             for known, load in self._eligibility.list_available(eligible, terms, now_s)
         ]
         candidates = [
-            i
-            for i in candidates
+            candidate
+            for candidate in candidates
             if self._eligibility.can_begin_in_time(
-                i.known.record, request, i.expected_wait_s
+                candidate.known.record, request, candidate.expected_wait_s
             )
         ]
         if not candidates:
             detail = "every eligible target is cold or about to switch weights"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
-        candidates = [i for i in candidates if _keeps_stream_pauses_short(i, request)]
+        candidates = [
+            candidate
+            for candidate in candidates
+            if _keeps_stream_pauses_short(candidate, request)
+        ]
         if not candidates:
             detail = "another prompt would delay the streams already running"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
@@ -153,7 +157,9 @@
             detail = f"the first answer is expected in {best_s:.2f} s"
             return self._refusals.refuse_late(detail, excess_s)
         near = [
-            i for i in candidates if i.expected_wait_s <= best_s + ESTIMATE_TOLERANCE_S
+            candidate
+            for candidate in candidates
+            if candidate.expected_wait_s <= best_s + ESTIMATE_TOLERANCE_S
         ]
         chosen = self._rng.choice(near)
         return DirectTarget(
@@ -245,24 +251,24 @@
         usual: UsualLoad,
         now_s: float,
     ) -> _Candidate:
-        distance_s = self._distance_s(known)
+        region_penalty_s = self._region_penalty_s(known)
         engine = terms.engine if terms is not None else None
         if engine is None:
             waiting_s = load.count(now_s) * ESTIMATE_TOLERANCE_S
-            return _Candidate(known, load, waiting_s, waiting_s + distance_s)
+            return _Candidate(known, load, waiting_s, waiting_s + region_penalty_s)
         engine_load = _make_engine_load(load, usual, engine, now_s)
         raw_estimate_s = estimate_first_event_s(
             engine, engine_load, request.prompt_tokens
         )
         expected_wait_s = (
-            raw_estimate_s * self._calibration(request.pool).factor + distance_s
+            raw_estimate_s * self._calibration(request.pool).factor + region_penalty_s
         )
         empty_queue = EngineLoad(0.0, engine_load.decoding, 0.0, engine_load.pace)
         unqueued_wait_s = estimate_first_event_s(
             engine, empty_queue, request.prompt_tokens
         )
         unqueued_wait_s = (
-            unqueued_wait_s * self._calibration(request.pool).factor + distance_s
+            unqueued_wait_s * self._calibration(request.pool).factor + region_penalty_s
         )
         stream_pause_s = estimate_stream_pause_s(engine, engine_load)
         return _Candidate(
@@ -277,7 +283,7 @@
     def _calibration(self, pool: str) -> Calibration:
         return self._calibrations.setdefault(pool, Calibration())
 
-    def _distance_s(self, known: KnownTarget) -> float:
+    def _region_penalty_s(self, known: KnownTarget) -> float:
         """Return the penalty for a target in another region, 0 in this region."""
         is_near = self._regions.get(known.record.zone) == self._region
         return 0.0 if is_near else OTHER_REGION_PENALTY_S
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -132,8 +132,8 @@
     def sweep(self) -> None:
         """Withdraw attempts that may no longer begin, and abandon silent ones.
 
-        A connection can go silent for good without a reset, and a target can
-        hang; the caller would wait until it gives up by itself.
+        A connection can stall without a reset, and a target can hang.  Otherwise the
+        request would wait until its caller abandons it.
         """
         now_s = self._timers.now_s()
         waiting = [r for r in self._running.values() if _awaits_head(r)]
--- a/reedspar/direct/cold.py
+++ b/reedspar/direct/cold.py
@@ -80,7 +80,7 @@
         if not self._is_sender(target_id, now_s):
             return False
         is_new = load.cold_bucket is None
-        bucket = self._bucket_of(load, rate_per_s, now_s)
+        bucket = self._update_bucket(load, rate_per_s, now_s)
         if is_new and self._is_starting(now_s):
             # Delays the first request so that entries starting together don't all
             # send at once.
@@ -90,7 +90,7 @@
     def note_sent(self, load: TargetLoad, rate_per_s: float, now_s: float) -> None:
         """Count a request to a cold target."""
         if rate_per_s > 0:
-            self._bucket_of(load, rate_per_s, now_s).take(1, now_s)
+            self._update_bucket(load, rate_per_s, now_s).take(1, now_s)
 
     def _is_sender(self, target_id: str, now_s: float) -> bool:
         """Return whether this entry is one of the senders for a target."""
@@ -120,14 +120,14 @@
     def _is_starting(self, now_s: float) -> bool:
         return now_s < self._startup_end_s
 
-    def _bucket_of(
+    def _update_bucket(
         self, load: TargetLoad, rate_per_s: float, now_s: float
     ) -> TokenBucket:
         min_senders = SENDERS_MAX if self._is_starting(now_s) else SENDERS_MIN
-        part = rate_per_s / min(SENDERS_MAX, max(min_senders, len(self._names)))
+        share = rate_per_s / min(SENDERS_MAX, max(min_senders, len(self._names)))
         bucket = load.cold_bucket
         if bucket is None:
-            bucket = load.cold_bucket = TokenBucket(part, COLD_BURST)
-        elif bucket.rate_per_s != part:
-            bucket.set_rate(part, now_s)
+            bucket = load.cold_bucket = TokenBucket(share, COLD_BURST)
+        elif bucket.rate_per_s != share:
+            bucket.set_rate(share, now_s)
         return bucket
--- a/reedspar/direct/replaced.py
+++ b/reedspar/direct/replaced.py
@@ -11,7 +11,7 @@
 __all__ = ["ReplacedWeightsLog"]
 
 LOGGED_BEFORE_BOUND_S = 1.0
-"""Time before the bound from which such a request is logged."""
+"""Time before the bound from which requests on replaced weights are logged."""
 LOG_LINES_PER_S = 5.0
 LOG_LINES_BURST = 20.0
 
@@ -19,7 +19,10 @@
 
 
 class ReplacedWeightsLog:
-    """Logs requests that began near or after the bound, with their timing."""
+    """Logs requests that began on replaced weights near or after the bound.
+
+    The bound is the time by which the newer version must be in use everywhere.
+    """
 
     def __init__(self, versions: VersionRule, timers: TimerService) -> None:
         self._versions = versions
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -41,9 +41,9 @@
 Polling causes most of an idle agent's load, and the target's state is read again when
 requests arrive after an idle period."""
 MISSED_POLLS_MAX = 3
-REPORT_OVERDUE_S = 1.0
+POLL_OVERDUE_S = 1.0
 """Duration of an unanswered poll after which the cold limit applies."""
-REPORT_TIMEOUT_S = 3.0
+POLL_TIMEOUT_S = 3.0
 """Duration of an unanswered poll after which the target gets no work."""
 _logger = logging.getLogger(__name__)
 
@@ -249,7 +249,7 @@
     def _poll_if_due(self) -> None:
         now_s = self._timers.now_s()
         if self._is_polling:
-            self._handle_overdue_report(now_s - self._polled_s)
+            self._handle_overdue_poll(now_s - self._polled_s)
             return
         is_busy = self._dispatcher.running_count > 0 or not self._offers.is_offering()
         interval_s = POLL_INTERVAL_S if is_busy else IDLE_POLL_INTERVAL_S
@@ -285,16 +285,16 @@
         if is_gone or self._missed_polls >= MISSED_POLLS_MAX:
             self._mark_unreachable()
 
-    def _handle_overdue_report(self, waited_s: float) -> None:
+    def _handle_overdue_poll(self, waited_s: float) -> None:
         """Reduce the limit, or stop giving work, while a poll is unanswered.
 
         A stalled network path may hold back requests, and the target may turn cold
         meanwhile.  With the warm limit still in force, all held requests would reach
         the cold target at once when the path recovers.
         """
-        if waited_s >= REPORT_OVERDUE_S:
+        if waited_s >= POLL_OVERDUE_S:
             self._gate.note_overdue()
-        if waited_s >= REPORT_TIMEOUT_S and self._is_reachable:
+        if waited_s >= POLL_TIMEOUT_S and self._is_reachable:
             self._mark_unreachable()
             self._reports.publish_if_changed()
 
