--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -19,8 +19,8 @@
 from reedspar.direct.load_listener import create_load_listener
 from reedspar.direct.request_log import RequestLog
 from reedspar.fleet import DaemonRecord, FleetView
-from reedspar.requests.border import CallerBorder
-from reedspar.requests.draining import DrainTerms, run_drain
+from reedspar.requests.caller_adapter import CallerAdapter
+from reedspar.requests.draining import DrainOptions, run_drain
 from reedspar.routes import CallerLimits
 from reedspar.settings import SiteSettings
 from reedspar.telemetry import Metrics
@@ -55,7 +55,7 @@
 class EntryBorders:
     """What the site's wire brings for an entry."""
 
-    border: CallerBorder
+    adapter: CallerAdapter
     create_dialer: Callable[[FleetView], TargetDialer]
     create_directory: Callable[["SiteEntry"], ASGIApp]
     create_origin: Callable[[FleetView], VersionedOrigin]
@@ -80,7 +80,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether callers may be sent here."""
-        is_known = self.base.feed.is_seeded and self.base.view.routes is not None
+        is_known = self.base.feed.is_initialized and self.base.view.routes is not None
         return is_known and not self.is_leaving
 
     def list_addresses(self, host: str, zone: str, region: str) -> list[DaemonRecord]:
@@ -108,7 +108,7 @@
         await self._leave()
 
     async def _register(self) -> None:
-        await self.base.feed.wait_seeded()
+        await self.base.feed.wait_initialized()
         self.service.note_store_listed()
         _logger.info("ready", extra={"targets": self.base.view.target_count()})
         await self.base.registration.run()
@@ -121,7 +121,7 @@
 
         def name_versions() -> None:
             for named in list_named(view):
-                cache.name(named.model, named.version)
+                cache.set_named_version(named.model, named.version)
 
         view.on_change(lambda change: name_versions())
         name_versions()
@@ -149,7 +149,7 @@
         self.tasks.start_soon(self.base.registration.withdraw)
         application = self.service.application
         application.close_connections()
-        terms = DrainTerms(FINISH_PART * grace_s, grace_s)
+        terms = DrainOptions(FINISH_PART * grace_s, grace_s)
         await run_drain(application, terms, self.timers.now_s)
         self._stop_serving.set()
         with anyio.move_on_after(STOP_MARGIN_S / 2):
@@ -186,9 +186,9 @@
         tasks=tasks,
         network=links.on_demand("crashes"),
         dialer=borders.create_dialer(view),
-        border=borders.border,
+        adapter=borders.adapter,
         others=borders.metrics_app,
-        is_store_slow=lambda: base.registration.speed.is_in_doubt,
+        is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
         first_filters=(RequestLog(view, timers, borders.metrics),),
     )
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -8,7 +8,7 @@
 from reedspar.fleet import FleetView, KnownTarget
 from reedspar.requests.attempting import ChosenTarget
 from reedspar.requests.request import Answer, Outcome, Request
-from reedspar.routes import EngineTerms, ServiceTerms
+from reedspar.routes import EngineParameters, ServiceParameters
 from reedspar.timers import TimerService
 
 from .cold import ColdLimits
@@ -238,14 +238,14 @@
         """Process a target's report of its load."""
         self._loads.for_target(target_id).note_report(report, self._timers.now_s())
 
-    def _service_parameters(self, pool: str) -> ServiceTerms | None:
+    def _service_parameters(self, pool: str) -> ServiceParameters | None:
         routes = self._view.routes
         return routes.services.get(pool) if routes is not None else None
 
     def _estimate(
         self,
         request: Request,
-        terms: ServiceTerms | None,
+        terms: ServiceParameters | None,
         known: KnownTarget,
         load: TargetLoad,
         usual: UsualLoad,
@@ -294,10 +294,10 @@
         A long prompt may exceed the latency goal even at an idle target.  With the
         goal as the only limit it would always be refused.
         """
-        if not best.unqueued_wait_s or request.aim_s <= 0:
+        if not best.unqueued_wait_s or request.latency_goal_s <= 0:
             return float("inf")
         return max(
-            request.aim_s * LATENCY_GOAL_FRACTION,
+            request.latency_goal_s * LATENCY_GOAL_FRACTION,
             best.unqueued_wait_s + LONG_PROMPT_QUEUE_MAX_S,
         )
 
@@ -308,12 +308,12 @@
 
 
 def _make_engine_load(
-    load: TargetLoad, usual: UsualLoad, engine: EngineTerms, now_s: float
+    load: TargetLoad, usual: UsualLoad, engine: EngineParameters, now_s: float
 ) -> EngineLoad:
     others_waiting = load.others_waiting(now_s, usual)
     own_waiting = load.own_waiting()
     waiting = own_waiting + others_waiting
-    tokens = load.own_waiting_tokens() + others_waiting * engine.usual_prompt_tokens
+    tokens = load.own_waiting_tokens() + others_waiting * engine.typical_prompt_tokens
     pace = load.report.pace if load.report is not None else 1.0
     decoding = max(0.0, load.count(now_s, usual) - waiting)
     return EngineLoad(tokens, decoding, waiting, max(1.0, pace))
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -7,7 +7,7 @@
 
 from reedspar.fleet import FleetView, KnownTarget, TargetRecord, TargetState
 from reedspar.requests.request import Request
-from reedspar.routes import ServiceTerms
+from reedspar.routes import ServiceParameters
 
 from .cold import ColdLimits
 from .loads import TargetLoad, TargetLoads
@@ -44,7 +44,7 @@
         ]
 
     def list_available(
-        self, eligible: list[KnownTarget], terms: ServiceTerms | None, now_s: float
+        self, eligible: list[KnownTarget], terms: ServiceParameters | None, now_s: float
     ) -> list[tuple[KnownTarget, TargetLoad]]:
         """Return the eligible targets that may be sent to now.
 
@@ -103,6 +103,6 @@
     return ""
 
 
-def cold_rate_per_s(terms: ServiceTerms | None) -> float:
+def cold_rate_per_s(terms: ServiceParameters | None) -> float:
     """Return the limit of requests a second to a cold target; 0 if unlimited."""
     return terms.cold_requests_per_s if terms is not None else 0.0
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass
 
-from reedspar.routes import EngineTerms
+from reedspar.routes import EngineParameters
 
 __all__ = [
     "Calibration",
@@ -49,12 +49,12 @@
 
 
 def estimate_first_event_s(
-    terms: EngineTerms, engine_load: EngineLoad, prompt_tokens: float
+    terms: EngineParameters, engine_load: EngineLoad, prompt_tokens: float
 ) -> float:
     """Return the estimated time to the first event of one more request."""
     tokens = engine_load.waiting_tokens + prompt_tokens
     prefill_s = _prefill_time_s(terms, tokens, prompt_tokens)
-    passes = math.ceil(tokens / terms.read_tokens_per_pass) if tokens else 1
+    passes = math.ceil(tokens / terms.prefill_tokens_per_pass) if tokens else 1
     decoding_s = 0.0
     if engine_load.decoding >= 1:
         decoding_s = passes * _decode_pass_time_s(terms, engine_load.decoding)
@@ -62,7 +62,7 @@
     return NETWORK_DELAY_S + engine_load.pace * (prefill_s + decoding_s + slot_wait_s)
 
 
-def estimate_stream_pause_s(terms: EngineTerms, engine_load: EngineLoad) -> float:
+def estimate_stream_pause_s(terms: EngineParameters, engine_load: EngineLoad) -> float:
     """Return the longest pause that queued prompts cause in running streams.
 
     In each step between two events an engine prefills up to a fixed number of prompt
@@ -72,7 +72,7 @@
     """
     if engine_load.decoding < 1:
         return 0.0
-    max_tokens = terms.steps_per_pass * terms.read_tokens_per_pass
+    max_tokens = terms.steps_per_pass * terms.prefill_tokens_per_pass
     prefill_s = _prefill_time_s(terms, min(engine_load.waiting_tokens, max_tokens), 0)
     return engine_load.pace * (
         prefill_s + _decode_pass_time_s(terms, engine_load.decoding)
@@ -108,31 +108,35 @@
 
 
 def estimate_service_s(
-    terms: EngineTerms, batch: float, answer_tokens: float = 0.0
+    terms: EngineParameters, batch: float, answer_tokens: float = 0.0
 ) -> float:
     """Return how long a typical request stays in a batch of that size."""
-    tokens = answer_tokens or terms.usual_answer_tokens
+    tokens = answer_tokens or terms.typical_answer_tokens
     step_s = terms.step_s + batch * terms.step_per_request_s
     decode_s = tokens * step_s
     prefill_s = _prefill_time_s(
-        terms, terms.usual_prompt_tokens, terms.usual_prompt_tokens
+        terms, terms.typical_prompt_tokens, terms.typical_prompt_tokens
     )
     # Each other request of the batch is replaced once during this time, and the
     # prefill of each replacement delays decoding.
     return decode_s + prefill_s * max(1.0, batch)
 
 
-def _prefill_time_s(terms: EngineTerms, tokens: float, prompt_tokens: float) -> float:
+def _prefill_time_s(
+    terms: EngineParameters, tokens: float, prompt_tokens: float
+) -> float:
     token_pairs = prompt_tokens * prompt_tokens / 2
-    return tokens / terms.read_tokens_per_s + token_pairs * terms.pair_s
+    return (
+        tokens / terms.prefill_tokens_per_s + token_pairs * terms.attention_s_per_pair
+    )
 
 
-def _decode_pass_time_s(terms: EngineTerms, decoding: float) -> float:
+def _decode_pass_time_s(terms: EngineParameters, decoding: float) -> float:
     step_s = terms.step_s + decoding * terms.step_per_request_s
     return terms.steps_per_pass * step_s
 
 
-def _slot_wait_s(terms: EngineTerms, engine_load: EngineLoad) -> float:
+def _slot_wait_s(terms: EngineParameters, engine_load: EngineLoad) -> float:
     """Return how long a request waits for a slot of the batch."""
     excess = engine_load.decoding + engine_load.waiting + 1 - terms.slots
     if excess <= 0:
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -45,7 +45,7 @@
     def replaced_at_s(self, model: str, version: int) -> float | None:
         """Return when the first version above `version` was named, None if none was."""
         newer = self._newer_versions(model, version)
-        return min((item.named_s for item in newer), default=None)
+        return min((item.named_at_s for item in newer), default=None)
 
     def may_serve(self, model: str, version: int, wait_s: float = 0.0) -> bool:
         """Return whether a request with an expected wait may begin on a version."""
@@ -57,11 +57,11 @@
         newer = self._newer_versions(model, version)
         if not newer:
             return float("inf")
-        named_s = min(item.named_s for item in newer)
-        service_deadline_s = named_s + self._bound_s - OLDER_VERSION_MARGIN_S
-        heard_s = min(item.heard_s for item in newer)
-        if self._listed_at_s is None or heard_s <= self._listed_at_s:
-            return min(service_deadline_s, heard_s + UNDATED_VERSION_GRACE_S)
+        named_at_s = min(item.named_at_s for item in newer)
+        service_deadline_s = named_at_s + self._bound_s - OLDER_VERSION_MARGIN_S
+        learned_at_s = min(item.learned_at_s for item in newer)
+        if self._listed_at_s is None or learned_at_s <= self._listed_at_s:
+            return min(service_deadline_s, learned_at_s + UNDATED_VERSION_GRACE_S)
         return service_deadline_s
 
     def _newer_versions(self, model: str, version: int) -> list[NamedVersion]:
