--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -120,7 +120,7 @@
         self, request: Request, tried: Collection[str]
     ) -> ChosenTarget | Failure:
         """Return the target of the next attempt, or a failure if there is none."""
-        terms = self._service_parameters(request.pool)
+        service = self._find_service(request.pool)
         now_s = self._timers.now_s()
         eligible = self._eligibility.list_eligible(request, tried, now_s)
         if not eligible:
@@ -129,8 +129,10 @@
             (self._loads.for_target(known.record.id) for known in eligible), now_s
         )
         candidates = [
-            self._estimate(request, terms, known, load, usual, now_s)
-            for known, load in self._eligibility.list_available(eligible, terms, now_s)
+            self._estimate(request, service, known, load, usual, now_s)
+            for known, load in self._eligibility.list_available(
+                eligible, service, now_s
+            )
         ]
         candidates = [
             candidate
@@ -185,7 +187,7 @@
         )
         known = self._view.target(chosen.name)
         if known is not None and known.is_cold(now_s):
-            rate_per_s = cold_rate_per_s(self._service_parameters(request.pool))
+            rate_per_s = cold_rate_per_s(self._find_service(request.pool))
             self._cold.note_sent(load, rate_per_s, now_s)
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
@@ -238,21 +240,21 @@
         """Process a target's report of its load."""
         self._loads.for_target(target_id).note_report(report, self._timers.now_s())
 
-    def _service_parameters(self, pool: str) -> ServiceParameters | None:
+    def _find_service(self, pool: str) -> ServiceParameters | None:
         routes = self._view.routes
         return routes.services.get(pool) if routes is not None else None
 
     def _estimate(
         self,
         request: Request,
-        terms: ServiceParameters | None,
+        service: ServiceParameters | None,
         known: KnownTarget,
         load: TargetLoad,
         usual: UsualLoad,
         now_s: float,
     ) -> _Candidate:
         region_penalty_s = self._region_penalty_s(known)
-        engine = terms.engine if terms is not None else None
+        engine = service.engine if service is not None else None
         if engine is None:
             waiting_s = load.count(now_s) * ESTIMATE_TOLERANCE_S
             return _Candidate(known, load, waiting_s, waiting_s + region_penalty_s)
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -44,14 +44,17 @@
         ]
 
     def list_available(
-        self, eligible: list[KnownTarget], terms: ServiceParameters | None, now_s: float
+        self,
+        eligible: list[KnownTarget],
+        service: ServiceParameters | None,
+        now_s: float,
     ) -> list[tuple[KnownTarget, TargetLoad]]:
         """Return the eligible targets that may be sent to now.
 
         Excluding every target in backoff could overload the remaining ones, so at least
         half of the targets are returned.
         """
-        rate_per_s = cold_rate_per_s(terms)
+        rate_per_s = cold_rate_per_s(service)
         pairs = [(known, self._loads.for_target(known.record.id)) for known in eligible]
         pairs = [pair for pair in pairs if now_s >= pair[1].not_taking_until_s]
         pairs = [
@@ -103,6 +106,6 @@
     return ""
 
 
-def cold_rate_per_s(terms: ServiceParameters | None) -> float:
+def cold_rate_per_s(service: ServiceParameters | None) -> float:
     """Return the limit of requests a second to a cold target; 0 if unlimited."""
-    return terms.cold_requests_per_s if terms is not None else 0.0
+    return service.cold_requests_per_s if service is not None else 0.0
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -49,20 +49,20 @@
 
 
 def estimate_first_event_s(
-    terms: EngineParameters, engine_load: EngineLoad, prompt_tokens: float
+    engine: EngineParameters, engine_load: EngineLoad, prompt_tokens: float
 ) -> float:
     """Return the estimated time to the first event of one more request."""
     tokens = engine_load.waiting_tokens + prompt_tokens
-    prefill_s = _prefill_time_s(terms, tokens, prompt_tokens)
-    passes = math.ceil(tokens / terms.prefill_tokens_per_pass) if tokens else 1
+    prefill_s = _prefill_time_s(engine, tokens, prompt_tokens)
+    passes = math.ceil(tokens / engine.prefill_tokens_per_pass) if tokens else 1
     decoding_s = 0.0
     if engine_load.decoding >= 1:
-        decoding_s = passes * _decode_pass_time_s(terms, engine_load.decoding)
-    slot_wait_s = _slot_wait_s(terms, engine_load)
+        decoding_s = passes * _decode_pass_time_s(engine, engine_load.decoding)
+    slot_wait_s = _slot_wait_s(engine, engine_load)
     return NETWORK_DELAY_S + engine_load.pace * (prefill_s + decoding_s + slot_wait_s)
 
 
-def estimate_stream_pause_s(terms: EngineParameters, engine_load: EngineLoad) -> float:
+def estimate_stream_pause_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
     """Return the longest pause that queued prompts cause in running streams.
 
     In each step between two events an engine prefills up to a fixed number of prompt
@@ -72,10 +72,10 @@
     """
     if engine_load.decoding < 1:
         return 0.0
-    max_tokens = terms.steps_per_pass * terms.prefill_tokens_per_pass
-    prefill_s = _prefill_time_s(terms, min(engine_load.waiting_tokens, max_tokens), 0)
+    max_tokens = engine.steps_per_pass * engine.prefill_tokens_per_pass
+    prefill_s = _prefill_time_s(engine, min(engine_load.waiting_tokens, max_tokens), 0)
     return engine_load.pace * (
-        prefill_s + _decode_pass_time_s(terms, engine_load.decoding)
+        prefill_s + _decode_pass_time_s(engine, engine_load.decoding)
     )
 
 
@@ -108,14 +108,14 @@
 
 
 def estimate_service_s(
-    terms: EngineParameters, batch: float, answer_tokens: float = 0.0
+    engine: EngineParameters, batch: float, answer_tokens: float = 0.0
 ) -> float:
     """Return how long a typical request stays in a batch of that size."""
-    tokens = answer_tokens or terms.typical_answer_tokens
-    step_s = terms.step_s + batch * terms.step_per_request_s
+    tokens = answer_tokens or engine.typical_answer_tokens
+    step_s = engine.step_s + batch * engine.step_per_request_s
     decode_s = tokens * step_s
     prefill_s = _prefill_time_s(
-        terms, terms.typical_prompt_tokens, terms.typical_prompt_tokens
+        engine, engine.typical_prompt_tokens, engine.typical_prompt_tokens
     )
     # Each other request of the batch is replaced once during this time, and the
     # prefill of each replacement delays decoding.
@@ -123,22 +123,22 @@
 
 
 def _prefill_time_s(
-    terms: EngineParameters, tokens: float, prompt_tokens: float
+    engine: EngineParameters, tokens: float, prompt_tokens: float
 ) -> float:
     token_pairs = prompt_tokens * prompt_tokens / 2
     return (
-        tokens / terms.prefill_tokens_per_s + token_pairs * terms.attention_s_per_pair
+        tokens / engine.prefill_tokens_per_s + token_pairs * engine.attention_s_per_pair
     )
 
 
-def _decode_pass_time_s(terms: EngineParameters, decoding: float) -> float:
-    step_s = terms.step_s + decoding * terms.step_per_request_s
-    return terms.steps_per_pass * step_s
+def _decode_pass_time_s(engine: EngineParameters, decoding: float) -> float:
+    step_s = engine.step_s + decoding * engine.step_per_request_s
+    return engine.steps_per_pass * step_s
 
 
-def _slot_wait_s(terms: EngineParameters, engine_load: EngineLoad) -> float:
+def _slot_wait_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
     """Return how long a request waits for a slot of the batch."""
-    excess = engine_load.decoding + engine_load.waiting + 1 - terms.slots
+    excess = engine_load.decoding + engine_load.waiting + 1 - engine.slots
     if excess <= 0:
         return 0.0
-    return excess * estimate_service_s(terms, terms.slots) / terms.slots
+    return excess * estimate_service_s(engine, engine.slots) / engine.slots
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -181,13 +181,13 @@
     follower = _FleetFollower(view, loads, cold, budgets, bounds.retry_slack, timers)
     view.on_change(follower.apply_change)
     view.on_change(lambda change: _pass_to_crash_detector(crashes, view, change))
-    terms = RelayOptions(retry_wait_s=0.0, deadline_margin_s=0.0)
+    relay_options = RelayOptions(retry_wait_s=0.0, deadline_margin_s=0.0)
     filters: list[Filter] = [
         *first_filters,
         RouteIdentificationFilter(view, is_store_slow, rng),
         DeadlineFilter(),
         QuarantineFilter(quarantine, timers),
-        Relay(client, chooser, budgets, quarantine, timers, terms),
+        Relay(client, chooser, budgets, quarantine, timers, relay_options),
     ]
     application = RequestApplication(
         chain_filters(filters),
