--- a/reedspar/daemon/offers.py
+++ b/reedspar/daemon/offers.py
@@ -19,7 +19,7 @@
         """Tell that nothing is lacking."""
         return True
 
-    def note_engine_state(self, state: EngineState | None) -> None:
+    def record_engine_state(self, state: EngineState | None) -> None:
         """Take in the target's report; it says nothing of weights."""
 
 
@@ -49,7 +49,7 @@
         offered = {weights.model for weights in self._weights.offered()}
         return bool(pool.models) and offered.issuperset(pool.models)
 
-    def note_engine_state(self, state: EngineState | None) -> None:
+    def record_engine_state(self, state: EngineState | None) -> None:
         """Take in the target's report, or None if it can't be reached."""
         if state is None:
             self._weights.record_engine_lost()
--- a/reedspar/requests/tests/mesh.py
+++ b/reedspar/requests/tests/mesh.py
@@ -45,7 +45,7 @@
     def is_offering(self) -> bool:
         return True
 
-    def note_engine_state(self, state: EngineState | None) -> None:
+    def record_engine_state(self, state: EngineState | None) -> None:
         pass
 
 
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -59,7 +59,7 @@
         """Return whether all weights that the pool needs are confirmed."""
         ...
 
-    def note_engine_state(self, state: EngineState | None) -> None:
+    def record_engine_state(self, state: EngineState | None) -> None:
         """Process the target's state, or None if it is unreachable."""
         ...
 
@@ -301,7 +301,7 @@
     def _mark_unreachable(self) -> None:
         """Give no work to the target and offer no weights until it responds again."""
         self._invalidate_state()
-        self._offers.note_engine_state(None)
+        self._offers.record_engine_state(None)
 
     def _invalidate_state(self) -> None:
         """Treat the target's state as unknown until the next successful poll."""
@@ -321,7 +321,7 @@
         self._gate.note_report(is_cold=state.is_cold, now_s=now_s)
         self._is_reachable = True
         self._missed_polls = 0
-        self._offers.note_engine_state(state)
+        self._offers.record_engine_state(state)
 
     def _report_crash(self, boot_id: str) -> None:
         in_flight = self._dispatcher.running_fingerprints()
--- a/reedspar/targets/tests/fakes.py
+++ b/reedspar/targets/tests/fakes.py
@@ -147,5 +147,5 @@
     def is_offering(self) -> bool:
         return True
 
-    def note_engine_state(self, state) -> None:
+    def record_engine_state(self, state) -> None:
         pass
