--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -1,8 +1,8 @@
-"""Attempts straight at targets, without an agent between.
+"""Client for attempts that an entry sends directly to a target.
 
-Each attempt has a connection of its own and closes it at its end: nothing
-that a target sends too much or too late can meet another request, and a
-request never goes out on a connection that the target is just closing.
+Each attempt uses a connection of its own and closes it at its end.  Surplus or late
+bytes from a target can't reach another request, and no request is sent on a connection
+that the target is about to close.
 """
 
 import logging
@@ -31,26 +31,26 @@
     "create_direct_attempt_client",
 ]
 
-SILENT_S = 1.5
-"""Silence after which an idempotent attempt is better made elsewhere, in seconds.
+SILENCE_TIMEOUT_S = 1.5
+"""Silence after which an idempotent attempt is abandoned for another target.
 
-Callers give a stream up after 2 s without an event; the next target needs half a
-second for the prompt."""
-SWEEP_S = 0.1
+Callers abandon a stream after 2 s without an event, and the next target needs 0.5 s for
+the prompt."""
+SWEEP_INTERVAL_S = 0.1
 _logger = logging.getLogger(__name__)
 
 
 class DirectResponse(TargetResponse, Protocol):
-    """A target's answer while it arrives, with what its head says of the load."""
+    """Answer of a target while it arrives, with the load report from its headers."""
 
     load: LoadReport | None
 
 
 class TargetDialer(Protocol):
-    """Sends requests to targets by their ids."""
+    """Sends requests to targets identified by their ids."""
 
     def has_address(self, target_id: str) -> bool:
-        """Tell whether the target has an address."""
+        """Return whether the target's address is known."""
         ...
 
     def send(
@@ -59,7 +59,7 @@
         request: TargetRequest,
         check_before_write: Callable[[], Failure | None],
     ) -> AbstractAsyncContextManager[DirectResponse | Failure]:
-        """Hand over a request on a connection of its own.
+        """Send a request on a connection of its own.
 
         `check_before_write` is called between connecting and writing.  If it returns
         a failure, that failure is yielded and nothing is written.
@@ -71,14 +71,14 @@
 
 
 @dataclass(slots=True)
-class _Running:
-    """The task that reads one answer."""
+class _RunningAttempt:
+    """An open attempt and the task that reads its answer."""
 
     attempt: OpenAttempt
     scope: anyio.CancelScope
-    has_room: anyio.Event
+    buffer_has_room: anyio.Event
     failure: Failure | None = None
-    """Why it was ended from here."""
+    """Reason why this entry ended the attempt."""
 
 
 class DirectAttemptClient:
@@ -97,68 +97,70 @@
         self._tasks = tasks
         self._note_report = note_report
         self._limits = limits
-        self._running: dict[int, _Running] = {}
-        timers.call_every(SWEEP_S, self.sweep)
+        self._running: dict[int, _RunningAttempt] = {}
+        timers.call_every(SWEEP_INTERVAL_S, self.sweep)
 
     @property
     def open_count(self) -> int:
-        """Return how many attempts wait for their answer."""
+        """Return the number of open attempts."""
         return len(self._running)
 
     def open(self, target: str, start: AttemptStart) -> OpenAttempt | Failure:
-        """Hand a request over; a failure means that nothing was handed over."""
+        """Start an attempt; a failure means that nothing was sent."""
         if not self._dialer.has_address(target):
             return Failure(Reason.UNAVAILABLE, Step.LINK, target, "has no address")
         attempt = OpenAttempt(AnswerAssembly(start, target), self._timers.now_s())
-        running = _Running(attempt, anyio.CancelScope(), anyio.Event())
+        running = _RunningAttempt(attempt, anyio.CancelScope(), anyio.Event())
         self._running[id(attempt)] = running
         self._tasks.start_soon(self._run, attempt, running)
         return attempt
 
     def read_available(self, attempt: OpenAttempt) -> bytes:
-        """Return the bytes that arrived, and let the target send on."""
+        """Return the bytes that arrived, and resume reading from the target."""
         data = attempt.assembly.read_available()
         running = self._running.get(id(attempt))
         if running is not None:
-            running.has_room.set()
+            running.buffer_has_room.set()
         return data
 
     def close(self, attempt: OpenAttempt) -> None:
-        """Let go of an attempt; closing its connection stops the target's work."""
+        """Close an attempt and its connection, which stops the target's work."""
         running = self._running.pop(id(attempt), None)
         if running is not None:
             running.scope.cancel()
 
     def sweep(self) -> None:
-        """Withdraw attempts that may not begin any more; give up silent ones.
+        """Withdraw attempts that may no longer begin, and abandon silent ones.
 
-        A connection can go silent for good without a reset, and a target can
-        hang; the caller would wait until it gives up by itself.
+        A connection can stall without a reset, and a target can hang.  Otherwise the
+        request would wait until its caller abandons it.
         """
         now_s = self._timers.now_s()
-        waiting = [r for r in self._running.values() if _is_waiting(r)]
+        waiting = [r for r in self._running.values() if _awaits_head(r)]
         withdrawn = sum(self._withdraw(running) for running in waiting)
         if withdrawn:
             _logger.info("attempts withdrawn", extra={"count": withdrawn})
         for running in list(self._running.values()):
             attempt = running.attempt
             silent_s = now_s - attempt.last_received_s
-            is_waiting = attempt.assembly.is_open and not attempt.assembly.pieces
-            if is_waiting and silent_s >= SILENT_S:
-                self._give_up(running, f"silent for {silent_s:.1f} s")
+            awaits_body = attempt.assembly.is_open and not attempt.assembly.pieces
+            if awaits_body and silent_s >= SILENCE_TIMEOUT_S:
+                self._abandon(running, f"silent for {silent_s:.1f} s")
 
-    def _withdraw(self, running: _Running) -> bool:
-        """End an attempt that may not begin any more; tell whether it was one."""
+    def _withdraw(self, running: _RunningAttempt) -> bool:
+        """End an attempt that may no longer begin; return whether it was ended."""
         attempt = running.attempt
         request_id = attempt.assembly.start.request_id
-        failure = self._limits.check_waiting(attempt.target, request_id, SWEEP_S)
+        failure = self._limits.check_waiting(
+            attempt.target, request_id, SWEEP_INTERVAL_S
+        )
         if failure is None:
             return False
         running.failure = failure
         running.scope.cancel()
         return True
 
-    def _give_up(self, running: _Running, detail: str) -> None:
+    def _abandon(self, running: _RunningAttempt, detail: str) -> None:
         attempt = running.attempt
         if not attempt.assembly.start.is_idempotent or running.failure is not None:
             return
@@ -166,16 +168,16 @@
         running.failure = Failure(Reason.TIMEOUT, step, attempt.target, detail)
         running.scope.cancel()
 
-    async def _run(self, attempt: OpenAttempt, running: _Running) -> None:
+    async def _run(self, attempt: OpenAttempt, running: _RunningAttempt) -> None:
         target = attempt.target
         failure: Failure | None = Failure(
-            Reason.CANCELLED, Step.TARGET_CALL, target, "let go of"
+            Reason.CANCELLED, Step.TARGET_CALL, target, "closed by the entry"
         )
         with running.scope:
             try:
                 failure = await self._read(attempt, running)
             except Exception as error:
-                # Raised further, one target's odd answer would end the daemon.
+                # Re-raising it would let one target's invalid answer end the daemon.
                 _logger.exception("attempt failed", extra={"target": target})
                 detail = f"{type(error).__name__}: {error}"
                 failure = Failure(
@@ -184,8 +186,10 @@
         attempt.assembly.on_direct_end(running.failure or failure)
         attempt.wake()
 
-    async def _read(self, attempt: OpenAttempt, running: _Running) -> Failure | None:
-        """Read an answer to its end; return why it is not whole."""
+    async def _read(
+        self, attempt: OpenAttempt, running: _RunningAttempt
+    ) -> Failure | None:
+        """Read an answer to its end; return why it is incomplete, None if complete."""
         start = attempt.assembly.start
         request = TargetRequest(
             start.request_id,
@@ -201,7 +205,9 @@
         target = attempt.target
 
         def check_before_write() -> Failure | None:
-            return self._limits.check_hand_over(target, start.request_id, SWEEP_S)
+            return self._limits.check_hand_over(
+                target, start.request_id, SWEEP_INTERVAL_S
+            )
 
         async with self._dialer.send(target, request, check_before_write) as response:
             if isinstance(response, Failure):
@@ -217,11 +223,11 @@
             attempt.assembly.on_head(head)
             if response.load is not None:
                 self._note_report(attempt.target, response.load)
-            self._note_heard(attempt)
+            self._mark_received(attempt)
             return await self._read_body(attempt, running, response)
 
     async def _read_body(
-        self, attempt: OpenAttempt, running: _Running, response: TargetResponse
+        self, attempt: OpenAttempt, running: _RunningAttempt, response: TargetResponse
     ) -> Failure | None:
         assembly = attempt.assembly
         key = (assembly.start.request_id, assembly.start.attempt)
@@ -229,21 +235,21 @@
             if isinstance(piece, Failure):
                 return piece
             while assembly.pending_bytes >= attempt.buffer_limit_bytes:
-                running.has_room = anyio.Event()
-                await running.has_room.wait()
+                running.buffer_has_room = anyio.Event()
+                await running.buffer_has_room.wait()
             data = AttemptData(*key, assembly.size_bytes, piece)
             room_bytes = assembly.pending_bytes + len(piece)
             assembly.on_data(data, room_bytes)
-            self._note_heard(attempt)
+            self._mark_received(attempt)
         return None
 
-    def _note_heard(self, attempt: OpenAttempt) -> None:
+    def _mark_received(self, attempt: OpenAttempt) -> None:
         attempt.last_received_s = self._timers.now_s()
         attempt.wake()
 
 
-def _is_waiting(running: _Running) -> bool:
-    """Tell whether nothing has come of an answer, and the attempt goes on."""
+def _awaits_head(running: _RunningAttempt) -> bool:
+    """Return whether a running attempt has not received its answer's head."""
     assembly = running.attempt.assembly
     return assembly.is_open and assembly.head is None and running.failure is None
 
@@ -255,5 +261,5 @@
     note_report: Callable[[str, LoadReport], None],
     limits: AttemptLimits,
 ) -> DirectAttemptClient:
-    """Make a client whose attempts run in `tasks`."""
+    """Create a client whose attempts run in `tasks`."""
     return DirectAttemptClient(dialer, timers, tasks, note_report, limits)
--- /dev/null
+++ b/reedspar/direct/eligibility.py
@@ -0,0 +1,111 @@
+"""Eligibility and availability of targets for a request.
+
+Eligible targets can run the request; of these, available ones may be sent to now.
+"""
+
+from collections.abc import Collection, Mapping
+
+from reedspar.fleet import FleetView, KnownTarget, TargetRecord, TargetState
+from reedspar.requests.request import Request
+from reedspar.routes import ServiceParameters
+
+from .cold import ColdLimits
+from .loads import TargetLoad, TargetLoads
+from .versions import VersionRule
+
+__all__ = ["TargetEligibility", "cold_rate_per_s", "ineligibility_reason"]
+
+
+class TargetEligibility:
+    """Lists the eligible and the available targets of a request."""
+
+    def __init__(
+        self,
+        view: FleetView,
+        loads: TargetLoads,
+        cold: ColdLimits,
+        versions: VersionRule,
+        regions: Mapping[str, str],
+    ) -> None:
+        self._view = view
+        self._loads = loads
+        self._cold = cold
+        self._versions = versions
+        self._regions = regions
+
+    def list_eligible(
+        self, request: Request, tried: Collection[str], now_s: float
+    ) -> list[KnownTarget]:
+        """Return the targets that can run a request and were not tried yet."""
+        return [
+            known
+            for known in self._view.targets(request.pool)
+            if known.record.id not in tried and self._is_eligible(known, request, now_s)
+        ]
+
+    def list_available(
+        self,
+        eligible: list[KnownTarget],
+        service: ServiceParameters | None,
+        now_s: float,
+    ) -> list[tuple[KnownTarget, TargetLoad]]:
+        """Return the eligible targets that may be sent to now.
+
+        Excluding every target in backoff could overload the remaining ones, so at least
+        half of the targets are returned.
+        """
+        rate_per_s = cold_rate_per_s(service)
+        pairs = [(known, self._loads.for_target(known.record.id)) for known in eligible]
+        pairs = [pair for pair in pairs if now_s >= pair[1].not_taking_until_s]
+        pairs = [
+            (known, load)
+            for known, load in pairs
+            if not known.is_cold(now_s)
+            or self._cold.may_send(known.record.id, load, rate_per_s, now_s)
+        ]
+        available = [pair for pair in pairs if now_s >= pair[1].backoff_until_s]
+        if len(available) * 2 >= len(pairs):
+            return available
+        pairs.sort(key=lambda pair: pair[1].backoff_until_s)
+        return pairs[: (len(pairs) + 1) // 2]
+
+    def can_begin_in_time(
+        self, record: TargetRecord, request: Request, expected_wait_s: float
+    ) -> bool:
+        """Return whether a request would begin before its target's version expires."""
+        version = record.weights.get(request.model)
+        if version is None:
+            return True
+        return self._versions.may_serve(request.model, version, expected_wait_s)
+
+    def _is_eligible(self, known: KnownTarget, request: Request, now_s: float) -> bool:
+        record = known.record
+        if ineligibility_reason(record, self._view, self._loads):
+            return False
+        region = self._regions.get(record.zone)
+        if request.regions is not None and region not in request.regions:
+            return False
+        if not request.model:
+            return True
+        version = record.weights.get(request.model)
+        if version is None or not self._versions.may_serve(request.model, version):
+            return False
+        return not request.weights_digest or request.weights_digest == str(version)
+
+
+def ineligibility_reason(
+    record: TargetRecord, view: FleetView, loads: TargetLoads
+) -> str:
+    """Return why a target may get no request at all, or an empty string."""
+    if record.state is not TargetState.READY:
+        return "it is leaving"
+    if record.zone in view.zones_out:
+        return "its zone is taken out"
+    if loads.for_target(record.id).replaced_boot == record.boot_id:
+        return "another target has its address"
+    return ""
+
+
+def cold_rate_per_s(service: ServiceParameters | None) -> float:
+    """Return the limit of requests a second to a cold target; 0 if unlimited."""
+    return service.cold_requests_per_s if service is not None else 0.0
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -1,8 +1,8 @@
-"""Decision: how soon a model engine would begin to answer one more request.
+"""Estimates of a model engine's time to the first event of one more request.
 
-An engine reads prompts one after the other and writes for all requests of its
-batch meanwhile, so the first event of a request comes once the prompts before
-it and its own are read, and a place in the batch is free.
+An engine prefills prompts one after the other while it decodes for all requests of its
+batch.  The first event of a request therefore follows the prefill of the prompts before
+it and of its own, once a slot of the batch is free.
 """
 
 import math
@@ -12,73 +12,78 @@
 
 __all__ = [
     "Calibration",
-    "EngineWork",
+    "EngineLoad",
     "estimate_first_event_s",
-    "estimate_pause_s",
     "estimate_service_s",
+    "estimate_stream_pause_s",
 ]
 
-NETWORK_S = 0.02
-"""Connecting and two ways between zones."""
+NETWORK_DELAY_S = 0.02
+"""Time for connecting and for a round trip between zones."""
 
-FACTOR_WEIGHT = 0.05
-"""Weight of one request in the calibration: about three seconds' worth of an entry's
-requests at six a second."""
-FACTOR_MIN = 0.7
-FACTOR_MAX = 2.5
-"""Bounds of the calibration.
+CALIBRATION_WEIGHT = 0.05
+"""Weight of one request in the calibration factor.
 
-Engines that switch their weights, or come back cold, hold up a few first events by many
-times the estimate.  Unbounded, entries would refuse for seconds what engines bear."""
+It averages over about 3 s at an entry with six requests a second."""
+CALIBRATION_FACTOR_MIN = 0.7
+CALIBRATION_FACTOR_MAX = 2.5
+"""Bounds of the calibration factor.
+
+Engines that switch weights or restart cold delay a few first events by many times the
+estimate.  Without bounds, entries would then refuse requests for seconds although the
+engines have capacity."""
 
 
 @dataclass(frozen=True, slots=True)
-class EngineWork:
-    """What an engine has before it, as far as is known."""
+class EngineLoad:
+    """Known load of an engine."""
 
     waiting_tokens: float
-    """Prompt tokens of requests that have not begun to answer."""
-    writing: float
-    """Requests that have begun to answer."""
+    """Prompt tokens of requests whose answers have not begun."""
+    decoding: float
+    """Requests whose answers have begun."""
     waiting: float
-    """Requests that have not begun to answer."""
+    """Requests whose answers have not begun."""
     pace: float = 1.0
-    """How many times as long as usual the engine takes."""
+    """Ratio of the engine's current processing time to its usual one."""
 
 
 def estimate_first_event_s(
-    terms: EngineParameters, work: EngineWork, prompt_tokens: float
+    engine: EngineParameters, engine_load: EngineLoad, prompt_tokens: float
 ) -> float:
-    """Return the time until one more request would get its first event."""
-    tokens = work.waiting_tokens + prompt_tokens
-    reading_s = _read_time_s(terms, tokens, prompt_tokens)
-    passes = math.ceil(tokens / terms.prefill_tokens_per_pass) if tokens else 1
-    writing_s = 0.0
-    if work.writing >= 1:
-        writing_s = passes * _pass_time_s(terms, work.writing)
-    place_s = _place_wait_s(terms, work)
-    return NETWORK_S + work.pace * (reading_s + writing_s + place_s)
-
-
-def estimate_pause_s(terms: EngineParameters, work: EngineWork) -> float:
-    """Return the longest pause that waiting prompts make in the streams beside them.
-
-    An engine reads up to a fixed number of prompt tokens in each of the steps between
-    two events, so all that waits may be read between two events of a stream.  A
-    request's own prompt is not counted: large ones would be refused most.
+    """Return the estimated time to the first event of one more request."""
+    tokens = engine_load.waiting_tokens + prompt_tokens
+    prefill_s = _prefill_time_s(engine, tokens, prompt_tokens)
+    passes = math.ceil(tokens / engine.prefill_tokens_per_pass) if tokens else 1
+    decoding_s = 0.0
+    if engine_load.decoding >= 1:
+        decoding_s = passes * _decode_pass_time_s(engine, engine_load.decoding)
+    slot_wait_s = _slot_wait_s(engine, engine_load)
+    return NETWORK_DELAY_S + engine_load.pace * (prefill_s + decoding_s + slot_wait_s)
+
+
+def estimate_stream_pause_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
+    """Return the longest pause that queued prompts cause in running streams.
+
+    In each step between two events an engine prefills up to a fixed number of prompt
+    tokens, so all queued prompts may be prefilled between two events of a stream.  The
+    new request's own prompt is not counted; otherwise long prompts would be refused
+    more often than others.
     """
-    if work.writing < 1:
+    if engine_load.decoding < 1:
         return 0.0
-    most_tokens = terms.steps_per_pass * terms.prefill_tokens_per_pass
-    reading_s = _read_time_s(terms, min(work.waiting_tokens, most_tokens), 0)
-    return work.pace * (reading_s + _pass_time_s(terms, work.writing))
+    max_tokens = engine.steps_per_pass * engine.prefill_tokens_per_pass
+    prefill_s = _prefill_time_s(engine, min(engine_load.waiting_tokens, max_tokens), 0)
+    return engine_load.pace * (
+        prefill_s + _decode_pass_time_s(engine, engine_load.decoding)
+    )
 
 
 class Calibration:
-    """How much longer first events take than the estimate says.
+    """Ratio of measured to estimated times to the first event.
 
-    Each entry knows its own requests alone, so the estimate misses what others have
-    just sent.  Corrected by what came true, it is right on average again.
+    Each entry knows only its own requests, so the estimate misses requests that others
+    have just sent.  The moving average of the ratio corrects this on average.
     """
 
     def __init__(self) -> None:
@@ -86,46 +91,54 @@
 
     @property
     def factor(self) -> float:
-        """Return what estimates are to be multiplied by."""
+        """Return the factor by which estimates are multiplied."""
         return self._factor
 
-    def note(self, expected_s: float, actual_s: float) -> None:
-        """Take in how long a first event took."""
+    def record(self, expected_s: float, actual_s: float) -> None:
+        """Record the estimated and the measured time to a first event."""
         if expected_s <= 0:
             return
-        ratio = min(max(actual_s / expected_s, FACTOR_MIN), FACTOR_MAX)
-        self._factor += FACTOR_WEIGHT * (ratio - self._factor)
-        self._factor = min(max(self._factor, FACTOR_MIN), FACTOR_MAX)
+        ratio = min(
+            max(actual_s / expected_s, CALIBRATION_FACTOR_MIN), CALIBRATION_FACTOR_MAX
+        )
+        self._factor += CALIBRATION_WEIGHT * (ratio - self._factor)
+        self._factor = min(
+            max(self._factor, CALIBRATION_FACTOR_MIN), CALIBRATION_FACTOR_MAX
+        )
 
 
 def estimate_service_s(
-    terms: EngineParameters, batch: float, answer_tokens: float = 0.0
+    engine: EngineParameters, batch: float, answer_tokens: float = 0.0
 ) -> float:
-    """Return how long a usual request stays in a batch of that size."""
-    tokens = answer_tokens or terms.typical_answer_tokens
-    step_s = terms.step_s + batch * terms.step_per_request_s
-    own_s = tokens * step_s
-    prompt_s = _read_time_s(
-        terms, terms.typical_prompt_tokens, terms.typical_prompt_tokens
+    """Return how long a typical request stays in a batch of that size."""
+    tokens = answer_tokens or engine.typical_answer_tokens
+    step_s = engine.step_s + batch * engine.step_per_request_s
+    decode_s = tokens * step_s
+    prefill_s = _prefill_time_s(
+        engine, engine.typical_prompt_tokens, engine.typical_prompt_tokens
     )
-    # While it writes, the prompts of those that take its neighbours' places
-    # are read: each neighbour is replaced once in the time of one request.
-    return own_s + prompt_s * max(1.0, batch)
+    # Each other request of the batch is replaced once during this time, and the
+    # prefill of each replacement delays decoding.
+    return decode_s + prefill_s * max(1.0, batch)
 
 
-def _read_time_s(terms: EngineParameters, tokens: float, own_tokens: float) -> float:
-    pairs = own_tokens * own_tokens / 2
-    return tokens / terms.prefill_tokens_per_s + pairs * terms.attention_s_per_pair
+def _prefill_time_s(
+    engine: EngineParameters, tokens: float, prompt_tokens: float
+) -> float:
+    token_pairs = prompt_tokens * prompt_tokens / 2
+    return (
+        tokens / engine.prefill_tokens_per_s + token_pairs * engine.attention_s_per_pair
+    )
 
 
-def _pass_time_s(terms: EngineParameters, writing: float) -> float:
-    step_s = terms.step_s + writing * terms.step_per_request_s
-    return terms.steps_per_pass * step_s
+def _decode_pass_time_s(engine: EngineParameters, decoding: float) -> float:
+    step_s = engine.step_s + decoding * engine.step_per_request_s
+    return engine.steps_per_pass * step_s
 
 
-def _place_wait_s(terms: EngineParameters, work: EngineWork) -> float:
-    """Return how long a request waits for a place in the batch."""
-    excess = work.writing + work.waiting + 1 - terms.slots
+def _slot_wait_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
+    """Return how long a request waits for a slot of the batch."""
+    excess = engine_load.decoding + engine_load.waiting + 1 - engine.slots
     if excess <= 0:
         return 0.0
-    return excess * estimate_service_s(terms, terms.slots) / terms.slots
+    return excess * estimate_service_s(engine, engine.slots) / engine.slots
--- a/reedspar/direct/load_listener.py
+++ b/reedspar/direct/load_listener.py
@@ -1,4 +1,4 @@
-"""Loads of targets as the agents beside them tell them."""
+"""Listener for the target loads that agents report."""
 
 from reedspar.fleet import FleetView, TargetLoadNews
 from reedspar.links import Network
@@ -11,16 +11,16 @@
 
 
 class LoadListener:
-    """Hands agents' news to the choice of targets."""
+    """Passes the loads that agents report to the chooser."""
 
     def __init__(
         self, view: FleetView, chooser: DirectChooser, network: Network
     ) -> None:
         self._view = view
         self._chooser = chooser
-        network.subscribe(TargetLoadNews, self._take)
+        network.subscribe(TargetLoadNews, self._on_news)
 
-    def _take(self, sender: Sender, news: TargetLoadNews) -> None:
+    def _on_news(self, sender: Sender, news: TargetLoadNews) -> None:
         known = self._view.find_target(news.host, news.port)
         if known is None:
             return
@@ -33,5 +33,5 @@
 def create_load_listener(
     view: FleetView, chooser: DirectChooser, network: Network
 ) -> LoadListener:
-    """Make a listener and subscribe it to the agents' news."""
+    """Create a listener that is subscribed to the agents' reports."""
     return LoadListener(view, chooser, network)
--- a/reedspar/targets/desk.py
+++ b/reedspar/targets/dispatcher.py
@@ -1,4 +1,4 @@
-"""Attempts at an agent: admit, queue, run, revoke, resume, keep the answers."""
+"""Dispatch of attempts at an agent: start, queue, run, cancel and resume."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -24,30 +24,31 @@
 from .runner import AttemptOutcome, AttemptRunner, RunHandle
 from .table import AttemptKey, AttemptRecord, AttemptTable
 
-__all__ = ["AttemptDesk", "DeskPolicy"]
+__all__ = ["AttemptDispatcher", "DispatchPolicy"]
 
 EXPIRE_INTERVAL_S = 1.0
-DRAIN_POLL_S = 0.05
-REMIND_POLLS = 10
-REDIAL_S = 3.0
-"""How long a live entry may take to replace its link to a stopping agent."""
+DRAIN_POLL_INTERVAL_S = 0.05
+RESEND_EVERY_POLLS = 10
+"""Polls of a drain between two repetitions of undelivered ends."""
+ENTRY_RECONNECT_TIMEOUT_S = 3.0
+"""Time in which a live entry replaces a broken link to a stopping agent."""
 MIN_RETRY_AFTER_S = 0.25
 
 
-class DeskPolicy(Protocol):
-    """What the controller of the target decides for the desk."""
+class DispatchPolicy(Protocol):
+    """Decisions that the target's controller makes for the dispatcher."""
 
     def check(self, start: AttemptStart) -> Failure | None:
-        """Return why this attempt may not start now."""
+        """Return why this attempt may not start now, or None if it may."""
         ...
 
     def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended."""
+        """Process the outcome of an attempt."""
         ...
 
 
-class AttemptDesk:
-    """Take attempts in, run each at most once, and hand out their answers."""
+class AttemptDispatcher:
+    """Runs each attempt at most once and sends its answer to the entry."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         runner: AttemptRunner,
         network: Network,
         timers: TimerService,
-        policy: DeskPolicy,
+        policy: DispatchPolicy,
         spawn: Callable[..., object],
     ) -> None:
         self._table = table
@@ -77,16 +78,16 @@
 
     @property
     def running_count(self) -> int:
-        """Return how many attempts are at the target."""
+        """Return the number of attempts running at the target."""
         return len(self._handles)
 
     @property
     def queued_count(self) -> int:
-        """Return how many attempts wait."""
+        """Return the number of queued attempts."""
         return len(self._queue)
 
     def running_fingerprints(self) -> list[str]:
-        """Return the fingerprints of the requests that are at the target."""
+        """Return the fingerprints of the requests running at the target."""
         records = self._table.unfinished()
         return [
             record.start.fingerprint
@@ -95,12 +96,12 @@
         ]
 
     def refuse_queued(self, reason: Reason, detail: str) -> None:
-        """Refuse all that wait; they provably did not run."""
+        """Refuse all queued attempts; they provably did not run."""
         while (record := self._queue.pop()) is not None:
             self._refuse(record, Failure(reason, Step.AGENT_ADMIT, detail=detail))
 
-    def pump(self) -> None:
-        """Hand waiting attempts to the target as far as the gate has room."""
+    def dispatch_queued(self) -> None:
+        """Start queued attempts while the gate has room."""
         while self._gate.has_room:
             record = self._queue.pop()
             if record is None:
@@ -113,39 +114,41 @@
             self._launch(record)
 
     async def wait_idle(self) -> None:
-        """Return once nothing is at the target."""
+        """Wait until no attempt is running at the target."""
         while self._handles:
-            await anyio.sleep(DRAIN_POLL_S)
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def wait_delivered(self) -> None:
-        """Return once every answer has reached its entry.
+        """Wait until every answer has been acknowledged by its entry.
 
-        An entry that was killed acknowledges nothing, and one that gave an
-        attempt up may have lost its end.  Operators would see the stop take
-        all the time it may.  So entries are reminded: those that don't wait
-        for the answer say so, and those without a link are waited for as long
-        as it takes them to dial again.
+        A killed entry acknowledges nothing, and the end of an abandoned attempt may
+        have been lost; waiting for either would use up the whole stop timeout.
+        Ends are therefore sent repeatedly: an entry that no longer needs the answer
+        acknowledges it, and one without a link gets `ENTRY_RECONNECT_TIMEOUT_S` to
+        reconnect.
         """
         polls = 0
-        while self._handles or self._is_awaited(polls * DRAIN_POLL_S):
-            if polls % REMIND_POLLS == 0:
-                self._remind()
-            await anyio.sleep(DRAIN_POLL_S)
+        while self._handles or self._has_pending_delivery(
+            polls * DRAIN_POLL_INTERVAL_S
+        ):
+            if polls % RESEND_EVERY_POLLS == 0:
+                self._resend_ends()
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
             polls = 0 if self._handles else polls + 1
 
-    def _is_awaited(self, idle_s: float) -> bool:
+    def _has_pending_delivery(self, idle_s: float) -> bool:
         undelivered = self._table.undelivered()
-        if idle_s < REDIAL_S:
+        if idle_s < ENTRY_RECONNECT_TIMEOUT_S:
             return bool(undelivered)
-        linked = self._network.peers(Role.ENTRY)
-        return any(record.entry in linked for record in undelivered)
+        connected = self._network.peers(Role.ENTRY)
+        return any(record.entry in connected for record in undelivered)
 
-    def _remind(self) -> None:
+    def _resend_ends(self) -> None:
         for record in self._table.undelivered():
             self._send(record.entry, record.end)
 
     def _send(self, peer: str, message: Any) -> None:
-        # A failed send is no loss: the entry asks again from what it has.
+        # A failed send needs no retry: the entry resumes from the bytes it has.
         self._network.send(peer, message)
 
     def _on_start(self, sender: Sender, start: AttemptStart) -> None:
@@ -175,8 +178,8 @@
         self._send(record.entry, refusal)
 
     def _estimate_wait_s(self) -> float:
-        ahead = len(self._queue) + self._gate.in_flight
-        rounds = 1 + ahead / max(self._gate.limit, 1)
+        attempts_ahead = len(self._queue) + self._gate.in_flight
+        rounds = 1 + attempts_ahead / max(self._gate.limit, 1)
         return max(rounds * self._gate.latency_s, MIN_RETRY_AFTER_S)
 
     def _launch(self, record: AttemptRecord) -> None:
@@ -194,12 +197,12 @@
         self._policy.note_outcome(start, outcome)
         end = self._table.finish(record, outcome.kind, outcome.reason, outcome.detail)
         self._send(record.entry, end)
-        self.pump()
+        self.dispatch_queued()
 
     def _on_cancel(self, sender: Sender, cancel: AttemptCancel) -> None:
         record = self._table.get(cancel.request_id, cancel.attempt)
         if record is None:
-            answer: Any = self._table.revoke_unseen(
+            answer: Any = self._table.revoke_unknown(
                 cancel.request_id,
                 cancel.attempt,
                 sender.name,
@@ -210,7 +213,8 @@
             return
         if record.phase is AttemptPhase.QUEUED and self._queue.remove(record):
             self._refuse(
-                record, Failure(Reason.CANCELLED, Step.AGENT_ADMIT, detail="revoked")
+                record,
+                Failure(Reason.CANCELLED, Step.AGENT_ADMIT, detail="revoked"),
             )
             return
         handle = self._handles.get(record.key)
@@ -231,9 +235,9 @@
             return
         record.entry = sender.name
         self._send(sender.name, record.describe())
-        self._send_again(record, resume.offset)
+        self._resend_from(record, resume.offset)
 
-    def _send_again(self, record: AttemptRecord, offset: int) -> None:
+    def _resend_from(self, record: AttemptRecord, offset: int) -> None:
         if record.head is not None:
             self._send(record.entry, record.head)
         data = record.read_from(offset)
