--- a/bench/claims.py
+++ b/bench/claims.py
@@ -97,9 +97,13 @@
         async with anyio.create_task_group() as tasks:
             for name in ENTRIES:
                 timers = create_loop_timers()
-                terms = LedgerOptions(86_400.0, 35.0)
+                options = LedgerOptions(86_400.0, 35.0)
                 ledger = ClaimLedger(
-                    self.key_value, timers, self.unix_time, terms, lambda: len(ENTRIES)
+                    self.key_value,
+                    timers,
+                    self.unix_time,
+                    options,
+                    lambda: len(ENTRIES),
                 )
                 client = ClaimClient(name, self._join(name), timers, ledger, entries)
                 self.filters.append(
--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -65,8 +65,8 @@
 
     def record_refusal(self, latency_s: float, now_s: float) -> None:
         """Count a refusal; earlier ones decay exponentially with the latency."""
-        faded = math.exp((self.refused_s - now_s) / max(latency_s, LATENCY_MIN_S))
-        self.refused = self.refused * faded + 1
+        decayed = math.exp((self.refused_s - now_s) / max(latency_s, LATENCY_MIN_S))
+        self.refused = self.refused * decayed + 1
         self.refused_s = now_s
 
     def update_demand(self) -> None:
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -37,9 +37,13 @@
     """What is known about the result of an attempt."""
 
     OPEN = auto()
+    """The attempt may still be answered."""
     WHOLE = auto()
+    """The complete answer has arrived."""
     NOT_RUN = auto()
+    """The attempt provably did not run."""
     UNKNOWN = auto()
+    """The attempt may have run, but has no complete answer."""
 
 
 class Progress(Enum):
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -43,6 +43,7 @@
 ANSWER_BUFFER_BYTES = 16 * 1024 * 1024
 """Maximum size of the unread part of one answer."""
 ACK_INTERVAL_BYTES = 256 * 1024
+"""Bytes between two acknowledgements of an answer."""
 
 
 @dataclass(slots=True)
--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -32,7 +32,7 @@
 """Time to wait for the owner's reply before the claim is written directly."""
 DIRECT_CLAIM_TIMEOUT_S = 2.5
 OWNER_EXCLUSION_S = 5.0
-"""Time for which an owner that did not reply is not asked."""
+"""Time for which an owner that did not reply is not asked again."""
 UPDATE_RETRY_INTERVAL_S = 1.0
 UPDATE_DIRECT_AFTER_S = 3.0
 """Time after which an outcome that the owner did not confirm is written directly."""
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -191,8 +191,8 @@
         if state.is_done:
             return
         self._cache.pop(location, None)
-        # ``NOT_WRITTEN`` saves the release of the claim, which would be another
-        # write while the key-value service is already overloaded.
+        # A claim that is provably not written needs no release, which would be
+        # another write while the key-value service is already overloaded.
         may_be_written = state.is_writing or state.is_unknown
         verdict = UNCONFIRMED_VERDICT if may_be_written else ClaimVerdict.NOT_WRITTEN
         for request, on_reply in batch.claims:
--- a/reedspar/requests/claim_table.py
+++ b/reedspar/requests/claim_table.py
@@ -82,7 +82,10 @@
         return ClaimSlice(tuple(self._encoded.values()))
 
     def claim(self, request: ClaimRequest, now_s: float) -> tuple[ClaimReply, bool]:
-        """Return the reply at Unix time `now_s`, and whether the table changed."""
+        """Apply a claim at Unix time `now_s`.
+
+        Return the reply, and whether the table changed.
+        """
         record = self.records.get(request.claim_key)
         if record is None:
             return self._grant(request, now_s)
--- a/reedspar/requests/quarantine.py
+++ b/reedspar/requests/quarantine.py
@@ -17,7 +17,7 @@
 """How long a blamed fingerprint is refused after its last crash."""
 CRASHES_MAX = 256
 """Maximum number of crashes remembered."""
-CRASHES_TO_BLAME = 2
+SUSPECT_CRASHES_MIN = 2
 """Number of crashes that make a fingerprint a suspect."""
 
 
@@ -87,7 +87,7 @@
             for fingerprint in crash.fingerprints:
                 if self._cleared_s.get(fingerprint, -1.0) < crash.at_s:
                     counts[fingerprint] = counts.get(fingerprint, 0) + 1
-        return {name for name, count in counts.items() if count >= CRASHES_TO_BLAME}
+        return {name for name, count in counts.items() if count >= SUSPECT_CRASHES_MIN}
 
     def _update_blamed(self) -> None:
         suspects = self._suspects()
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -26,7 +26,7 @@
 __all__ = ["Relay"]
 
 BROKEN_ATTEMPTS_MAX = 2
-"""Maximum number of attempts of a request that break, as it may be the cause."""
+"""Broken attempts after which a request is not retried, as it may be the cause."""
 NOT_TARGET_FAULT_REASONS = frozenset({Reason.CORRUPT, Reason.TIMEOUT, Reason.CANCELLED})
 """Reasons of unknown outcomes that don't count as a broken target."""
 TARGET_POLL_INTERVAL_S = 0.1
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -123,8 +123,8 @@
         async with anyio.create_task_group() as tasks:
             for name in ENTRIES:
                 timers = create_loop_timers()
-                terms = LedgerOptions(TTL_S, 35.0)
-                ledger = ClaimLedger(self.key_value, timers, self.unix_time, terms)
+                options = LedgerOptions(TTL_S, 35.0)
+                ledger = ClaimLedger(self.key_value, timers, self.unix_time, options)
                 client = ClaimClient(name, mesh.add(name), timers, ledger, entries)
                 self.filters[name] = Deduplicate(client, timers, self.unix_time, TTL_S)
                 tasks.start_soon(ledger.run)
--- a/reedspar/requests/tests/test_decisions.py
+++ b/reedspar/requests/tests/test_decisions.py
@@ -54,7 +54,10 @@
         self.answered: dict[str, int] = {}
 
     def run(
-        self, rates: dict[str, float], terms: dict[str, WorkspaceLimits], seconds: float
+        self,
+        rates: dict[str, float],
+        limits: dict[str, WorkspaceLimits],
+        seconds: float,
     ) -> None:
         """Send `rates` requests a second of 0.1 s each; count after half the time."""
         names = list(rates)
@@ -65,7 +68,7 @@
             name = self.rng.choices(names, list(rates.values()))[0]
             if now_s > seconds / 2:
                 self.offered[name] = self.offered.get(name, 0) + 1
-            if self.control.try_admit(name, terms[name], now_s) is not None:
+            if self.control.try_admit(name, limits[name], now_s) is not None:
                 continue
             if len(self.busy) >= 2 * self.capacity:
                 self.control.on_refused(name, now_s)
@@ -93,8 +96,8 @@
         # small workspace's requests must be answered, as they are within its share.
         for seed in range(5):
             pool = SimulatedPool(20, seed)
-            terms = dict.fromkeys(("big", "small"), WorkspaceLimits())
-            pool.run({"big": 800, "small": 40}, terms, 20)
+            limits = dict.fromkeys(("big", "small"), WorkspaceLimits())
+            pool.run({"big": 800, "small": 40}, limits, 20)
             self.assertGreater(pool.share("small"), 0.85)
             total = sum(pool.answered.values()) / 10
             self.assertGreater(total, 0.95 * 200)
@@ -103,20 +106,20 @@
         # Many streams that take minutes start within a second.  A window that
         # grows only with answers would refuse nearly all, with targets idle.
         control = AdmissionControl()
-        terms = WorkspaceLimits(max_in_flight=1000)
+        limits = WorkspaceLimits(max_in_flight=1000)
         for number in range(400):
             failure = control.try_admit(
-                "w", terms, number / 400, has_spare_capacity=True
+                "w", limits, number / 400, has_spare_capacity=True
             )
             self.assertIsNone(failure)
 
     def test_low_priority_is_refused_first(self) -> None:
         pool = SimulatedPool(20, 1)
-        terms = {
+        limits = {
             "counter": WorkspaceLimits(share=4, priority=9),
             "batch": WorkspaceLimits(priority=0),
         }
-        pool.run({"counter": 120, "batch": 400}, terms, 20)
+        pool.run({"counter": 120, "batch": 400}, limits, 20)
         self.assertGreater(pool.share("counter"), 0.9)
         self.assertLess(pool.share("batch"), 0.35)
 
@@ -130,9 +133,9 @@
         for now_s, (step, number) in enumerate(steps):
             name = f"w{number}"
             if step < 3:
-                terms = WorkspaceLimits(max_in_flight=3)
+                limits = WorkspaceLimits(max_in_flight=3)
                 window = control.window
-                if control.try_admit(name, terms, now_s / 10) is None:
+                if control.try_admit(name, limits, now_s / 10) is None:
                     held.append(name)
                     self.assertLessEqual(len(held), max(1, window))
             elif held:
