--- a/reedspar/weights/catalog.py
+++ b/reedspar/weights/catalog.py
@@ -76,7 +76,7 @@
         self._left_s: Callable[[str], float | None] = lambda model: None
         self._prefetch: Callable[[Manifest], None] = lambda manifest: None
         self._prefetched: set[tuple[str, int]] = set()
-        self._named_s: dict[tuple[str, int], float] = {}
+        self._named_at_s: dict[tuple[str, int], float] = {}
         self._rng = rng
         self._named_versions: dict[str, int] = {}
         self._known: dict[tuple[str, int], KnownVersion] = {}
@@ -113,8 +113,8 @@
     def service_deadline_s(self, model: str, served: int) -> float:
         """Return when a version may no longer be served, as a newer one was named."""
         newer = [
-            named_s
-            for (name, version), named_s in self._named_s.items()
+            named_at_s
+            for (name, version), named_at_s in self._named_at_s.items()
             if name == model and version > served
         ]
         return min(newer, default=float("inf")) + self._version_bound_s
@@ -123,15 +123,15 @@
         """Set the version that targets are to serve; ignore older versions."""
         if version > self._named_versions.get(model, 0):
             if model in self._named_versions:
-                self._named_s[model, version] = self._timers.now_s()
+                self._named_at_s[model, version] = self._timers.now_s()
             self._named_versions[model] = version
             self._wakeup.set()
 
-    def record_naming_time(self, model: str, version: int, named_s: float) -> None:
+    def record_naming_time(self, model: str, version: int, named_at_s: float) -> None:
         """Record that a version was named earlier than this agent learned of it."""
-        known_s = self._named_s.get((model, version))
-        if known_s is not None and named_s < known_s:
-            self._named_s[model, version] = named_s
+        known_s = self._named_at_s.get((model, version))
+        if known_s is not None and named_at_s < known_s:
+            self._named_at_s[model, version] = named_at_s
 
     def find_version(self, root_digest: str) -> tuple[str, int] | None:
         """Return the model and version with a root digest, or None if unknown."""
@@ -184,20 +184,20 @@
         if current is None or left_s is None:
             return False
         number = current.manifest.sequence
-        named_s = self._named_s.get((model, number))
-        next_named_s = self._named_s.get((model, version))
-        if named_s is None or next_named_s is None:
+        named_at_s = self._named_at_s.get((model, number))
+        next_named_at_s = self._named_at_s.get((model, version))
+        if named_at_s is None or next_named_at_s is None:
             return False
         copy_s = current.manifest.size_bytes / self._link_bytes_per_s
-        current_until_s = next_named_s + self._version_bound_s
+        current_until_s = next_named_at_s + self._version_bound_s
         # Decided by the times of naming, which are the same on all agents.  If each
         # agent used its own missing chunks, half of the fleet would drop the version
         # while the others finish it, and neither version would arrive in time.
         succession = Succession(
-            next_named_s,
-            max(0.0, named_s + copy_s - next_named_s),
+            next_named_at_s,
+            max(0.0, named_at_s + copy_s - next_named_at_s),
             copy_s,
-            named_s + self._version_bound_s,
+            named_at_s + self._version_bound_s,
             current_until_s,
         )
         is_in_time = self._timers.now_s() + left_s + LOAD_DURATION_S < current_until_s
--- a/reedspar/weights/tests/fakes.py
+++ b/reedspar/weights/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the weight controller, driven by virtual time."""
+"""Fakes of the interfaces of the weight controller, driven by virtual time."""
 
 from collections import Counter, deque
 from collections.abc import Awaitable, Callable
@@ -31,25 +31,25 @@
 
 MODEL = "quotes"
 POOL = "models"
-TURNS_PER_STEP = 20
+CHECKPOINTS_PER_STEP = 20
 ORDER_SETTLE_S = 0.3
 
 
 class FakeOrigin:
-    """Objects in memory, with an outage and corruption to switch on."""
+    """Stores objects in memory; can be unavailable or return corrupt data."""
 
     def __init__(self) -> None:
         self.objects: dict[str, bytes] = {}
         self.reads: Counter[str] = Counter()
         self.puts: list[str] = []
-        self.is_away = False
+        self.is_unavailable = False
         self.corrupt_next = 0
 
     async def has(self, name: str) -> bool | Failure:
         return name in self.objects
 
     async def put(self, name: str, data: bytes) -> Failure | None:
-        if self.is_away:
+        if self.is_unavailable:
             return Failure(Reason.UNAVAILABLE, Step.MANIFEST, "origin")
         self.puts.append(name)
         self.objects[name] = data
@@ -57,7 +57,7 @@
 
     async def read(self, name: str, offset: int, size_bytes: int) -> bytes | Failure:
         await anyio.lowlevel.checkpoint()
-        if self.is_away:
+        if self.is_unavailable:
             return Failure(Reason.UNAVAILABLE, Step.ORIGIN_DRAW, "origin")
         self.reads[name] += 1
         data = self.objects[name]
@@ -72,7 +72,7 @@
 
 
 class FakeEngine:
-    """Keeps chunks, and computes its own digest as engines do."""
+    """Stores staged chunks and computes the digest of loaded weights."""
 
     def __init__(self, checks_fencing: bool = True) -> None:
         self.checks_fencing = checks_fencing
@@ -83,12 +83,12 @@
         self.orders: list[LoadOrder] = []
         self.load_failures: deque[Failure] = deque()
         self.load_steps = 0
-        self._turns = 0
+        self._checkpoints = 0
 
-    def turns(self) -> int:
-        """Return how often the engine was waited for."""
-        self._turns += 1
-        return self._turns
+    def count_checkpoint(self) -> int:
+        """Count a checkpoint of a load; return the total."""
+        self._checkpoints += 1
+        return self._checkpoints
 
     def restart(self) -> None:
         self.boot += 1
@@ -111,8 +111,8 @@
         return None
 
     async def load(self, order: LoadOrder) -> Failure | None:
-        until = self.turns() + self.load_steps * TURNS_PER_STEP
-        while self.turns() < until:
+        until = self.count_checkpoint() + self.load_steps * CHECKPOINTS_PER_STEP
+        while self.count_checkpoint() < until:
             await anyio.lowlevel.checkpoint()
         if self.load_failures:
             return self.load_failures.popleft()
@@ -130,7 +130,7 @@
 
 
 class FakeConfiguration:
-    """A document that tests change."""
+    """Provides a document that tests can change."""
 
     def __init__(self) -> None:
         self.document = ConfigurationDocument()
@@ -149,7 +149,7 @@
 
 
 class FakeFencing:
-    """Numbers in memory that outlive the agents of a test."""
+    """Issues numbers that persist when the agents of a test are replaced."""
 
     def __init__(self) -> None:
         self.record = FencingRecord()
@@ -167,7 +167,7 @@
 
 
 class FakeGate:
-    """Counts switches."""
+    """Records switches."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -181,7 +181,7 @@
 
 
 class FakeLinks:
-    """Delivers messages between agents in order, in the next turn."""
+    """Delivers messages between agents in order, at the next `deliver`."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, type], Any] = {}
@@ -190,8 +190,8 @@
         self.dead: set[str] = set()
         self.link_listeners: dict[str, Any] = {}
 
-    def forget(self, name: str) -> None:
-        """Drop the handlers of an agent that died."""
+    def remove_agent(self, name: str) -> None:
+        """Remove the handlers of a dead agent."""
         for key in [key for key in self.handlers if key[0] == name]:
             del self.handlers[key]
 
@@ -204,7 +204,7 @@
 
 
 class FakeNetwork:
-    """One agent's end of the links."""
+    """The network interface of one agent."""
 
     def __init__(self, name: str, links: FakeLinks) -> None:
         self._name = name
@@ -228,7 +228,7 @@
 
 
 class FakePeers:
-    """All agents of the test but one."""
+    """Returns all agents of the test except one."""
 
     def __init__(self, me: str, agents: list[WeightPeer]) -> None:
         self._me = me
@@ -239,7 +239,7 @@
 
 
 class Agent:
-    """A controller and the fakes around it."""
+    """A controller with its fakes."""
 
     def __init__(self, pool: "AgentPool", peer: WeightPeer, checks_fencing: bool):
         self.peer = peer
@@ -284,7 +284,7 @@
 
 
 class AgentPool:
-    """Agents before one origin, under one virtual clock."""
+    """Agents with a shared origin and virtual clock."""
 
     def __init__(self, peers: list[WeightPeer], checks_fencing: bool = True) -> None:
         self.clock = VirtualClock()
@@ -297,25 +297,25 @@
         self.version: Any = None
         self.agents = [Agent(self, peer, checks_fencing) for peer in peers]
 
-    async def replace(self, agent: Agent) -> None:
-        """Let an agent's process die and another take its place."""
+    async def replace_agent(self, agent: Agent) -> None:
+        """Stop an agent's process and start another one in its place."""
         successor = Agent(self, agent.peer, agent.engine.checks_fencing)
         successor.engine = agent.engine
         successor.fencing = agent.fencing
         agent.scope.cancel()
-        self.links.forget(agent.peer.name)
+        self.links.remove_agent(agent.peer.name)
         await anyio.lowlevel.checkpoint()
         self.agents[self.agents.index(agent)] = successor
         self.tasks.start_soon(successor.run)
         await anyio.lowlevel.checkpoint()
 
-    async def wait_settled(self) -> None:
-        """Let real time pass until the order's settling time is over."""
+    async def wait_for_order_expiry(self) -> None:
+        """Wait in real time until `order_settle_s` has passed."""
         await anyio.sleep(2 * ORDER_SETTLE_S)
         await self.step(0.5)
 
     async def publish(self, weights: bytes, sequence: int = 1) -> ModelVersion:
-        """Publish weights, and make them the configured version."""
+        """Publish weights and configure them as the current version."""
         publication = await publish_weights(
             self.origin, MODEL, f"v{sequence}", sequence, weights, 1024
         )
@@ -325,11 +325,11 @@
         return publication.version
 
     async def step(self, seconds: float) -> None:
-        """Let time pass, and everything that is ready run."""
+        """Advance the clock, and run due timers and ready tasks."""
         for _ in range(round(seconds / 0.05)):
             self.clock.advance(0.05)
             self.timers.run_due()
-            for _ in range(TURNS_PER_STEP):
+            for _ in range(CHECKPOINTS_PER_STEP):
                 self.links.deliver()
                 await anyio.lowlevel.checkpoint()
 
@@ -360,8 +360,8 @@
     )
 
 
-def run_pool(pool: AgentPool, history: Callable[[AgentPool], Awaitable[None]]) -> None:
-    """Start the agents of a pool, and let a history happen to them."""
+def run_pool(pool: AgentPool, scenario: Callable[[AgentPool], Awaitable[None]]) -> None:
+    """Start the agents of a pool and run a scenario on them."""
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -369,7 +369,7 @@
             for agent in pool.agents:
                 tasks.start_soon(agent.run)
             await anyio.lowlevel.checkpoint()
-            await history(pool)
+            await scenario(pool)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/reedspar/weights/tests/staged_cases.py
+++ b/reedspar/weights/tests/staged_cases.py
@@ -1,4 +1,4 @@
-"""Test helper that builds staged versions."""
+"""Test helper that creates staged versions."""
 
 from reedspar.configuration import ModelVersion
 from reedspar.errors import Failure
--- a/reedspar/weights/tests/test_activation.py
+++ b/reedspar/weights/tests/test_activation.py
@@ -1,4 +1,4 @@
-"""Tests that a roll-out keeps serving, and that it ends."""
+"""Tests that a roll-out completes and keeps most targets in service."""
 
 import random
 import unittest
@@ -14,18 +14,18 @@
 
 MODEL = "quotes"
 STEP_S = 0.05
-SWITCH_S = 1.0
+SWITCH_DURATION_S = 1.0
 SHARE = 0.34
 
 
 class RolloutAgent:
-    """A target that gets its chunks at some time and then takes its turn."""
+    """A target that has all chunks at a given time and then switches when allowed."""
 
-    def __init__(self, name: str, names: list[str], whole_s: float) -> None:
+    def __init__(self, name: str, names: list[str], staged_at_s: float) -> None:
         self.name = name
-        self.whole_s = whole_s
+        self.staged_at_s = staged_at_s
         self.phase = VersionPhase.FETCHING
-        self.done_s = 0.0
+        self.switched_at_s = 0.0
         self.is_dead = False
         self.frozen_until_s = 0.0
         self.version: Any = SimpleNamespace(
@@ -36,19 +36,19 @@
         self.rollout.set_peers(MODEL, names)
 
     def step(self, now_s: float) -> list[Any]:
-        if self.phase is VersionPhase.FETCHING and now_s >= self.whole_s:
+        if self.phase is VersionPhase.FETCHING and now_s >= self.staged_at_s:
             self.phase = VersionPhase.WAITING
         elif self.phase is VersionPhase.WAITING:
             if self.rollout.may_switch(self.version, now_s):
                 self.phase = VersionPhase.SWITCHING
-                self.done_s = now_s + SWITCH_S
-        elif self.phase is VersionPhase.SWITCHING and now_s >= self.done_s:
+                self.switched_at_s = now_s + SWITCH_DURATION_S
+        elif self.phase is VersionPhase.SWITCHING and now_s >= self.switched_at_s:
             self.phase = VersionPhase.SERVING
         return self.rollout.tick(now_s)
 
 
-class RolloutHistory:
-    """A pool under a random history of deaths, pauses and late messages."""
+class RolloutSimulation:
+    """A pool with dead targets, paused targets and delayed messages."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -58,8 +58,8 @@
             for name in names
         }
         self.now_s = 0.0
-        self.on_way: list[tuple[float, str, Any]] = []
-        self.most_switching = 0
+        self.in_flight: list[tuple[float, str, Any]] = []
+        self.max_switching = 0
 
     @property
     def live(self) -> list[RolloutAgent]:
@@ -70,32 +70,32 @@
         for other in self.live:
             other.rollout.set_peers(MODEL, [a.name for a in self.live])
 
-    def post(self, sender: str, actions: list[Any]) -> None:
+    def send(self, sender: str, actions: list[Any]) -> None:
         for action in actions:
             due_s = self.now_s + self.rng.uniform(0.0, 0.3)
-            self.on_way.append((due_s, sender, action))
+            self.in_flight.append((due_s, sender, action))
 
     def step(self) -> None:
         self.now_s += STEP_S
-        due = [item for item in self.on_way if item[0] <= self.now_s]
-        self.on_way = [item for item in self.on_way if item[0] > self.now_s]
+        due = [item for item in self.in_flight if item[0] <= self.now_s]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now_s]
         for _, sender, action in due:
             self.deliver(sender, action)
         for agent in self.live:
             if agent.frozen_until_s <= self.now_s:
-                self.post(agent.name, agent.step(self.now_s))
+                self.send(agent.name, agent.step(self.now_s))
         switching = sum(a.phase is VersionPhase.SWITCHING for a in self.live)
-        self.most_switching = max(self.most_switching, switching)
+        self.max_switching = max(self.max_switching, switching)
 
     def deliver(self, sender: str, action: Any) -> None:
         agent = self.agents[action.peer]
         if agent.is_dead:
             return
         if agent.frozen_until_s > self.now_s:
-            self.on_way.append((agent.frozen_until_s, sender, action))
+            self.in_flight.append((agent.frozen_until_s, sender, action))
             return
         answer = agent.rollout.receive(sender, action.message, self.now_s)
-        self.post(agent.name, answer)
+        self.send(agent.name, answer)
 
     def run_until_served(self, limit_s: float) -> bool:
         while self.now_s < limit_s:
@@ -110,37 +110,37 @@
     @settings(max_examples=40, derandomize=True, deadline=None)
     @given(st.integers(1, 7), st.integers(0, 10_000))
     def test_no_more_than_the_share_switch_at_once(self, size, seed) -> None:
-        # Chunks arrive everywhere at about the same time.  Were all targets to
-        # switch then, callers would find none for as long as a load takes.
-        history = RolloutHistory(size, seed)
-        self.assertTrue(history.run_until_served(60.0))
-        self.assertLessEqual(history.most_switching, max(1, int(SHARE * size)))
+        # Guards against all targets switching when their chunks arrive at about the
+        # same time, which would leave callers without a target for a load.
+        simulation = RolloutSimulation(size, seed)
+        self.assertTrue(simulation.run_until_served(60.0))
+        self.assertLessEqual(simulation.max_switching, max(1, int(SHARE * size)))
 
     @settings(max_examples=40, derandomize=True, deadline=None)
     @given(st.integers(2, 7), st.integers(0, 10_000))
     def test_roll_out_ends_though_targets_die_and_freeze(self, size, seed) -> None:
-        # A target dies while it holds a turn, another is paused for long.
-        # The others would keep the older version for good if they waited.
-        history = RolloutHistory(size, seed)
-        for _ in range(history.rng.randrange(40)):
-            history.step()
-        agents = history.rng.sample(list(history.agents.values()), 2)
+        # Guards against targets that wait forever for a target that died during its
+        # switch, or for one that is paused, and keep the older version.
+        simulation = RolloutSimulation(size, seed)
+        for _ in range(simulation.rng.randrange(40)):
+            simulation.step()
+        agents = simulation.rng.sample(list(simulation.agents.values()), 2)
         if size > 2:
-            history.kill(agents[0])
+            simulation.kill(agents[0])
         agents[1].frozen_until_s = 1000.0
-        self.assertTrue(history.run_until_served(120.0))
+        self.assertTrue(simulation.run_until_served(120.0))
 
-    def test_late_waiter_does_not_go_by_what_was_said_before(self) -> None:
-        # Two targets become ready within one message's delay.  Each had heard
-        # that the other was still fetching, and both would switch at once.
+    def test_phases_received_before_waiting_are_ignored(self) -> None:
+        # Guards against two targets switching at the same time.  They become ready
+        # within one message delay, and each was told that the other is still fetching.
         names = ["agent-0", "agent-1"]
-        history = RolloutHistory(2, 3)
+        simulation = RolloutSimulation(2, 3)
         for name in names:
-            history.agents[name].whole_s = 5.0
+            simulation.agents[name].staged_at_s = 5.0
         for _ in range(80):
-            history.step()
-        self.assertTrue(history.run_until_served(60.0))
-        self.assertEqual(history.most_switching, 1)
+            simulation.step()
+        self.assertTrue(simulation.run_until_served(60.0))
+        self.assertEqual(simulation.max_switching, 1)
 
 
 class CohortTest(unittest.TestCase):
@@ -152,7 +152,7 @@
             other = choose_cohort(cohort[0], names)
             self.assertEqual({name, *cohort}, {cohort[0], *other})
 
-    def test_one_target_alone_may_switch(self) -> None:
+    def test_single_target_may_switch(self) -> None:
         decision = SwitchDecision("agent-0", SHARE)
         decision.set_peers([])
         decision.begin_waiting("a" * 64, 0.0)
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""Tests of entries that hold copies of versions for the agents of their region."""
+"""Tests of entries that cache versions for the agents of their region."""
 
 import unittest
 from dataclasses import replace
@@ -10,11 +10,11 @@
 from reedspar.weights.limits import OPEN_ORIGIN_READS_MAX
 
 TIME_LIMIT_S = 60.0
-LATE_MANIFEST_S = 0.2
+MANIFEST_DELAY_S = 0.2
 CACHE = "occidente-cache-0"
 FIRST_RESTART_S = 0.4
-RESTART_GAP_S = 0.7
-AWAY_S = 0.5
+RESTART_INTERVAL_S = 0.7
+RESTART_DURATION_S = 0.5
 
 
 class CacheTest(unittest.TestCase):
@@ -37,9 +37,9 @@
         self.assertTrue(self.fleet.events.run(self.fleet.is_finished, TIME_LIMIT_S))
         return self.fleet.events.now_s
 
-    def test_entry_that_restarts_gets_nothing_that_nobody_lacks(self) -> None:
-        # Entries restart in turn while all targets serve a version.  Each got its part
-        # of the version again, over the links between regions that requests share.
+    def test_restarted_entry_fetches_no_unneeded_chunks(self) -> None:
+        # Guards against restarted entries that fetch their assigned chunks again, over
+        # links shared with requests, although all targets have the version.
         self.begin()
         self.finish()
         drawn = self.fleet.origin_bytes
@@ -52,9 +52,9 @@
             successor.decide.object_bytes(self.manifest.chunks[0].digest), None
         )
 
-    def test_entry_that_learns_of_a_version_later_serves_it_at_once(self) -> None:
-        # One entry reads the manifest a moment after the agents have asked it for what
-        # it holds.  They asked again a second later, and the version came that late.
+    def test_entry_that_reads_a_manifest_late_serves_requests_immediately(self) -> None:
+        # Guards against a transfer that is delayed by 1 s.  Agents request the map of an
+        # entry before it has read the manifest, and repeat the request only after 1 s.
         self.begin(late=CACHE)
         events = self.fleet.events
         cache = self.fleet.agents[CACHE]
@@ -63,32 +63,32 @@
             cache.decide.register_version(self.manifest, events.now_s)
             cache.pump()
 
-        events.at(LATE_MANIFEST_S, learn)
+        events.at(MANIFEST_DELAY_S, learn)
         late_s = self.finish()
         copy_s = self.manifest.size_bytes / (self.case.link_mbps * 125_000)
-        self.assertLess(late_s, 1.2 * copy_s + LATE_MANIFEST_S)
+        self.assertLess(late_s, 1.2 * copy_s + MANIFEST_DELAY_S)
 
-    def test_entries_that_restart_in_turn_load_the_origin_little(self) -> None:
-        # All entries are restarted in turn while a version travels, and each time their
-        # parts go to others.  What the one entry near the origin held is lost with it;
-        # beyond that each restart may cost what was being read, and no more.
+    def test_rolling_restart_of_entries_repeats_few_origin_reads(self) -> None:
+        # Guards against repeated origin reads when all entries restart in turn during a
+        # transfer, which moves their assignments.  The chunks of the only entry in the
+        # origin's region are lost; other restarts may only repeat their open reads.
         self.begin()
         events = self.fleet.events
         names = [a.peer.name for a in self.fleet.live if a.peer.is_cache]
         for turn, name in enumerate(names):
             events.at(
-                FIRST_RESTART_S + turn * RESTART_GAP_S,
-                lambda name=name: self.leave_and_return(name),
+                FIRST_RESTART_S + turn * RESTART_INTERVAL_S,
+                lambda name=name: self.restart_later(name),
             )
         self.finish()
         copies = self.fleet.origin_bytes / self.manifest.size_bytes
         open_reads = OPEN_ORIGIN_READS_MAX * len(names) / self.case.chunk_count
         self.assertLess(copies, 2.0 + open_reads)
 
-    def test_version_that_was_replaced_is_drawn_no_more(self) -> None:
-        # A version is replaced before it has come, and entries restart.  The parts of
-        # those that were away went to others, which read the old version again for
-        # nobody: the new one came at two thirds of the origin's rate.
+    def test_replaced_version_is_not_read_from_the_origin(self) -> None:
+        # Guards against a new version arriving at two thirds of the origin's rate.
+        # When entries restarted, others took over their chunks of the replaced version
+        # and read it again although no agent needed it.
         self.begin()
         fleet = self.fleet
         fleet.events.run(lambda: False, 0.6)
@@ -103,27 +103,26 @@
         self.begin()
         fleet.events.run(lambda: False, 0.8)
         with mock.patch.object(fleet, "read_origin", wraps=fleet.read_origin) as read:
-            self.leave_and_return("centro-cache-0")
+            self.restart_later("centro-cache-0")
             self.finish()
         digests = {call.args[1] for call in read.call_args_list}
         self.assertFalse(digests & set(older.chunk_digests))
 
-    def leave_and_return(self, name: str) -> None:
+    def restart_later(self, name: str) -> None:
         leaving = self.fleet.agents[name]
         leaving.is_dead = True
         self.fleet.set_views(MODEL)
 
-        def come_back() -> None:
+        def start_again() -> None:
             restart(self.fleet, name, self.manifest)
             self.fleet.set_views(MODEL)
 
-        self.fleet.events.at(self.fleet.events.now_s + AWAY_S, come_back)
+        self.fleet.events.at(self.fleet.events.now_s + RESTART_DURATION_S, start_again)
 
-    def test_origin_that_returns_is_not_flooded(self) -> None:
-        # A second version is named just before the origin goes away.  When it is back
-        # all agents lack most of it, and each read large chunks past the entries: reads
-        # timed out and were begun again, thirty copies left the origin in a minute, and
-        # no target had the version.
+    def test_origin_is_not_overloaded_after_an_outage(self) -> None:
+        # Guards against an origin that sends thirty copies in a minute while no target
+        # completes the version.  After an outage all agents lack most of it.  Each read
+        # large chunks from the origin directly, and reads timed out and were repeated.
         case = replace(
             self.case,
             link_mbps=7.0,
@@ -158,9 +157,9 @@
         self.assertEqual({len(digests) for digests in held}, {case.chunk_count})
         self.assertLess(fleet.origin_bytes, 4 * first.size_bytes)
 
-    def test_region_without_an_entry_gets_the_version_all_the_same(self) -> None:
-        # The entries of one region are all away.  Its agents draw what the others bring
-        # to the links between regions, and send it to each other.
+    def test_region_without_entries_receives_the_version(self) -> None:
+        # Guards against additional origin reads when a region has no entries.  Its
+        # agents fetch chunks from other regions and exchange them.
         case = replace(self.case, caches={"centro": 1, "occidente": 3})
         self.fleet = create_fleet(case)
         _, self.fleet.objects = make_weights(case.chunk_count, case.chunk_bytes)
@@ -179,7 +178,7 @@
 
 
 def restart(fleet: Fleet, name: str, manifest: Manifest) -> FleetAgent:
-    """Let a cache come back with nothing, under its old name."""
+    """Restart a cache with empty memory under the same name."""
     before = fleet.agents[name]
     before.is_dead = True
     successor = FleetAgent(fleet, before.peer, fleet.create(before.peer))
--- a/reedspar/weights/tests/test_fencing.py
+++ b/reedspar/weights/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tests that fencing numbers only grow, whatever the key-value service loses."""
+"""Tests that fencing numbers always increase despite key-value service faults."""
 
 import unittest
 from collections import deque
@@ -16,11 +16,11 @@
 
 
 class FakeKeyValue:
-    """One service for many agents; each call takes the next fault."""
+    """A key-value service for several agents; each call has the next fault."""
 
     def __init__(self, faults: list[str]) -> None:
         self.entries: dict[str, KeyValueEntry] = {}
-        self.older: dict[str, KeyValueEntry] = {}
+        self.previous_entries: dict[str, KeyValueEntry] = {}
         self.faults = deque(faults)
         self.writes = 0
 
@@ -28,7 +28,7 @@
         fault = self._next_fault()
         if fault == "away":
             return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
-        return (self.older if fault == "stale" else self.entries).get(key)
+        return (self.previous_entries if fault == "stale" else self.entries).get(key)
 
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int, lease_id: str = ""
@@ -41,7 +41,7 @@
         if revision != expected_revision:
             return Failure(Reason.CONFLICT, Step.KEY_VALUE)
         if entry:
-            self.older[key] = entry
+            self.previous_entries[key] = entry
         self.entries[key] = KeyValueEntry(key, value, revision + 1)
         self.writes += 1
         if fault == "lost":
@@ -52,7 +52,7 @@
         return self.faults.popleft() if self.faults else ""
 
 
-def take(key_value: FakeKeyValue, sequence: int, target: str = "agent-1"):
+def request_number(key_value: FakeKeyValue, sequence: int, target: str = "agent-1"):
     numbers = KeyValueFencing(target, key_value, 0.0)
     return anyio.run(numbers.next_number, "quotes", f"{sequence:064x}", sequence)
 
@@ -60,35 +60,37 @@
 class FencingTest(unittest.TestCase):
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(st.lists(st.sampled_from(FAULTS), max_size=12))
-    def test_numbers_grow_through_lost_answers_and_stale_reads(self, faults) -> None:
-        # Answers are lost after the write took effect, reads are old, and the
-        # agent is replaced between orders.  A number given twice would let a
-        # paused agent's order pass for the newer one's.
+    def test_numbers_increase_despite_lost_answers_and_stale_reads(
+        self, faults
+    ) -> None:
+        # Guards against a number issued twice, which would let an engine accept a
+        # paused agent's order in place of a newer one.  Answers to successful writes
+        # are lost, reads are stale, and the agent is replaced between orders.
         key_value = FakeKeyValue(faults)
-        numbers = [take(key_value, 1) for _ in range(4)]
-        given_out = [n for n in numbers if not isinstance(n, Failure)]
-        self.assertEqual(given_out, sorted(set(given_out)))
+        numbers = [request_number(key_value, 1) for _ in range(4)]
+        issued_numbers = [n for n in numbers if not isinstance(n, Failure)]
+        self.assertEqual(issued_numbers, sorted(set(issued_numbers)))
 
-    def test_newer_version_fences_an_older_one_of_another_incarnation(self) -> None:
-        # An agent that was paused wakes with an old configuration and wants to
-        # order the version before.  Callers would be taken back to it.
+    def test_older_version_of_another_agent_process_is_fenced(self) -> None:
+        # Guards against a return to the previous version, ordered by an agent that was
+        # paused and resumes with an old configuration.
         key_value = FakeKeyValue([])
-        take(key_value, 2)
-        failure = take(key_value, 1)
+        request_number(key_value, 2)
+        failure = request_number(key_value, 1)
         assert isinstance(failure, Failure)
         self.assertIs(failure.reason, Reason.FENCED)
 
-    def test_record_tells_the_successor_what_may_be_served(self) -> None:
+    def test_record_contains_the_last_two_ordered_versions(self) -> None:
         key_value = FakeKeyValue([])
         for sequence in (1, 2, 3):
-            take(key_value, sequence)
+            request_number(key_value, sequence)
         record = anyio.run(KeyValueFencing("agent-1", key_value, 0.0).read)
         assert isinstance(record, FencingRecord)
         self.assertEqual([v.sequence for v in record.ordered], [2, 3])
 
-    def test_outage_lets_the_same_version_be_ordered_again(self) -> None:
-        # The engine restarts while the key-value service is away.  It would
-        # stay empty until the service is back.
+    def test_same_version_can_be_ordered_again_during_an_outage(self) -> None:
+        # Guards against an engine that restarts during an outage of the key-value
+        # service and has no weights until the service returns.
         key_value = FakeKeyValue([])
         numbers = KeyValueFencing("agent-1", key_value, 0.0)
         first = anyio.run(numbers.next_number, "quotes", "a" * 64, 1)
--- a/reedspar/weights/tests/test_manifest.py
+++ b/reedspar/weights/tests/test_manifest.py
@@ -1,4 +1,4 @@
-"""Tests that a manifest names exactly its weights, and that bad ones are refused."""
+"""Tests of manifests: digests, encoding and validation."""
 
 import hashlib
 import tempfile
@@ -24,7 +24,7 @@
 
 
 class ManifestTest(unittest.TestCase):
-    def test_root_digest_is_over_the_hex_digests_in_order(self) -> None:
+    def test_root_digest_is_the_digest_of_the_ordered_hex_digests(self) -> None:
         manifest = build(WEIGHTS)
         pieces = [WEIGHTS[:1000], WEIGHTS[1000:2000], WEIGHTS[2000:]]
         joined = "".join(hashlib.sha256(piece).hexdigest() for piece in pieces)
@@ -33,7 +33,7 @@
         )
         self.assertEqual(manifest.size_bytes, len(WEIGHTS))
 
-    def test_file_and_bytes_give_the_same(self) -> None:
+    def test_file_and_bytes_have_the_same_manifest(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory, "weights")
             path.write_bytes(WEIGHTS)
@@ -43,17 +43,17 @@
         data = encode_manifest(build(WEIGHTS))
         self.assertEqual(decode_manifest(data, digest_bytes(data)), build(WEIGHTS))
 
-    def test_damaged_bytes_are_corrupt(self) -> None:
-        # A byte flips on the way from the origin.  Were the manifest used,
-        # the target would be given other weights than those published.
+    def test_corrupt_bytes_are_rejected(self) -> None:
+        # Guards against staging other weights than the published ones after a byte of
+        # the manifest was corrupted in transit.
         data = encode_manifest(build(WEIGHTS))
         failure = decode_manifest(data[:-1] + b"]", digest_bytes(data))
         assert isinstance(failure, Failure)
         self.assertIs(failure.reason, Reason.CORRUPT)
 
-    def test_chunks_that_do_not_make_the_root_are_invalid(self) -> None:
-        # A tool of another release published a manifest whose root digest
-        # is not that of its chunks: no engine could ever confirm it.
+    def test_mismatched_root_digest_is_invalid(self) -> None:
+        # Guards against accepting a manifest with a wrong root digest, published by a
+        # tool of another release, which no engine could ever confirm.
         data = encode_manifest(build(WEIGHTS))
         data = data.replace(build(WEIGHTS).root_digest.encode(), b"0" * 64)
         failure = decode_manifest(data, digest_bytes(data))
@@ -61,7 +61,7 @@
         self.assertIs(failure.reason, Reason.INVALID)
         self.assertIn("root_digest", failure.detail)
 
-    def test_bad_names_and_empty_weights_are_refused_with_the_key(self) -> None:
+    def test_failure_names_the_invalid_key(self) -> None:
         for model, weights in (("Bad Name", WEIGHTS), ("quotes", b"")):
             failure = build_manifest(model, "v1", 1, weights)
             assert isinstance(failure, Failure)
--- a/reedspar/weights/tests/test_manifest_exchange.py
+++ b/reedspar/weights/tests/test_manifest_exchange.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.reads = 0
-        self.is_away = False
+        self.is_unavailable = False
         self.is_corrupt = False
         self.is_inconsistent = False
         """Return a different wrong manifest on each read."""
@@ -61,7 +61,7 @@
     async def read_manifest(self, model: str, version: int) -> Manifest | Failure:
         self.reads += 1
         await anyio.sleep(ORIGIN_READ_S)
-        if self.is_away:
+        if self.is_unavailable:
             return Failure(Reason.UNAVAILABLE, Step.MANIFEST)
         if self.is_inconsistent:
             return make_manifest(version, f"{id(self)} {self.reads}".encode())
@@ -250,7 +250,7 @@
             second.is_dead = True
             await first.exchange.read_manifest(MODEL, 2)
             for daemon in site.daemons.values():
-                daemon.origin.is_away = True
+                daemon.origin.is_unavailable = True
             other = site.daemons["xela-1"]
             read = await other.exchange.read_manifest(MODEL, 2)
             self.assertEqual(read, make_manifest(2))
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -1,4 +1,4 @@
-"""Tests of two versions on their way when the origin goes away and comes back."""
+"""Tests of the transfer of two versions during and after an origin outage."""
 
 import random
 import unittest
@@ -27,14 +27,14 @@
     caches=dict.fromkeys(REGIONS, 4),
     cache_mbps=20.0,
 )
-NEXT_NAMED_S = 1.3
-AWAY_S = 2.0
-BACK_S = 7.8
+SECOND_NAMED_AT_S = 1.3
+OUTAGE_START_S = 2.0
+OUTAGE_END_S = 7.8
 TIME_LIMIT_S = 30.0
-SHIFTS_S = (0.0, 0.07, 0.13)
-"""Of the origin's return, against the requests that are repeated meanwhile."""
-OVER_BOUND = 1.2
-STALLED_S = 1.5
+OUTAGE_END_OFFSETS_S = (0.0, 0.07, 0.13)
+"""Offsets of the end of the outage relative to the repeated requests."""
+BOUND_FACTOR_MAX = 1.2
+ORIGIN_STALL_S = 1.5
 CHUNKS = 16
 CHUNK_BYTES = 1000
 ENTRY = WeightPeer("entry-1", "ra", "a", is_cache=True)
@@ -50,22 +50,22 @@
 
 
 class Outage:
-    """A fleet in which the origin goes away before the first of two versions is whole.
+    """A fleet whose origin becomes unavailable during the transfer of two versions.
 
-    The second version is named while the first one is on its way.
+    The second version is named while the first one is incomplete.
     """
 
-    def __init__(self, back_s: float) -> None:
-        self.back_s = back_s
+    def __init__(self, outage_end_s: float) -> None:
+        self.outage_end_s = outage_end_s
         self.fleet = create_fleet(CASE)
         self.fleet.set_views(MODEL)
         self.first = self._make(1)
         self.second = self._make(2)
         events = self.fleet.events
         events.at(0.0, lambda: self._name(self.first))
-        events.at(NEXT_NAMED_S, lambda: self._name(self.second))
-        events.at(AWAY_S, lambda: self._set_away(True))
-        events.at(back_s, lambda: self._set_away(False))
+        events.at(SECOND_NAMED_AT_S, lambda: self._name(self.second))
+        events.at(OUTAGE_START_S, lambda: self._set_unavailable(True))
+        events.at(outage_end_s, lambda: self._set_unavailable(False))
 
     @property
     def targets(self) -> list[FleetAgent]:
@@ -84,14 +84,14 @@
             agent.decide.fetch_chunks(manifest, self.fleet.events.now_s)
             agent.pump()
 
-    def _set_away(self, is_away: bool) -> None:
-        self.fleet.origin_is_away = is_away
+    def _set_unavailable(self, is_unavailable: bool) -> None:
+        self.fleet.origin_is_away = is_unavailable
 
     def run_until(self, time_s: float) -> None:
         self.fleet.events.run(lambda: False, time_s)
 
-    def count_lacking(self, manifest: Manifest, *regions: str) -> int:
-        """Return how many chunks the target lacks that lacks most."""
+    def count_missing_chunks(self, manifest: Manifest, *regions: str) -> int:
+        """Return the maximum number of chunks that a target lacks."""
         return max(
             sum(agent.decide.object_bytes(d) is None for d in manifest.chunk_digests)
             for agent in self.targets
@@ -100,76 +100,81 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
-    """What became of the first version after the origin's return."""
+class Recovery:
+    """The transfer of the first version after the end of the outage."""
 
-    lacking: int
+    missing_chunks: int
     whole_s: dict[str, float]
-    """How long after the return all targets of a region had it."""
+    """Time from the end of the outage until all targets of a region have it."""
     read_by_targets: int
-    """Bytes that targets read past the entries."""
+    """Bytes that targets read directly from the origin."""
 
     @property
     def bound_s(self) -> float:
-        """Return what the lacking chunks may take over a target's link."""
+        """Return the time limit for the missing chunks over a target's link."""
         chunk_s = CASE.chunk_bytes / (CASE.link_mbps * BYTES_PER_S)
-        return OVER_BOUND * self.lacking * chunk_s + ORIGIN_BACKOFF_MAX_S
+        return BOUND_FACTOR_MAX * self.missing_chunks * chunk_s + ORIGIN_BACKOFF_MAX_S
 
 
 @cache
-def play(shift_s: float) -> Course:
-    """Return the course of an outage that ends a little later."""
-    outage = Outage(BACK_S + shift_s)
-    outage.run_until(outage.back_s)
-    lacking = outage.count_lacking(outage.first, *REGIONS)
+def simulate(offset_s: float) -> Recovery:
+    """Return the recovery from an outage whose end is delayed by an offset."""
+    outage = Outage(OUTAGE_END_S + offset_s)
+    outage.run_until(outage.outage_end_s)
+    missing_chunks = outage.count_missing_chunks(outage.first, *REGIONS)
     whole_s = {}
     while len(whole_s) < len(REGIONS):
         outage.run_until(outage.fleet.events.now_s + 0.05)
         for region in REGIONS:
-            if not outage.count_lacking(outage.first, region):
-                whole_s.setdefault(region, outage.fleet.events.now_s - outage.back_s)
+            if not outage.count_missing_chunks(outage.first, region):
+                whole_s.setdefault(
+                    region, outage.fleet.events.now_s - outage.outage_end_s
+                )
         if outage.fleet.events.now_s > TIME_LIMIT_S:
-            raise AssertionError("the first version is not everywhere")
+            raise AssertionError("the first version did not reach all targets")
     sent_bytes = outage.fleet.origin.sent_bytes
     read_by_targets = sum(sent_bytes[agent.peer.name] for agent in outage.targets)
-    return Course(lacking, whole_s, read_by_targets)
+    return Recovery(missing_chunks, whole_s, read_by_targets)
 
 
 class OriginReturnTest(unittest.TestCase):
-    def check_whole(self, *regions: str) -> None:
-        """Check when targets have the first version, by what they lacked of it."""
+    def check_recovery(self, *regions: str) -> None:
+        """Check that targets complete the first version within its time limit."""
         late_s = {}
-        for shift_s in SHIFTS_S:
-            course = play(shift_s)
-            self.assertGreater(course.lacking, 0)
-            last_s = max(course.whole_s[region] for region in regions)
-            if last_s >= course.bound_s:
-                late_s[shift_s] = last_s - course.bound_s
+        for offset_s in OUTAGE_END_OFFSETS_S:
+            recovery = simulate(offset_s)
+            self.assertGreater(recovery.missing_chunks, 0)
+            last_s = max(recovery.whole_s[region] for region in regions)
+            if last_s >= recovery.bound_s:
+                late_s[offset_s] = last_s - recovery.bound_s
         self.assertEqual(late_s, {})
 
     def test_region_of_the_origin_gets_the_earlier_version_first(self) -> None:
-        # Targets lack a fifth of a version when the origin comes back, and all of the
-        # next.  The entries read the next one first: the earlier one, which could have
-        # served, came seconds later, and nothing was served meanwhile.
-        self.check_whole(REGIONS[0])
+        # Guards against seconds without a version to serve.  After an outage, targets
+        # lack a fifth of a version and all of the next one.  Entries read the next one
+        # first, although the earlier one could have been served sooner.
+        self.check_recovery(REGIONS[0])
 
     def test_other_regions_get_the_earlier_version_first(self) -> None:
-        # As above; what the entries near the origin had read again was not asked for
-        # where it was, and the other regions waited for seconds more.
-        self.check_whole(REGIONS[1], REGIONS[2])
-
-    def test_targets_leave_the_origin_to_entries_that_answer(self) -> None:
-        # Entries refuse what they can't get while the origin is away.  Targets took
-        # them for gone, and as soon as it was back a dozen of them read the same chunk.
-        read_bytes = [play(shift_s).read_by_targets for shift_s in SHIFTS_S]
-        self.assertEqual(read_bytes, [0] * len(SHIFTS_S))
+        # As above; in addition, other regions waited for seconds because they requested
+        # the chunks from other entries than those that had read them.
+        self.check_recovery(REGIONS[1], REGIONS[2])
+
+    def test_targets_do_not_read_from_the_origin_while_entries_answer(self) -> None:
+        # Guards against a dozen targets reading the same chunk after an outage.
+        # Entries refuse requests during the outage, and targets considered them dead.
+        read_bytes = [
+            simulate(offset_s).read_by_targets for offset_s in OUTAGE_END_OFFSETS_S
+        ]
+        self.assertEqual(read_bytes, [0] * len(OUTAGE_END_OFFSETS_S))
 
 
 class ReadOrderTest(unittest.TestCase):
-    def test_chunk_that_is_asked_for_is_read_before_the_next_version(self) -> None:
-        # The origin sends nothing for a while, and other regions ask an entry for what
-        # it is to read.  Those chunks were tried again after a pause only, and in each
-        # pause one of the next version, which nobody had asked for, was read instead.
+    def test_requested_chunk_is_read_before_the_next_version(self) -> None:
+        # Guards against reading chunks of the next version before requested ones.
+        # While the origin stalls, other regions request chunks assigned to an entry.
+        # The entry retried those after a delay, and in each delay read one of the next
+        # version.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
         entry.set_peers(MODEL, [FAR], 0.0)
         first, objects = make_weights(CHUNKS, CHUNK_BYTES)
@@ -178,22 +183,22 @@
         for manifest in (first, second):
             entry.register_version(manifest, 0.0)
             entry.fetch_chunks(manifest, 0.0)
-        reading = take_reads(entry)
+        reading = pop_reads(entry)
         for number, digest in enumerate(first.chunk_digests):
             request = ChunkRequest(digest, number, may_draw=True)
-            entry.receive(FAR.name, request, STALLED_S)
+            entry.receive(FAR.name, request, ORIGIN_STALL_S)
         order = list(reading)
         for turn in range(CHUNKS - len(reading)):
-            now_s = STALLED_S + 0.013 * (turn + 1)
+            now_s = ORIGIN_STALL_S + 0.013 * (turn + 1)
             entry.tick(now_s)
             entry.complete_read(order[turn], objects[order[turn]], now_s)
-            order += take_reads(entry)
+            order += pop_reads(entry)
         self.assertEqual(set(order), set(first.chunk_digests))
 
-    def test_chunk_that_another_entry_holds_is_got_from_there(self) -> None:
-        # Another region asks an entry for a chunk while the origin is away, and a
-        # second entry reads it then.  The first one had failed to get it too often to
-        # look there: it read it once more, after all of its own, seconds later.
+    def test_chunk_held_by_another_entry_is_requested_from_it(self) -> None:
+        # Guards against reading a chunk again seconds later.  During an outage, another
+        # region requests a chunk from an entry, and a second entry reads it afterwards.
+        # The first one had too many failed attempts to request it from the second.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
         entry.set_peers(MODEL, [FAR, NEAR], 0.0)
         manifest, _ = make_weights(CHUNKS, CHUNK_BYTES)
@@ -202,22 +207,24 @@
         entry.receive(FAR.name, ChunkRequest(digest, 1, may_draw=True), 0.0)
         for turn in range(50):
             entry.tick(turn * 0.1)
-            fail_all(entry, turn * 0.1)
+            refuse_all(entry, turn * 0.1)
         held = encode_map(1, CHUNKS)
-        news = HaveMap(manifest.root_digest, 1, held, held, is_reply_wanted=False)
-        entry.receive(NEAR.name, news, 5.5)
+        announcement = HaveMap(
+            manifest.root_digest, 1, held, held, is_reply_wanted=False
+        )
+        entry.receive(NEAR.name, announcement, 5.5)
         entry.tick(6.0)
-        asked = [
+        requested = [
             (action.peer, action.message.digest)
             for action in entry.take_actions()
             if isinstance(action, SendMessage)
             and isinstance(action.message, ChunkRequest)
         ]
-        self.assertEqual(asked, [(NEAR.name, digest)])
+        self.assertEqual(requested, [(NEAR.name, digest)])
 
 
-def fail_all(entry: SwarmDistribution, now_s: float) -> None:
-    """Answer what an entry reads or asks for: the origin is away, and nobody has it."""
+def refuse_all(entry: SwarmDistribution, now_s: float) -> None:
+    """Fail all reads and refuse all requests of an entry."""
     failure = Failure(Reason.UNAVAILABLE, Step.ORIGIN_DRAW, "origin")
     for action in entry.take_actions():
         if isinstance(action, ReadOrigin):
@@ -225,13 +232,13 @@
         elif isinstance(action, SendMessage) and isinstance(
             action.message, ChunkRequest
         ):
-            asked = action.message
+            requested = action.message
             cause = RefusalCause.NOT_HELD
-            refusal = ChunkRefused(asked.digest, asked.request_id, cause)
+            refusal = ChunkRefused(requested.digest, requested.request_id, cause)
             entry.receive(action.peer, refusal, now_s)
 
 
-def take_reads(entry: SwarmDistribution) -> list[str]:
+def pop_reads(entry: SwarmDistribution) -> list[str]:
     actions = entry.take_actions()
     return [action.digest for action in actions if isinstance(action, ReadOrigin)]
 
--- a/reedspar/weights/tests/test_publishing.py
+++ b/reedspar/weights/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Tests that publishing uploads what is missing, and names only whole versions."""
+"""Tests that publishing uploads missing objects, and the manifest last."""
 
 import unittest
 
@@ -28,19 +28,19 @@
         self.assertEqual(publication.uploaded_chunks, 1)
         self.assertEqual(origin.puts[-1], publication.version.manifest_digest)
 
-    def test_interrupted_publishing_goes_on_where_it_stopped(self) -> None:
-        # The origin goes away after the first chunk.  The operator sees a
-        # failure and calls again; no manifest may name chunks that are missing.
+    def test_repeated_publishing_uploads_only_missing_objects(self) -> None:
+        # Guards against a manifest whose chunks are missing at the origin.  The origin
+        # becomes unavailable after the first chunk, and the operator publishes again.
         class ShortLived(FakeOrigin):
             async def put(self, name: str, data: bytes) -> Failure | None:
-                self.is_away = len(self.puts) == 1
+                self.is_unavailable = len(self.puts) == 1
                 return await super().put(name, data)
 
         origin = ShortLived()
         self.assertIsInstance(publish(origin, FIRST, 1), Failure)
         self.assertEqual(len(origin.objects), 1)
         origin.__class__ = FakeOrigin
-        origin.is_away = False
+        origin.is_unavailable = False
         publication = publish(origin, FIRST, 1)
         assert isinstance(publication, Publication)
         self.assertEqual(publication.uploaded_chunks, 2)
--- a/reedspar/weights/tests/test_succession.py
+++ b/reedspar/weights/tests/test_succession.py
@@ -1,4 +1,4 @@
-"""Tests of versions that are named faster than they travel."""
+"""Tests of versions that are named faster than they can be transferred."""
 
 import random
 import unittest
@@ -28,13 +28,13 @@
     )
 
 
-class FinishFirstTest(unittest.TestCase):
-    def test_version_half_way_is_finished_if_that_spares_a_gap(self) -> None:
-        # The second version is half-way when the third is named.  Dropped, the
-        # targets would have nothing to serve with after the first one's bound.
+class FinishCurrentTest(unittest.TestCase):
+    def test_half_transferred_version_is_finished_to_avoid_a_gap(self) -> None:
+        # Guards against dropping the second version when the third is named, which
+        # would leave the targets without a version once the first has expired.
         self.assertTrue(should_finish_current(Succession(4.0, 2.3, 6.0, 7.6, 11.6)))
 
-    def test_version_that_has_barely_begun_is_dropped(self) -> None:
+    def test_version_at_its_beginning_is_dropped(self) -> None:
         self.assertFalse(should_finish_current(Succession(0.2, 6.0, 6.0, 7.6, 7.8)))
 
 
@@ -80,11 +80,13 @@
     def versions(self) -> list[int]:
         return [document.models["m"].sequence for document in self.documents]
 
-    async def settle(self) -> None:
+    async def wait(self) -> None:
         await anyio.sleep(0.25)
 
-    def follow(self, script: Callable[[VersionCatalog], Awaitable[None]]) -> list[int]:
-        """Let a catalog run while a script names versions; return what it made."""
+    def run_script(
+        self, script: Callable[[VersionCatalog], Awaitable[None]]
+    ) -> list[int]:
+        """Run a catalog while a script names versions; return those published."""
 
         async def run() -> None:
             catalog = self.make_catalog()
@@ -96,22 +98,22 @@
         anyio.run(run)
         return self.versions()
 
-    async def name_in_turn(self, catalog: VersionCatalog, *versions: int) -> None:
+    async def name_in_sequence(self, catalog: VersionCatalog, *versions: int) -> None:
         for version in versions:
             catalog.set_named_version("m", version)
-            await self.settle()
+            await self.wait()
 
     def test_named_versions_become_documents(self) -> None:
         async def script(catalog: VersionCatalog) -> None:
-            await self.name_in_turn(catalog, 1)
+            await self.name_in_sequence(catalog, 1)
             catalog.set_named_version("m", 2)
             catalog.set_named_version("m", 1)
-            await self.settle()
+            await self.wait()
             digest = make_manifest(2).root_digest
             self.assertEqual(catalog.find_version(digest), ("m", 2))
             self.assertEqual(catalog.root_digest_of("m", 2), digest)
 
-        self.assertEqual(self.follow(script), [1, 2])
+        self.assertEqual(self.run_script(script), [1, 2])
 
     def test_origin_that_fails_is_asked_again(self) -> None:
         self.reader.failures = 2
@@ -120,101 +122,102 @@
             catalog.set_named_version("m", 1)
             await anyio.sleep(1.2)
 
-        self.assertEqual(self.follow(script), [1])
+        self.assertEqual(self.run_script(script), [1])
 
-    def test_next_version_is_fetched_beside_the_present_one(self) -> None:
-        # The third version is named while the second is on its way, and the second
-        # lacks chunks while the origin is away.  The link would idle; the third is
-        # asked for at once, once, and loaded after the second.
+    def test_next_version_is_prefetched_during_the_current_transfer(self) -> None:
+        # Guards against an idle link while the second version lacks chunks that only
+        # the unavailable origin has.  The third version is requested once, immediately,
+        # and loaded after the second.
         async def script(catalog: VersionCatalog) -> None:
-            await self.name_in_turn(catalog, 1, 2)
+            await self.name_in_sequence(catalog, 1, 2)
             self.left_s = 2.0
             self.clock.advance(4.0)
-            await self.name_in_turn(catalog, 3)
+            await self.name_in_sequence(catalog, 3)
             self.assertEqual((self.versions(), self.prefetched), ([1, 2], [3]))
             self.left_s = 0.0
-            await self.settle()
+            await self.wait()
             self.assertEqual((self.versions(), self.prefetched), ([1, 2], [3]))
             self.left_s = None
-            await self.settle()
+            await self.wait()
 
-        self.assertEqual(self.follow(script), [1, 2, 3])
+        self.assertEqual(self.run_script(script), [1, 2, 3])
 
-    def test_agents_that_lack_more_or_less_choose_alike(self) -> None:
-        # The third version is named two seconds after the second.  One agent has half
-        # of the second, another one nearly all.  One dropped it and the other did not:
-        # neither version came to the whole fleet, and callers were refused for 8 s.
+    def test_agents_with_different_progress_decide_alike(self) -> None:
+        # Guards against callers refused for 8 s.  The third version is named 2 s after
+        # the second.  One agent had half of the second and dropped it, while another
+        # had nearly all and finished it, so neither version reached the whole fleet.
         self.reader.chunks = 6
 
         async def script(catalog: VersionCatalog) -> None:
-            await self.name_in_turn(catalog, 1, 2)
+            await self.name_in_sequence(catalog, 1, 2)
             self.clock.advance(2.0)
-            await self.name_in_turn(catalog, 3)
+            await self.name_in_sequence(catalog, 3)
 
-        made = []
+        results = []
         for self.left_s in (4.35, 2.5):
             self.documents = []
-            made.append(self.follow(script))
-        self.assertEqual(made[0], made[1])
+            results.append(self.run_script(script))
+        self.assertEqual(results[0], results[1])
 
-    def test_agents_that_hear_late_choose_alike(self) -> None:
-        # One agent hears of the second version 0.6 s after another, over a busy link.
-        # It counted from its own hearing, whatever peers told, and dropped the second
-        # version for the third alone.
+    def test_agents_that_learn_of_a_version_late_decide_alike(self) -> None:
+        # Guards against an agent that drops the second version on its own.  It learned
+        # of that version 0.6 s later than others, over a busy link, and measured from
+        # that time instead of the time of naming that peers announce.
         self.reader.chunks = 5
         self.left_s = 3.5
-        made = []
+        results = []
         for late_s in (0.0, 0.6):
             self.clock = VirtualClock()
             self.documents = []
 
             async def script(catalog: VersionCatalog, late_s: float = late_s) -> None:
-                await self.name_in_turn(catalog, 1)
-                named_s = self.clock.now_s()
+                await self.name_in_sequence(catalog, 1)
+                named_at_s = self.clock.now_s()
                 self.clock.advance(late_s)
-                await self.name_in_turn(catalog, 2)
-                catalog.record_naming_time("m", 2, named_s)
+                await self.name_in_sequence(catalog, 2)
+                catalog.record_naming_time("m", 2, named_at_s)
                 self.clock.advance(2.0 - late_s)
-                await self.name_in_turn(catalog, 3)
+                await self.name_in_sequence(catalog, 3)
 
-            made.append(self.follow(script))
-        self.assertEqual(made[0], made[1])
+            results.append(self.run_script(script))
+        self.assertEqual(results[0], results[1])
 
-    def test_version_that_comes_too_late_to_serve_is_dropped(self) -> None:
-        # The origin went away while the second version was on its way.  When it is
-        # back, the second one could serve for no moment before the third is due.
+    def test_version_that_would_arrive_expired_is_dropped(self) -> None:
+        # Guards against finishing a version that could not be served.  After an outage
+        # during its transfer, the second version would expire before it is loaded.
         async def script(catalog: VersionCatalog) -> None:
-            await self.name_in_turn(catalog, 1, 2)
+            await self.name_in_sequence(catalog, 1, 2)
             self.left_s = 1.0
             self.clock.advance(4.0)
-            await self.name_in_turn(catalog, 3)
+            await self.name_in_sequence(catalog, 3)
             self.assertEqual(self.versions(), [1, 2])
             self.clock.advance(BOUND_S - 1.0)
-            await self.settle()
+            await self.wait()
 
-        self.assertEqual(self.follow(script), [1, 2, 3])
+        self.assertEqual(self.run_script(script), [1, 2, 3])
 
-    def test_version_served_ends_by_the_one_named_after_it(self) -> None:
-        # The second version was given up for the third.  Targets took turns to leave
-        # the first one until the third's bound, while it could serve nobody.
+    def test_deadline_depends_on_the_next_named_version(self) -> None:
+        # Guards against switches after the first version has expired.  The second
+        # version was dropped for the third, and targets used the later deadline of the
+        # third.
         async def script(catalog: VersionCatalog) -> None:
-            named_s = self.clock.now_s()
-            await self.name_in_turn(catalog, 1, 2)
+            named_at_s = self.clock.now_s()
+            await self.name_in_sequence(catalog, 1, 2)
             self.clock.advance(2.0)
-            await self.name_in_turn(catalog, 3)
-            self.assertEqual(catalog.service_deadline_s("m", 1), named_s + BOUND_S)
+            await self.name_in_sequence(catalog, 3)
+            self.assertEqual(catalog.service_deadline_s("m", 1), named_at_s + BOUND_S)
             self.assertEqual(
-                catalog.service_deadline_s("m", 2), named_s + 2.0 + BOUND_S
+                catalog.service_deadline_s("m", 2), named_at_s + 2.0 + BOUND_S
             )
             self.assertEqual(catalog.service_deadline_s("m", 3), float("inf"))
 
-        self.assertEqual(self.follow(script), [1, 2, 3])
+        self.assertEqual(self.run_script(script), [1, 2, 3])
 
 
 class DeadlineTest(unittest.TestCase):
-    def test_turns_fit_into_the_time_that_is_left(self) -> None:
-        # Ten targets may switch three at a time.  Shortly before the older version
-        # must go, that would leave most of them without a version that may serve.
+    def test_more_targets_switch_at_once_before_the_deadline(self) -> None:
+        # Guards against targets without a valid version.  Three of ten targets may
+        # switch at once, which is too few shortly before the older version expires.
         decision = SwitchDecision("t0", 0.34)
         decision.set_peers([f"t{i}" for i in range(1, 10)])
         self.assertEqual(decision.max_switching(0.0), 3)
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -1,8 +1,8 @@
-"""Tests of the distribution under random histories: the real decisions, paced links.
+"""Tests of `SwarmDistribution` with simulated links and random faults.
 
-Every history asserts the same: each live target ends with every chunk, no
-agent ever holds more than its memory (asserted in `ChunkMemory`), and the
-origin and the links between regions carry little more than one copy.
+Each live target must obtain every chunk, no agent may exceed its memory (checked by
+`ChunkMemory`), and the origin and the links between regions may carry little more than
+one copy of a version.
 """
 
 import random
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bench.inbound_queues import Case
-from bench.inbound_queues import create_fleet as create_fleet_of
+from bench.inbound_queues import create_fleet as create_bench_fleet
 from bench.paced_links import LinkRates
 from bench.weight_agents import Fleet, FleetAgent, make_weights
 from reedspar.weights import WeightPeer
@@ -60,7 +60,7 @@
 
 
 def create_narrow_fleet(sizes: dict[str, int]) -> Fleet:
-    """Return targets with links of 3.65 Mbit/s, and an origin with twice that."""
+    """Return a fleet with links of 3.65 Mbit/s, and an origin with twice that rate."""
     case = Case(
         "narrow",
         sizes,
@@ -70,11 +70,11 @@
         chunk_count=96,
         chunk_bytes=24_576,
     )
-    return create_fleet_of(case)
+    return create_bench_fleet(case)
 
 
-class History:
-    """A distribution, and the faults that befall it."""
+class Scenario:
+    """A distribution into which faults can be injected."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
     def finish(self) -> bool:
         return self.fleet.events.run(self.fleet.is_finished, TIME_LIMIT_S)
 
-    def befall(self, fault: str) -> None:
+    def inject_fault(self, fault: str) -> None:
         fleet = self.fleet
         agent = self.rng.choice(fleet.live)
         now_s = fleet.events.now_s
@@ -112,11 +112,11 @@
         elif fault == "restart_engine":
             agent.want(self.manifest)
         elif fault == "change":
-            self.change()
+            self.change_version()
         elif fault == "return":
-            self.replace(agent)
+            self.restart_agent(agent)
 
-    def change(self) -> None:
+    def change_version(self) -> None:
         sequence = self.manifest.sequence + 1
         older = self.manifest.root_digest
         shared = CHUNKS // 2
@@ -126,8 +126,8 @@
             agent.decide.remove_version(older, self.fleet.events.now_s)
             agent.want(self.manifest)
 
-    def replace(self, agent: FleetAgent) -> None:
-        """Let an agent come back with nothing, under its old name."""
+    def restart_agent(self, agent: FleetAgent) -> None:
+        """Restart an agent with empty memory under the same name."""
         fleet = self.fleet
         agent.is_dead = True
         successor = FleetAgent(fleet, agent.peer, fleet.create(agent.peer))
@@ -138,11 +138,11 @@
 
 
 class SwarmTest(unittest.TestCase):
-    def test_a_copy_crosses_each_narrow_link_once_at_most(self) -> None:
+    def test_version_crosses_each_narrow_link_once(self) -> None:
         fleet = create_fleet(18, 1)
-        history = History(fleet, 1)
-        self.assertTrue(history.finish())
-        copy = history.manifest.size_bytes
+        scenario = Scenario(fleet, 1)
+        self.assertTrue(scenario.finish())
+        copy = scenario.manifest.size_bytes
         self.assertEqual(fleet.origin_bytes, copy)
         into = dict.fromkeys(REGIONS[1:], 0)
         for (_, region), link in fleet.regions.items():
@@ -159,73 +159,77 @@
     def test_every_live_target_gets_every_chunk(
         self, size, seed, faults, corrupt_share
     ) -> None:
-        # Agents die, freeze and come back with nothing, the origin goes away,
-        # an engine loses its chunks, the version changes, chunks arrive
-        # damaged; two or three of these at a time.  A target that is left
-        # with a gap would never serve the version.
-        history = History(create_fleet(size, seed, corrupt_share=corrupt_share), seed)
+        # Guards against a target that never completes the version.  Two or three faults
+        # overlap: agents die, freeze or restart with empty memory, the origin becomes
+        # unavailable, an engine loses its chunks, the version changes, or chunks are
+        # corrupt.
+        scenario = Scenario(create_fleet(size, seed, corrupt_share=corrupt_share), seed)
         for delay_s, fault in faults:
-            history.run_for(delay_s)
-            history.befall(fault)
-        self.assertTrue(history.finish())
+            scenario.run_for(delay_s)
+            scenario.inject_fault(fault)
+        self.assertTrue(scenario.finish())
 
-    def test_origin_outage_costs_little_more_than_its_own_length(self) -> None:
-        # The origin goes away for ten seconds as a distribution starts.  Agents
-        # whose requests timed out meanwhile avoided each other for minutes.
+    def test_origin_outage_delays_transfer_by_little_more_than_its_duration(
+        self,
+    ) -> None:
+        # Guards against agents that avoid each other for minutes because their requests
+        # timed out during an outage of 10 s at the start of a distribution.
         fleet = create_fleet(5, 5)
         fleet.origin_is_away = True
-        history = History(fleet, 5)
-        history.run_for(10.0)
+        scenario = Scenario(fleet, 5)
+        scenario.run_for(10.0)
         fleet.origin_is_away = False
-        self.assertTrue(history.finish())
+        self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 30.0)
 
-    def test_the_first_copy_leaves_the_origin_before_neighbours_exchange(self) -> None:
-        # Two targets are near the origin, and their links together carry just
-        # what the origin sends.  While they also sent each other what they had
-        # drawn, a fifth of the copy was still at the origin when it went away:
-        # every request was refused until the origin was back and all had the rest.
+    def test_origin_reads_have_precedence_over_exchange_between_neighbours(
+        self,
+    ) -> None:
+        # Guards against refused requests during an outage because a fifth of the
+        # version was not read before.  The links of the two targets in the origin's
+        # region together have just the origin's rate, and they also exchanged chunks
+        # over them.
         fleet = create_narrow_fleet({"centro": 2, "occidente": 4, "oriente": 3})
-        history = History(fleet, 1, chunks=96, chunk_bytes=24_576)
-        history.run_for(2.45)
-        self.assertGreater(fleet.origin_bytes, 0.85 * history.manifest.size_bytes)
+        scenario = Scenario(fleet, 1, chunks=96, chunk_bytes=24_576)
+        scenario.run_for(2.45)
+        self.assertGreater(fleet.origin_bytes, 0.85 * scenario.manifest.size_bytes)
         fleet.origin_is_away = True
-        history.run_for(6.05)
+        scenario.run_for(6.05)
         fleet.origin_is_away = False
-        self.assertTrue(history.finish())
+        self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 11.0)
 
-    def test_neighbours_exchange_while_the_origin_leaves_reads_open(self) -> None:
-        # The origin goes dark: it answers no read, and closes none.  The two targets
-        # near it waited for their reads, and did not send each other what they had;
-        # the whole fleet got the version later by as much.
+    def test_neighbours_exchange_chunks_while_origin_reads_hang(self) -> None:
+        # Guards against a delay of the whole fleet by hanging reads.  The origin
+        # neither answers nor closes reads, and the two targets in its region waited for
+        # them without exchanging the chunks that they had.
         fleet = create_narrow_fleet({"centro": 2, "occidente": 4, "oriente": 3})
-        history = History(fleet, 1, chunks=96, chunk_bytes=24_576)
-        history.run_for(1.5)
+        scenario = Scenario(fleet, 1, chunks=96, chunk_bytes=24_576)
+        scenario.run_for(1.5)
         with mock.patch.object(fleet, "read_origin"):
-            history.run_for(2.5)
+            scenario.run_for(2.5)
         near = [a for a in fleet.live if a.peer.region == REGIONS[0]]
-        drawn = fleet.origin_bytes / history.manifest.size_bytes
+        drawn = fleet.origin_bytes / scenario.manifest.size_bytes
         for agent in near:
-            lacking = len(agent.missing) / len(history.manifest.chunk_digests)
-            self.assertLess(lacking, 1 - drawn + 0.1)
+            missing_counts = len(agent.missing) / len(scenario.manifest.chunk_digests)
+            self.assertLess(missing_counts, 1 - drawn + 0.1)
 
-    def test_region_of_the_origin_gets_back_what_only_others_hold(self) -> None:
-        # One of three targets near the origin is taken away, and the origin goes away
-        # just after.  What that target had drawn lay in the other regions alone: the
-        # two others lacked four tenths of the copy until the origin was back, and all
-        # requests were refused three seconds longer.
+    def test_origin_region_fetches_chunks_that_only_other_regions_hold(self) -> None:
+        # Guards against requests refused 3 s longer.  One of three targets in the
+        # origin's region is removed, and the origin becomes unavailable.  Only other
+        # regions held the chunks of that target, and the two others lacked four tenths
+        # of the version until the end of the outage.
         fleet = create_narrow_fleet({"centro": 3, "occidente": 4, "oriente": 3})
-        history = History(fleet, 1, chunks=96, chunk_bytes=24_576)
-        history.run_for(2.3)
+        scenario = Scenario(fleet, 1, chunks=96, chunk_bytes=24_576)
+        scenario.run_for(2.3)
         fleet.kill([fleet.live[0]], MODEL)
-        history.run_for(0.15)
+        scenario.run_for(0.15)
         fleet.origin_is_away = True
-        history.run_for(6.05)
-        lacking = [len(agent.missing) for agent in fleet.live]
-        self.assertLess(max(lacking), min(lacking) + 6)
+        scenario.run_for(6.05)
+        missing_counts = [len(agent.missing) for agent in fleet.live]
+        self.assertLess(max(missing_counts), min(missing_counts) + 6)
         fleet.origin_is_away = False
-        self.assertTrue(history.finish())
+        self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 11.0)
 
     @settings(max_examples=15, derandomize=True, deadline=None)
@@ -235,64 +239,66 @@
         st.sampled_from([None, *FAULTS]),
         st.sampled_from((2, 4)),
     )
-    def test_memory_below_a_copy_is_enough(self, size, seed, fault, part) -> None:
-        # The slot of an agent is small and a copy is not.  Chunks are evicted
-        # while others still need them, and all must still end up whole.
+    def test_memory_smaller_than_a_version_is_sufficient(
+        self, size, seed, fault, part
+    ) -> None:
+        # Guards against targets that never complete a version larger than the memory of
+        # agents, whose chunks are evicted while others still need them.
         memory_bytes = CHUNKS * CHUNK_BYTES // part
-        history = History(create_fleet(size, seed, memory_bytes=memory_bytes), seed)
+        scenario = Scenario(create_fleet(size, seed, memory_bytes=memory_bytes), seed)
         if fault is not None:
-            history.run_for(1.0)
-            history.befall(fault)
-        self.assertTrue(history.finish())
+            scenario.run_for(1.0)
+            scenario.inject_fault(fault)
+        self.assertTrue(scenario.finish())
 
-    def test_small_memory_costs_no_second_draw_and_little_time(self) -> None:
-        # A copy is many times an agent's memory.  Agents that ran ahead of the
-        # others evicted what those lacked; gains that were evicted before they
-        # were told left them waiting, and the transfer took minutes or for ever.
+    def test_small_memory_causes_few_repeated_fetches_and_little_delay(self) -> None:
+        # Guards against transfers that take minutes or never end.  A version is several
+        # times an agent's memory.  Agents ahead of the others evicted chunks that those
+        # lacked, some before they were announced, so that neighbours waited for them.
         fleet = create_fleet(18, 1, memory_bytes=CHUNKS * CHUNK_BYTES // 3)
-        history = History(fleet, 1)
-        self.assertTrue(history.finish())
-        copy = history.manifest.size_bytes
+        scenario = Scenario(fleet, 1)
+        self.assertTrue(scenario.finish())
+        copy = scenario.manifest.size_bytes
         self.assertLessEqual(fleet.origin_bytes, 1.5 * copy)
         self.assertLessEqual(fleet.events.now_s, 3.0 * copy / RATES.region)
 
-    def test_returning_target_is_served_by_its_region(self) -> None:
-        # An instance is replaced after the version has reached everyone.  The
-        # origin's link is for new versions, not for each of 820 restarts a day.
+    def test_replaced_target_receives_chunks_from_its_region(self) -> None:
+        # Guards against reads from the origin after an instance was replaced, which
+        # happens 820 times a day; its link is needed for new versions.
         for place in range(3):
             fleet = create_fleet(18, 1)
-            history = History(fleet, 1)
-            self.assertTrue(history.finish())
+            scenario = Scenario(fleet, 1)
+            self.assertTrue(scenario.finish())
             drawn = fleet.origin_bytes
             across = sum(link.sent_bytes for link in fleet.regions.values())
-            history.replace(fleet.agents[f"agent-{place}"])
-            self.assertTrue(history.finish())
+            scenario.restart_agent(fleet.agents[f"agent-{place}"])
+            self.assertTrue(scenario.finish())
             self.assertEqual(fleet.origin_bytes, drawn)
             now_across = sum(link.sent_bytes for link in fleet.regions.values())
             self.assertEqual(now_across, across)
 
-    def test_change_in_mid_transfer_draws_shared_chunks_once(self) -> None:
-        # An operator replaces the version while it is on its way.  What the
-        # two versions share has crossed the narrow links already.
+    def test_version_change_during_transfer_fetches_shared_chunks_once(self) -> None:
+        # Guards against fetching chunks twice that are shared with a version that was
+        # replaced during its transfer.
         fleet = create_fleet(12, 1)
-        history = History(fleet, 1)
-        history.run_for(0.5)
-        history.change()
-        self.assertTrue(history.finish())
-        self.assertLessEqual(fleet.origin_bytes, 1.6 * history.manifest.size_bytes)
+        scenario = Scenario(fleet, 1)
+        scenario.run_for(0.5)
+        scenario.change_version()
+        self.assertTrue(scenario.finish())
+        self.assertLessEqual(fleet.origin_bytes, 1.6 * scenario.manifest.size_bytes)
 
-    def test_region_new_at_once_draws_one_copy(self) -> None:
-        # All agents of a region are replaced at once.  The region must come
-        # back with one copy over the links, and none from the origin.
+    def test_replaced_region_fetches_one_copy(self) -> None:
+        # Guards against origin reads, and more than one copy over the links between
+        # regions, after all agents of a region were replaced at once.
         fleet = create_fleet(18, 1)
-        history = History(fleet, 1)
-        self.assertTrue(history.finish())
+        scenario = Scenario(fleet, 1)
+        self.assertTrue(scenario.finish())
         drawn = fleet.origin_bytes
         across = sum(link.sent_bytes for link in fleet.regions.values())
         for agent in list(fleet.agents.values()):
             if agent.peer.region == REGIONS[2]:
-                history.replace(agent)
-        self.assertTrue(history.finish())
+                scenario.restart_agent(agent)
+        self.assertTrue(scenario.finish())
         self.assertEqual(fleet.origin_bytes, drawn)
         now_across = sum(link.sent_bytes for link in fleet.regions.values())
-        self.assertLessEqual(now_across - across, 1.1 * history.manifest.size_bytes)
+        self.assertLessEqual(now_across - across, 1.1 * scenario.manifest.size_bytes)
--- a/reedspar/weights/tests/test_weight_cache.py
+++ b/reedspar/weights/tests/test_weight_cache.py
@@ -1,4 +1,4 @@
-"""Tests of when an entry gets a version: at its naming, or when an agent asks."""
+"""Tests of when a cache fetches a version: on naming, or on an agent's request."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 
 class NumberedOrigin:
-    """Manifests by version, and chunks; counts the reads of chunks."""
+    """Provides manifests by version, and chunks; counts the reads of chunks."""
 
     def __init__(self) -> None:
         self.chunk_reads = 0
@@ -45,24 +45,24 @@
         return self._objects[name]
 
 
-class OnlyCache:
-    """The view of an entry that knows no agent yet."""
+class FakePeerView:
+    """The peer view of an entry without known agents."""
 
-    def __init__(self, is_one: bool = True) -> None:
-        self.is_one = is_one
+    def __init__(self, has_cache_role: bool = True) -> None:
+        self.has_cache_role = has_cache_role
 
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
         return ()
 
     def is_cache(self) -> bool:
-        return self.is_one
+        return self.has_cache_role
 
 
 class WeightCacheTest(unittest.TestCase):
-    def test_version_named_while_it_runs_is_drawn_before_anybody_asks(self) -> None:
-        # Two versions are named in a row, and the origin goes away half a second later.
-        # Agents ask for the second one only once they have the first; had the entry
-        # waited for that, nothing of the second would have left the origin.
+    def test_newly_named_version_is_fetched_before_any_request(self) -> None:
+        # Guards against a second version that is not read before an origin outage.  It
+        # is named shortly after the first, and agents request it only once they have
+        # the first, which is after the outage begins 0.5 s later.
         async def script() -> None:
             origin = NumberedOrigin()
             async with anyio.create_task_group() as tasks:
@@ -79,13 +79,16 @@
 
         anyio.run(script)
 
-    def test_successor_of_an_entry_gets_what_is_lacked_of_both_versions(self) -> None:
-        # Entries restart in turn while two versions are on their way.  Those that took
-        # their places knew the second one only: a quarter of what the targets lacked
-        # of the first was read by nobody, and they never had it whole.
+    def test_replacement_cache_fetches_requested_chunks_of_an_earlier_version(
+        self,
+    ) -> None:
+        # Guards against targets that never complete the first of two versions.  Entries
+        # restart in turn during both transfers.  Their replacements knew only the
+        # second version, and a quarter of the first one's missing chunks was read by
+        # none.
         async def script() -> None:
             origin = NumberedOrigin()
-            view = OnlyCache(is_one=False)
+            view = FakePeerView(has_cache_role=False)
             links = FakeLinks()
             clock = VirtualClock()
             timers = TimerService(clock)
@@ -95,16 +98,16 @@
                 tasks.start_soon(cache.run)
                 for version in (1, 2, 3):
                     cache.set_named_version(MODEL, version)
-                view.is_one = True
+                view.has_cache_role = True
                 clock.advance(1.0)
                 timers.run_due()
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual(set(origin.manifests), {2, 3})
                 self.assertEqual(origin.chunk_reads, 0)
-                nothing = encode_map(0, CHUNKS)
+                empty_map = encode_map(0, CHUNKS)
                 root = origin.manifests[2].root_digest
-                asked = HaveMap(root, 1, nothing, nothing, is_reply_wanted=True)
-                links.handlers["entry-1", HaveMap](Sender("agent-1", 1, 1), asked)
+                request = HaveMap(root, 1, empty_map, empty_map, is_reply_wanted=True)
+                links.handlers["entry-1", HaveMap](Sender("agent-1", 1, 1), request)
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual(origin.chunk_reads, CHUNKS)
                 tasks.cancel_scope.cancel()
@@ -115,7 +118,7 @@
 def make_cache(
     origin: NumberedOrigin,
     tasks: anyio.abc.TaskGroup,
-    view: OnlyCache | None = None,
+    view: FakePeerView | None = None,
     links: FakeLinks | None = None,
     timers: TimerService | None = None,
 ) -> WeightCache:
@@ -132,7 +135,7 @@
         timers or TimerService(VirtualClock()),
         tasks,
         origin,
-        view or OnlyCache(),
+        view or FakePeerView(),
         SwarmDistribution(me, limits, random.Random(1)),
         random.Random(1),
     )
