--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -52,7 +52,7 @@
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
         """Return the live agents whose targets serve a model, and the caches."""
         routes = self._view.routes
-        pools = routes.pools_of(model) if routes is not None else ()
+        pools = routes.services_for_model(model) if routes is not None else ()
         agents = [
             record
             for record in self._view.daemons(Role.AGENT.value)
@@ -102,7 +102,7 @@
 
 async def wait_routes(base: SiteBase) -> None:
     """Return once the configuration is known: it says where the origin is."""
-    await base.feed.wait_seeded()
+    await base.feed.wait_initialized()
     known = anyio.Event()
     base.view.on_change(lambda change: known.set())
     while base.view.routes is None:
