--- a/reedspar/weights/activation.py
+++ b/reedspar/weights/activation.py
@@ -90,14 +90,16 @@
         count = max(1, int(self._share * size))
         if self._deadline_s == float("inf"):
             return count
-        turns = 1 + max(0, math.ceil((self._deadline_s - now_s) / SWITCH_DURATION_S))
-        return max(count, math.ceil(size / turns))
+        rounds = 1 + max(0, math.ceil((self._deadline_s - now_s) / SWITCH_DURATION_S))
+        return max(count, math.ceil(size / rounds))
 
     def set_peers(self, names: Iterable[str]) -> None:
         """Set the live agents of the pool."""
         self._cohort = choose_cohort(self._me, names)
         self._peer_phases = {
-            n: w for n, w in self._peer_phases.items() if n in self._cohort
+            name: phase
+            for name, phase in self._peer_phases.items()
+            if name in self._cohort
         }
 
     def record_notice(self, peer: str, notice: VersionNotice, now_s: float) -> None:
@@ -133,7 +135,7 @@
         ranked = rank_by_rendezvous(self._root_digest, [self._me, *self._cohort])
         before_me = set(ranked[: ranked.index(self._me)])
         peer_phases = [(peer, self._peer_phases.get(peer)) for peer in self._cohort]
-        silent = sum(w is None or self._is_silent(w, now_s) for _, w in peer_phases)
+        silent = sum(p is None or self._is_silent(p, now_s) for _, p in peer_phases)
         ahead = sum(
             self._is_ahead(peer_phase, peer in before_me)
             for peer, peer_phase in peer_phases
--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/drawing.py
@@ -80,19 +80,19 @@
         self._take_over(transfer, placement, now_s)
         limit = self._limits.window_end(transfer, now_s)
         needed_map = _needed_map(transfer, placement)
-        for place in range(len(transfer.assigned) - 1, -1, -1):
-            index = transfer.assigned[place]
+        for position in range(len(transfer.assigned) - 1, -1, -1):
+            index = transfer.assigned[position]
             if not needed_map >> index & 1:
                 continue
             digest = transfer.digests[index]
             if not transfer.is_missing(index) or _is_nearby(transfer, placement, index):
-                del transfer.assigned[place]
+                del transfer.assigned[position]
             elif not self._fetches.is_blocked(digest, now_s):
                 if index >= limit:
                     return
                 fetch = self._fetches.get_or_create(digest, transfer.sizes[digest])
                 if placement.is_fetched_from_origin(index) and fetch.has_origin_failed:
-                    del transfer.assigned[place]
+                    del transfer.assigned[position]
                 elif not self._start_fetch(
                     fetch, index, placement, now_s
                 ) and self._are_sources_full(placement, now_s):
--- a/reedspar/weights/fencing.py
+++ b/reedspar/weights/fencing.py
@@ -27,8 +27,8 @@
 VERSIONS_PER_MODEL = 2
 """Versions stored per model: the last one ordered, and the one before it, which may
 still be served."""
-ATTEMPTS = 6
-BACKOFF_S = 0.05
+WRITE_ATTEMPTS_MAX = 6
+WRITE_BACKOFF_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     """Issues fencing numbers by compare-and-swap on one key per target."""
 
     def __init__(
-        self, target: str, key_value: KeyValueStore, backoff_s: float = BACKOFF_S
+        self, target: str, key_value: KeyValueStore, backoff_s: float = WRITE_BACKOFF_S
     ) -> None:
         self._backoff_s = backoff_s
         self._key = KEY_PREFIX + target
@@ -121,7 +121,7 @@
         """
         version = OrderedVersion(model, root_digest, sequence)
         failure = Failure(Reason.CONFLICT, Step.KEY_VALUE, detail=self._key)
-        for attempt in range(ATTEMPTS):
+        for attempt in range(WRITE_ATTEMPTS_MAX):
             result = await self._try_next(version)
             if not isinstance(result, Failure):
                 self._last = version
--- a/reedspar/weights/fetches.py
+++ b/reedspar/weights/fetches.py
@@ -87,16 +87,12 @@
     def list_avoided(self, now_s: float) -> list[str]:
         """Return the peers that are in back-off."""
         return sorted(
-            peer
-            for peer, avoided_until_s in self._avoided_until_s.items()
-            if avoided_until_s > now_s
+            peer for peer, until_s in self._avoided_until_s.items() if until_s > now_s
         )
 
-    def record_busy(self, peer: str, avoided_until_s: float) -> None:
+    def record_busy(self, peer: str, until_s: float) -> None:
         """Avoid a peer that refused a request as busy."""
-        self._avoided_until_s[peer] = max(
-            avoided_until_s, self._avoided_until_s.get(peer, 0.0)
-        )
+        self._avoided_until_s[peer] = max(until_s, self._avoided_until_s.get(peer, 0.0))
 
     def record_stall(self, peer: str, now_s: float) -> None:
         """Back off from a peer whose request timed out."""
@@ -128,7 +124,7 @@
         if self._failure_counts[peer]:
             self._failure_counts[peer] -= 1
 
-    def forget(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """Remove a peer that is no longer live."""
         self._avoided_until_s.pop(peer, None)
         del self._failure_counts[peer]
--- a/reedspar/weights/receiving.py
+++ b/reedspar/weights/receiving.py
@@ -72,10 +72,10 @@
             self._peers.record_busy(peer, now_s + self._limits.request_timeout_s)
         else:
             fetch.refusals += 1
-            is_source_due = (
+            tries_next_source = (
                 not request.region or fetch.refusals % FAR_REFUSALS_PER_SOURCE == 0
             )
-            fetch.attempts += is_source_due
+            fetch.attempts += tries_next_source
             fetch.not_before_s = max(
                 fetch.not_before_s, now_s + self._limits.retry_delay_s
             )
--- a/reedspar/weights/staged.py
+++ b/reedspar/weights/staged.py
@@ -65,12 +65,12 @@
         self, reader: StagedReader, staged: StagedVersion
     ) -> int | Failure:
         """Add the valid staged chunks and mark them as staged; return their count."""
-        places = await reader.list_staged(staged.model)
-        if isinstance(places, Failure):
-            return places
+        indexes = await reader.list_staged(staged.model)
+        if isinstance(indexes, Failure):
+            return indexes
         digests = staged.chunk_digests
         count = 0
-        for index in places:
+        for index in indexes:
             if index >= len(digests):
                 continue
             read_s, boot_id = self._now_s(), self._boot_id()
--- a/reedspar/weights/staging.py
+++ b/reedspar/weights/staging.py
@@ -52,9 +52,9 @@
 
     def set_manifest(self, manifest: Manifest) -> bool:
         """Set the manifest; return whether it matches the configured version."""
-        announced = (self.model, self.version.sequence, self.root_digest)
+        expected = (self.model, self.version.sequence, self.root_digest)
         found = (manifest.model, manifest.sequence, manifest.root_digest)
-        if announced != found:
+        if expected != found:
             self.is_invalid = True
             return False
         self.manifest = manifest
--- a/reedspar/weights/swarm.py
+++ b/reedspar/weights/swarm.py
@@ -382,7 +382,7 @@
             if request.peer == name:
                 self._fetches.close(fetch, request, is_cancelled=False)
                 fetch.attempts += 1
-        self._peers.forget(name)
+        self._peers.remove(name)
 
     def _rank_victim(self, digest: str) -> tuple[bool, bool, bool, int]:
         """Return the eviction rank of an object; the lowest is evicted first."""
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -53,8 +53,8 @@
         )
 
     def test_entry_that_reads_a_manifest_late_serves_requests_immediately(self) -> None:
-        # Guards against a transfer that is delayed by 1 s.  Agents request the map of an
-        # entry before it has read the manifest, and repeat the request only after 1 s.
+        # Guards against a transfer that is delayed by 1 s.  Agents request an entry's
+        # map before it has read the manifest, and repeat the request only after 1 s.
         self.begin(late=CACHE)
         events = self.fleet.events
         cache = self.fleet.agents[CACHE]
