--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -127,7 +127,7 @@
 
     def _want_links(self) -> None:
         wanted = self.membership.desired_links()
-        self.network.want(
+        self.network.set_desired_peers(
             "membership",
             [PeerAddress(record.name, record.host, record.port) for record in wanted],
         )
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -26,7 +26,7 @@
 
 from .load_news import LoadNews
 from .serving import PortDispatcher, serve_http
-from .site_parts import SiteBase, SiteParts, create_site_base
+from .site_parts import SiteBase, StoreAccess, create_site_base
 from .site_weights import (
     SitePeers,
     create_origin_with_exchange,
@@ -35,7 +35,7 @@
     wait_routes,
 )
 
-__all__ = ["AgentBorders", "SiteAgent", "create_site_agent"]
+__all__ = ["AgentAdapters", "SiteAgent", "create_site_agent"]
 
 POLL_S = 0.2
 """Between two reads of the engine's state; on its own machine they cost nothing but
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AgentBorders:
+class AgentAdapters:
     """What the site's wire brings for an agent."""
 
     create_origin: Callable[[FleetView], VersionedOrigin]
@@ -168,18 +168,18 @@
 def create_site_agent(
     settings: SiteSettings,
     incarnation: int,
-    parts: SiteParts,
-    borders: AgentBorders,
+    store_access: StoreAccess,
+    adapters: AgentAdapters,
     timers: TimerService,
     tasks: TaskGroup,
     rng: random.Random,
 ) -> tuple[SiteAgent, ASGIApp]:
     """Build an agent, and the application of its port for metrics."""
-    base = create_site_base(settings, incarnation, parts, timers, rng)
+    base = create_site_base(settings, incarnation, store_access, timers, rng)
     view = base.view
     network = base.links.on_demand("weights")
     origin = create_origin_with_exchange(
-        borders.create_origin(view), settings, view, network
+        adapters.create_origin(view), settings, view, network
     )
     catalog = VersionCatalog(
         settings.pool,
@@ -189,7 +189,7 @@
         settings.bounds.version_ms / 1000 - OLDER_MARGIN_S,
         settings.links.machine_bytes_per_s,
     )
-    engine = borders.create_engine(catalog)
+    engine = adapters.create_engine(catalog)
 
     def create_weights(own: SiteSettings) -> WeightController:
         return create_weight_controller(
@@ -216,4 +216,4 @@
         timers,
         tasks,
     )
-    return agent, PortDispatcher({settings.listen.metrics_port: borders.metrics})
+    return agent, PortDispatcher({settings.listen.metrics_port: adapters.metrics})
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -28,7 +28,7 @@
 from reedspar.weights import VersionedOrigin, WeightCache, create_weight_cache
 
 from .serving import PortDispatcher, serve_http
-from .site_parts import SiteBase, SiteParts, create_site_base
+from .site_parts import SiteBase, StoreAccess, create_site_base
 from .site_weights import (
     SitePeers,
     create_origin_with_exchange,
@@ -37,7 +37,7 @@
     wait_routes,
 )
 
-__all__ = ["EntryBorders", "SiteEntry", "create_site_entry"]
+__all__ = ["EntryAdapters", "SiteEntry", "create_site_entry"]
 
 STOP_MARGIN_S = 1.0
 """Before the end by force, for the last bytes of answers and the sockets."""
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryBorders:
+class EntryAdapters:
     """What the site's wire brings for an entry."""
 
     adapter: CallerAdapter
@@ -166,8 +166,8 @@
 def create_site_entry(
     settings: SiteSettings,
     incarnation: int,
-    parts: SiteParts,
-    borders: EntryBorders,
+    store_access: StoreAccess,
+    adapters: EntryAdapters,
     timers: TimerService,
     tasks: TaskGroup,
     rng: random.Random,
@@ -175,7 +175,7 @@
     """Build an entry, and the application that serves all its ports."""
     listen = settings.listen
     assert listen.callers is not None
-    base = create_site_base(settings, incarnation, parts, timers, rng)
+    base = create_site_base(settings, incarnation, store_access, timers, rng)
     view = base.view
     links = base.links
     service = create_direct_service(
@@ -185,18 +185,18 @@
         timers=timers,
         tasks=tasks,
         network=links.on_demand("crashes"),
-        dialer=borders.create_dialer(view),
-        adapter=borders.adapter,
-        others=borders.metrics_app,
+        dialer=adapters.create_dialer(view),
+        adapter=adapters.adapter,
+        others=adapters.metrics_app,
         is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
-        first_filters=(RequestLog(view, timers, borders.metrics),),
+        first_filters=(RequestLog(view, timers, adapters.metrics),),
     )
-    borders.metrics.replaced_begun.observe(service.replaced.read_counts)
+    adapters.metrics.replaced_begun.observe(service.replaced.read_counts)
     create_load_listener(view, service.chooser, links.transport)
     weights_network = links.on_demand("weights")
     origin = create_origin_with_exchange(
-        borders.create_origin(view), settings, view, weights_network
+        adapters.create_origin(view), settings, view, weights_network
     )
 
     def create_cache(own: SiteSettings) -> WeightCache:
@@ -211,8 +211,8 @@
         )
 
     entry = SiteEntry(settings, base, service, create_cache, timers, tasks)
-    directory = borders.create_directory(entry)
+    directory = adapters.create_directory(entry)
     by_port: dict[int, ASGIApp] = dict.fromkeys(_list_ports(settings), directory)
-    by_port[listen.metrics_port] = borders.metrics_app
+    by_port[listen.metrics_port] = adapters.metrics_app
     by_port[listen.callers.port] = service.application
     return entry, PortDispatcher(by_port)
--- a/reedspar/daemon/site_parts.py
+++ b/reedspar/daemon/site_parts.py
@@ -23,7 +23,7 @@
 
 from .site_links import SiteLinks, create_site_links
 
-__all__ = ["SiteBase", "SiteCodec", "SiteParts", "SiteStore", "create_site_base"]
+__all__ = ["SiteBase", "SiteCodec", "SiteStore", "StoreAccess", "create_site_base"]
 
 
 class SiteStore(LeasingStore, WatchableStore, Protocol):
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SiteParts:
+class StoreAccess:
     """The store, and how its entries are read."""
 
     store: SiteStore
@@ -64,20 +64,20 @@
 def create_site_base(
     settings: SiteSettings,
     incarnation: int,
-    parts: SiteParts,
+    store_access: StoreAccess,
     timers: TimerService,
     rng: random.Random,
 ) -> SiteBase:
     """Connect a daemon with the store and with its peers."""
     view = FleetView(timers)
     feed = create_fleet_feed(
-        parts.store, view, parts.codec, timers, parts.prefixes, rng
+        store_access.store, view, store_access.codec, timers, store_access.prefixes, rng
     )
-    key, value = parts.encode_daemon(_describe(settings))
+    key, value = store_access.encode_daemon(_describe(settings))
     registration = create_registration(
         key,
         value,
-        parts.store,
+        store_access.store,
         timers,
         feed.record_store_success,
         feed.record_store_failure,
--- a/reedspar/links/forwarding.py
+++ b/reedspar/links/forwarding.py
@@ -36,9 +36,9 @@
         """Call `listener` with what each received frame says of its sender."""
         self._network.on_sender(listener)
 
-    def want(self, owner: str, peers: Iterable[PeerAddress]) -> None:
+    def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
         """Keep links to these peers, until the same owner wants others."""
-        self._network.want(owner, peers)
+        self._network.set_desired_peers(owner, peers)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
         """Return the names of the peers (of a role) that a link is open to."""
--- a/reedspar/links/monitor.py
+++ b/reedspar/links/monitor.py
@@ -40,7 +40,7 @@
     backoff_max_s: float = 2.0
 
     @property
-    def judge_s(self) -> float:
+    def redial_window_s(self) -> float:
         """Return the further silence after which the peer is judged."""
         return 2 * self.dial_timeout_s
 
@@ -90,7 +90,7 @@
 
     timings: LinkTimings
     rng: random.Random
-    is_wanted: bool = False
+    is_desired: bool = False
     is_up: bool = False
     is_dialling: bool = False
     _connections: list[int] = field(default_factory=list)
@@ -107,7 +107,7 @@
         """Return the open connections, oldest first; the last is sent on."""
         return tuple(self._connections)
 
-    def note_opened(self, connection: int, now_s: float) -> list[LinkAction]:
+    def handle_opened(self, connection: int, now_s: float) -> list[LinkAction]:
         """Take in a connection on which the peer has said hello."""
         self._connections.append(connection)
         self._last_heard_s = now_s
@@ -121,7 +121,7 @@
             actions.append(CloseConnection(self._connections[0]))
         return actions
 
-    def note_closed(self, connection: int, now_s: float) -> list[LinkAction]:
+    def handle_closed(self, connection: int, now_s: float) -> list[LinkAction]:
         """Take in that a connection has ended, by whichever end."""
         if connection not in self._connections:
             return []
@@ -132,23 +132,23 @@
         self._next_dial_s = now_s
         return []
 
-    def note_heard(self, now_s: float) -> None:
+    def record_received(self, now_s: float) -> None:
         """Take in that a frame came."""
         self._last_heard_s = now_s
 
-    def note_sent(self, now_s: float, *, is_traffic: bool = True) -> None:
+    def record_sent(self, now_s: float, *, is_traffic: bool = True) -> None:
         """Take in that a frame was sent."""
         self._last_sent_s = now_s
         if is_traffic:
-            self.note_traffic(now_s)
+            self.record_traffic(now_s)
 
-    def note_traffic(self, now_s: float) -> None:
+    def record_traffic(self, now_s: float) -> None:
         """Take in that the link carries more than heartbeats."""
         if not self._is_busy(now_s):
             self._busy_since_s = now_s
         self._last_traffic_s = now_s
 
-    def note_pause(self, gap_s: float) -> None:
+    def handle_pause(self, gap_s: float) -> None:
         """Take in that this process was paused: its peers were not silent.
 
         Without this, a daemon that was stopped for ten seconds would judge
@@ -159,7 +159,7 @@
         if self._lost_s is not None:
             self._lost_s += gap_s
 
-    def note_dial_failed(self, reason: Reason, now_s: float) -> list[LinkAction]:
+    def handle_dial_failure(self, reason: Reason, now_s: float) -> list[LinkAction]:
         """Take in that a dial was refused (`UNAVAILABLE`) or timed out."""
         self.is_dialling = False
         self._next_dial_s = now_s + self._backoff_s * self.rng.uniform(0.5, 1.5)
@@ -187,10 +187,10 @@
         limit_s = self._silence_s(now_s)
         if quiet_s <= limit_s:
             return actions
-        if not self.is_wanted:
+        if not self.is_desired:
             # The other end dials.  Closing tells it, if it can still hear.
             return [*actions, *self._close_all()]
-        if quiet_s > limit_s + self.timings.judge_s:
+        if quiet_s > limit_s + self.timings.redial_window_s:
             return [*actions, *self._go_down(Reason.TIMEOUT)]
         if self._may_dial(now_s):
             actions.append(self._start_dial())
@@ -199,7 +199,10 @@
     def _judge_lost(self, now_s: float) -> list[LinkAction]:
         if not self.is_up or self._lost_s is None:
             return []
-        if now_s - self._lost_s <= self.timings.silence_s + self.timings.judge_s:
+        if (
+            now_s - self._lost_s
+            <= self.timings.silence_s + self.timings.redial_window_s
+        ):
             return []
         return self._go_down(Reason.TIMEOUT)
 
@@ -223,11 +226,11 @@
         # The other end may see an idle link where this one sees a busy one,
         # and so beat slowly: a busy link is suspect early only if something
         # that expects an answer was sent, which makes both ends busy.
-        idle_s = self.timings.idle_heartbeat_s + self.timings.silence_s
-        return self.timings.silence_s if self._is_busy(now_s) else idle_s
+        idle_limit_s = self.timings.idle_heartbeat_s + self.timings.silence_s
+        return self.timings.silence_s if self._is_busy(now_s) else idle_limit_s
 
     def _may_dial(self, now_s: float) -> bool:
-        return self.is_wanted and not self.is_dialling and now_s >= self._next_dial_s
+        return self.is_desired and not self.is_dialling and now_s >= self._next_dial_s
 
     def _start_dial(self) -> Dial:
         self.is_dialling = True
--- a/reedspar/links/network.py
+++ b/reedspar/links/network.py
@@ -80,7 +80,7 @@
         """Call `listener` with what each received frame says of its sender."""
         ...
 
-    def want(self, owner: str, peers: Iterable[PeerAddress]) -> None:
+    def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
         """Keep links to these peers, until the same owner wants others."""
         ...
 
--- a/reedspar/links/on_demand.py
+++ b/reedspar/links/on_demand.py
@@ -31,11 +31,11 @@
 class OnDemandLimits:
     """Bounds on what is dialled and held."""
 
-    links_max: int = 64
-    held_max: int = 32
+    max_links: int = 64
+    max_queued_messages: int = 32
     """Messages that wait for one peer's link; beyond, the oldest is dropped."""
-    hold_s: float = 2.0
-    idle_s: float = 30.0
+    queue_timeout_s: float = 2.0
+    idle_timeout_s: float = 30.0
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
         if entry is None:
             return failure
         entry.held.append((message, priority, self._timers.now_s()))
-        while len(entry.held) > self._limits.held_max:
+        while len(entry.held) > self._limits.max_queued_messages:
             entry.held.popleft()
         return None
 
@@ -98,7 +98,7 @@
         entry = self._peers.get(peer)
         if entry is None:
             entry = self._peers[peer] = _Peer(address, self._timers.now_s())
-            if len(self._peers) > self._limits.links_max:
+            if len(self._peers) > self._limits.max_links:
                 self._peers.popitem(last=False)
         entry.address = address
         self._touch(peer)
@@ -107,7 +107,7 @@
 
     def _want(self) -> None:
         addresses = [entry.address for entry in self._peers.values()]
-        self._network.want(self._owner, addresses)
+        self._network.set_desired_peers(self._owner, addresses)
 
     def _note_link(self, event: LinkEvent) -> None:
         entry = self._peers.get(event.peer)
@@ -122,12 +122,14 @@
         """Drop messages held too long, and let go of idle links."""
         now_s = self._timers.now_s()
         for entry in self._peers.values():
-            while entry.held and now_s - entry.held[0][2] > self._limits.hold_s:
+            while (
+                entry.held and now_s - entry.held[0][2] > self._limits.queue_timeout_s
+            ):
                 entry.held.popleft()
         idle = [
             name
             for name, entry in self._peers.items()
-            if now_s - entry.used_s > self._limits.idle_s
+            if now_s - entry.used_s > self._limits.idle_timeout_s
         ]
         for name in idle:
             del self._peers[name]
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -126,7 +126,7 @@
         connection = self._connection_to(peer)
         return connection.bulk_backlog_bytes if connection else 0
 
-    def want(self, owner: str, peers: Iterable[PeerAddress]) -> None:
+    def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
         """Keep links to these peers, until the same owner wants others."""
         own_name = self._hello.name
         self._wanted[owner] = {p.name: p for p in peers if p.name != own_name}
@@ -136,10 +136,10 @@
         for name, address in wanted.items():
             peer = self._peer(name)
             peer.address = address
-            peer.monitor.is_wanted = True
+            peer.monitor.is_desired = True
         for name, peer in self._peers.items():
             if name not in wanted:
-                peer.monitor.is_wanted = False
+                peer.monitor.is_desired = False
 
     def send(
         self, peer: str, message: Any, priority: Priority = Priority.LIVE
@@ -159,7 +159,7 @@
             return Failure(failure.reason, Step.LINK, peer, failure.detail)
         is_traffic = not isinstance(message, Heartbeat)
         monitor = self._peers[peer].monitor
-        monitor.note_sent(self._timers.now_s(), is_traffic=is_traffic)
+        monitor.record_sent(self._timers.now_s(), is_traffic=is_traffic)
         return None
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
@@ -190,14 +190,14 @@
 
     def _note_pause(self, gap_s: float) -> None:
         for peer in self._peers.values():
-            peer.monitor.note_pause(gap_s)
+            peer.monitor.handle_pause(gap_s)
 
     def _tick(self) -> None:
         now_s = self._timers.now_s()
         for peer in list(self._peers.values()):
             self._carry_out(peer, peer.monitor.tick(now_s))
             monitor = peer.monitor
-            if not (peer.connections or monitor.is_wanted or monitor.is_up):
+            if not (peer.connections or monitor.is_desired or monitor.is_up):
                 del self._peers[peer.name]
 
     def _carry_out(self, peer: _Peer, actions: list[LinkAction]) -> None:
@@ -248,7 +248,7 @@
         else:
             if await self._serve(stream, expected=peer.name):
                 return
-        actions = peer.monitor.note_dial_failed(reason, self._timers.now_s())
+        actions = peer.monitor.handle_dial_failure(reason, self._timers.now_s())
         self._carry_out(peer, actions)
 
     async def _serve(self, stream: ByteStream, expected: str | None) -> bool:
@@ -298,7 +298,7 @@
         if session.expected is not None:
             peer.monitor.is_dialling = False
         now_s = self._timers.now_s()
-        self._carry_out(peer, peer.monitor.note_opened(session.id, now_s))
+        self._carry_out(peer, peer.monitor.handle_opened(session.id, now_s))
         return True
 
     def _replace_incarnation(self, peer: _Peer, incarnation: int) -> None:
@@ -308,7 +308,7 @@
         for connection in peer.connections.values():
             self._start(connection.close)
         peer.connections.clear()
-        peer.monitor = LinkMonitor(self._timings, self._rng, is_wanted=old.is_wanted)
+        peer.monitor = LinkMonitor(self._timings, self._rng, is_desired=old.is_desired)
         peer.monitor.is_dialling = old.is_dialling
         peer.incarnation = incarnation
 
@@ -317,7 +317,7 @@
         if peer is None or peer.connections.pop(session.id, None) is None:
             return
         now_s = self._timers.now_s()
-        self._carry_out(peer, peer.monitor.note_closed(session.id, now_s))
+        self._carry_out(peer, peer.monitor.handle_closed(session.id, now_s))
 
     def _receive(self, session: "_Session", frame: bytes) -> bool:
         self.traffic.received_bytes += len(frame)
@@ -335,13 +335,13 @@
 
     def _dispatch(self, peer: _Peer, envelope: Envelope) -> None:
         now_s = self._timers.now_s()
-        peer.monitor.note_heard(now_s)
+        peer.monitor.record_received(now_s)
         for listener in self._sender_listeners:
             listener(envelope.sender)
         first = envelope.messages[0]
         if isinstance(first, Heartbeat):
             return
-        peer.monitor.note_traffic(now_s)
+        peer.monitor.record_traffic(now_s)
         handlers = self._handlers.get(type(first), ())
         for message in envelope.messages:
             for handler in handlers:
--- a/reedspar/links/tests/test_monitor.py
+++ b/reedspar/links/tests/test_monitor.py
@@ -23,8 +23,8 @@
 TICK_S = 0.1
 
 
-def create_monitor(*, is_wanted: bool = True) -> LinkMonitor:
-    return LinkMonitor(TIMINGS, random.Random(1), is_wanted=is_wanted)
+def create_monitor(*, is_desired: bool = True) -> LinkMonitor:
+    return LinkMonitor(TIMINGS, random.Random(1), is_desired=is_desired)
 
 
 def run(monitor: LinkMonitor, from_s: float, to_s: float) -> list:
@@ -39,12 +39,12 @@
         # A middlebox forgets the connection: nothing comes any more, though
         # the peer is well.  A caller must not see its target reported as gone.
         monitor = create_monitor()
-        self.assertEqual(monitor.note_opened(1, 0.0), [Notify(LinkChange.UP)])
-        monitor.note_traffic(0.0)
+        self.assertEqual(monitor.handle_opened(1, 0.0), [Notify(LinkChange.UP)])
+        monitor.record_traffic(0.0)
         actions = run(monitor, 0.1, 1.8)
         self.assertIn(Dial(), actions)
         self.assertNotIn(LinkChange.DOWN, [getattr(a, "change", 0) for a in actions])
-        replaced = monitor.note_opened(2, 1.9)
+        replaced = monitor.handle_opened(2, 1.9)
         self.assertEqual(replaced, [Notify(LinkChange.REPLACED)])
         self.assertEqual(monitor.connections[-1], 2)
 
@@ -53,19 +53,19 @@
         # the next beat.  Taken for silent, it was dialled again by both ends, and
         # the first requests for a new version were lost for three seconds.
         monitor = create_monitor()
-        monitor.note_opened(1, 0.0)
-        monitor.note_heard(8.0)
-        monitor.note_sent(9.8)
+        monitor.handle_opened(1, 0.0)
+        monitor.record_received(8.0)
+        monitor.record_sent(9.8)
         self.assertNotIn(Dial(), run(monitor, 9.8, 11.2))
         self.assertIn(Dial(), run(monitor, 11.3, 11.7))
 
     def test_frozen_peer_goes_down_only_after_the_second_dial_failed(self) -> None:
         # The peer is stopped: its kernel accepts, but no hello comes.
         monitor = create_monitor()
-        monitor.note_opened(1, 0.0)
-        monitor.note_traffic(0.0)
+        monitor.handle_opened(1, 0.0)
+        monitor.record_traffic(0.0)
         self.assertIn(Dial(), run(monitor, 0.1, 1.6))
-        self.assertEqual(monitor.note_dial_failed(Reason.TIMEOUT, 2.6), [])
+        self.assertEqual(monitor.handle_dial_failure(Reason.TIMEOUT, 2.6), [])
         actions = run(monitor, 2.7, 6.0)
         self.assertIn(Notify(LinkChange.DOWN, Reason.TIMEOUT), actions)
         self.assertIn(CloseConnection(1), actions)
@@ -73,28 +73,28 @@
     def test_refused_dial_is_proof_at_once(self) -> None:
         # The process was killed: its host refuses the dial.
         monitor = create_monitor()
-        monitor.note_opened(1, 0.0)
-        monitor.note_closed(1, 0.5)
+        monitor.handle_opened(1, 0.0)
+        monitor.handle_closed(1, 0.5)
         self.assertIn(Dial(), monitor.tick(0.6))
-        down = monitor.note_dial_failed(Reason.UNAVAILABLE, 0.6)
+        down = monitor.handle_dial_failure(Reason.UNAVAILABLE, 0.6)
         self.assertEqual(down, [Notify(LinkChange.DOWN, Reason.UNAVAILABLE)])
 
     def test_own_pause_condemns_nobody(self) -> None:
         # This process is stopped for ten seconds and continued.  Without the
         # correction it would find every peer silent, and drop all its links.
         monitor = create_monitor()
-        monitor.note_opened(1, 0.0)
-        monitor.note_traffic(0.0)
-        monitor.note_pause(10.0)
+        monitor.handle_opened(1, 0.0)
+        monitor.record_traffic(0.0)
+        monitor.handle_pause(10.0)
         actions = monitor.tick(10.1)
         self.assertEqual(actions, [SendHeartbeat()])
 
     def test_unwanted_silent_link_is_closed_for_the_dialling_end(self) -> None:
         # The path from the dialling end to here is lost, the way back is not.
         # The close tells the other end, which hears this one well, to dial.
-        monitor = create_monitor(is_wanted=False)
-        monitor.note_opened(1, 0.0)
-        monitor.note_traffic(0.0)
+        monitor = create_monitor(is_desired=False)
+        monitor.handle_opened(1, 0.0)
+        monitor.record_traffic(0.0)
         actions = run(monitor, 0.1, 2.0)
         self.assertIn(CloseConnection(1), actions)
         self.assertNotIn(Dial(), actions)
@@ -130,16 +130,16 @@
         if kind == 0 and self.is_dialling:
             self.is_dialling = self.monitor.is_dialling = False
             self.last_connection += 1
-            self.take(self.monitor.note_opened(self.last_connection, self.now_s))
+            self.take(self.monitor.handle_opened(self.last_connection, self.now_s))
         elif kind in (1, 2) and self.is_dialling:
             self.is_dialling = False
             reason = Reason.TIMEOUT if kind == 1 else Reason.UNAVAILABLE
-            self.take(self.monitor.note_dial_failed(reason, self.now_s))
+            self.take(self.monitor.handle_dial_failure(reason, self.now_s))
         elif kind == 3 and self.monitor.connections:
             oldest = self.monitor.connections[0]
-            self.take(self.monitor.note_closed(oldest, self.now_s))
+            self.take(self.monitor.handle_closed(oldest, self.now_s))
         elif kind == 4:
-            self.monitor.note_heard(self.now_s)
+            self.monitor.record_received(self.now_s)
 
     def take(self, actions: list) -> None:
         for action in actions:
--- a/reedspar/links/tests/test_on_demand.py
+++ b/reedspar/links/tests/test_on_demand.py
@@ -17,7 +17,7 @@
     def on_link_event(self, listener) -> None:
         self.listener = listener
 
-    def want(self, owner, peers) -> None:
+    def set_desired_peers(self, owner, peers) -> None:
         self.addresses = {peer.name: peer.port for peer in peers}
         self.wanted = set(self.addresses)
 
@@ -43,7 +43,12 @@
             self.timers,
             "test",
             self.resolve,
-            OnDemandLimits(links_max=2, held_max=2, hold_s=2.0, idle_s=30.0),
+            OnDemandLimits(
+                max_links=2,
+                max_queued_messages=2,
+                queue_timeout_s=2.0,
+                idle_timeout_s=30.0,
+            ),
         )
 
     def resolve(self, name: str) -> PeerAddress | None:
--- a/reedspar/links/tests/test_tcp_network.py
+++ b/reedspar/links/tests/test_tcp_network.py
@@ -83,7 +83,7 @@
         first, second = Node("agent-1"), Node("agent-2")
 
         async def scenario() -> None:
-            first.network.want("test", [second.address])
+            first.network.set_desired_peers("test", [second.address])
             await wait_until(lambda: first.network.peers() and second.network.peers())
             ack = AttemptAck("r1", 1, 42, is_complete=False)
             self.assertIsNone(first.network.send("agent-2", ack))
@@ -109,7 +109,7 @@
         async def scenario() -> None:
             second.network.subscribe(AttemptData, lambda s, m: got.append(m))
             second.network.subscribe(AttemptAck, lambda s, m: got.append(m))
-            first.network.want("test", [second.address])
+            first.network.set_desired_peers("test", [second.address])
             await wait_until(lambda: first.network.peers() and second.network.peers())
             before = first.network.traffic.sent_bytes
             for message in sent:
@@ -138,7 +138,7 @@
         first, second = Node("agent-1"), Node("agent-2")
 
         async def scenario() -> None:
-            first.network.want("test", [second.address])
+            first.network.set_desired_peers("test", [second.address])
             await wait_until(lambda: first.events)
             for peer in first.network._peers.values():
                 for connection in list(peer.connections.values()):
@@ -156,7 +156,9 @@
         async def scenario() -> None:
             with socket.create_server(("127.0.0.1", 0)) as server:
                 port = server.getsockname()[1]
-                node.network.want("test", [PeerAddress("frozen", "127.0.0.1", port)])
+                node.network.set_desired_peers(
+                    "test", [PeerAddress("frozen", "127.0.0.1", port)]
+                )
                 await anyio.sleep(0.8)
                 self.assertEqual(node.events, [])
                 self.assertEqual(node.network.peers(), ())
@@ -170,9 +172,9 @@
         newer, older = Node("agent-2", 5), Node("agent-2", 4)
 
         async def scenario() -> None:
-            newer.network.want("test", [node.address])
+            newer.network.set_desired_peers("test", [node.address])
             await wait_until(lambda: node.network.incarnation_of("agent-2") == 5)
-            older.network.want("test", [node.address])
+            older.network.set_desired_peers("test", [node.address])
             await anyio.sleep(0.5)
             older.network.send("agent-1", AttemptAck("old", 1, 0, True))
             newer.network.send("agent-1", AttemptAck("new", 1, 0, True))
--- a/reedspar/platform/http_body.py
+++ b/reedspar/platform/http_body.py
@@ -6,11 +6,11 @@
 import httpx
 
 from reedspar.errors import Failure, Reason, Step
-from reedspar.utils import HOP_BY_HOP
+from reedspar.utils import HOP_BY_HOP_HEADERS
 
 __all__ = ["LEFT_OUT", "HttpTargetResponse"]
 
-LEFT_OUT = HOP_BY_HOP | {"host"}
+LEFT_OUT = HOP_BY_HOP_HEADERS | {"host"}
 """Headers that a connection to a target has of its own."""
 STREAM_TYPE = "text/event-stream"
 STREAM_END = b"data: [DONE]"
--- a/reedspar/requests/endings.py
+++ b/reedspar/requests/endings.py
@@ -10,7 +10,7 @@
 
 from reedspar.attempts import Header
 from reedspar.errors import Failure, Reason, Step
-from reedspar.utils import HOP_BY_HOP
+from reedspar.utils import HOP_BY_HOP_HEADERS
 
 from .request import Answer, Outcome
 
@@ -99,7 +99,7 @@
     own.append(Header(REQUEST_ID_HEADER, caller_request_id))
     if weights_digest:
         own.append(Header(WEIGHTS_HEADER, weights_digest))
-    left_out = HOP_BY_HOP | OWN_HEADERS
+    left_out = HOP_BY_HOP_HEADERS | OWN_HEADERS
     passed = [item for item in headers if item.name.lower() not in left_out]
     return [
         (item.name.lower().encode("latin-1"), item.value.encode("latin-1"))
--- a/reedspar/utils/__init__.py
+++ b/reedspar/utils/__init__.py
@@ -1,12 +1,12 @@
 """Small helpers that more than one package needs."""
 
 from .hashing import digest_bytes, rank_by_rendezvous, rendezvous_score
-from .headers import HOP_BY_HOP
+from .headers import HOP_BY_HOP_HEADERS
 from .lazy_imports import create_lazy_getattr
 from .pacing import TokenBucket
 
 __all__ = [
-    "HOP_BY_HOP",
+    "HOP_BY_HOP_HEADERS",
     "TokenBucket",
     "create_lazy_getattr",
     "digest_bytes",
--- a/reedspar/utils/headers.py
+++ b/reedspar/utils/headers.py
@@ -1,8 +1,8 @@
 """Headers of HTTP that end at each hop."""
 
-__all__ = ["HOP_BY_HOP"]
+__all__ = ["HOP_BY_HOP_HEADERS"]
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
--- a/tests/test_silent_link.py
+++ b/tests/test_silent_link.py
@@ -49,7 +49,7 @@
                     tasks.start_soon,
                 )
                 address = PeerAddress("agent-1", "127.0.0.1", relay_port)
-                self.entry.network.want("test", [address])
+                self.entry.network.set_desired_peers("test", [address])
                 await wait_until(lambda: self.entry.network.peers())
                 await anyio.sleep(0.4)
                 await scenario()
