--- a/reedspar/platform/__init__.py
+++ b/reedspar/platform/__init__.py
@@ -13,7 +13,7 @@
         create_http_model_engine,
         create_http_plain_service,
     )
-    from .http_transport import StackedTransport
+    from .http_transport import PooledTransport
     from .http_weight_source import HttpWeightSource, create_http_weight_source
     from .models import (
         EngineState,
@@ -46,7 +46,7 @@
     "KeyValueStore",
     "LoadOrder",
     "ModelEngine",
-    "StackedTransport",
+    "PooledTransport",
     "Target",
     "TargetRequest",
     "TargetResponse",
@@ -76,7 +76,7 @@
                 "create_http_model_engine",
                 "create_http_plain_service",
             ),
-            "http_transport": ("StackedTransport",),
+            "http_transport": ("PooledTransport",),
             "http_weight_source": (
                 "HttpWeightSource",
                 "create_http_weight_source",
--- a/reedspar/platform/http_client.py
+++ b/reedspar/platform/http_client.py
@@ -4,7 +4,7 @@
 
 from reedspar.errors import Failure, Reason, Step
 
-from .http_transport import StackedTransport
+from .http_transport import PooledTransport
 
 __all__ = [
     "HTTP_REFUSED",
@@ -48,7 +48,7 @@
     )
 
 
-def create_unbounded_transport(url: str) -> StackedTransport:
+def create_unbounded_transport(url: str) -> PooledTransport:
     """Return a transport to one server for any number of requests at once."""
     verify = httpx.create_ssl_context(verify=url.startswith("https:"))
 
@@ -56,7 +56,7 @@
         limits = make_limits(1)
         return httpx.AsyncHTTPTransport(verify=verify, limits=limits)
 
-    return StackedTransport(create_transport)
+    return PooledTransport(create_transport)
 
 
 def create_unbounded_client(
--- a/reedspar/platform/http_transport.py
+++ b/reedspar/platform/http_transport.py
@@ -10,12 +10,12 @@
 
 import httpx
 
-__all__ = ["StackedTransport"]
+__all__ = ["PooledTransport"]
 
 IDLE_MAX = 64
 
 
-class StackedTransport(httpx.AsyncBaseTransport):
+class PooledTransport(httpx.AsyncBaseTransport):
     """Hand each request to an idle one-connection transport, or to a new one."""
 
     def __init__(
--- a/stand_ins/clients.py
+++ b/stand_ins/clients.py
@@ -2,7 +2,7 @@
 
 import httpx
 
-from reedspar.platform import StackedTransport
+from reedspar.platform import PooledTransport
 
 __all__ = ["create_trial_client"]
 
@@ -11,7 +11,7 @@
 
 def create_trial_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
     """Return a client whose cost a request does not grow with those in flight."""
-    stacks: dict[str, StackedTransport] = {}
+    stacks: dict[str, PooledTransport] = {}
 
     class ByAddress(httpx.AsyncBaseTransport):
         """One stack of connections for each address."""
@@ -19,7 +19,7 @@
         async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
             address = str(request.url.netloc, "ascii")
             if address not in stacks:
-                stacks[address] = StackedTransport(create_transport)
+                stacks[address] = PooledTransport(create_transport)
             return await stacks[address].handle_async_request(request)
 
         async def aclose(self) -> None:
