--- a/reedspar/platform/__init__.py
+++ b/reedspar/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform behind protocols: key-value service, instances, weights, targets."""
+"""Protocols and HTTP adapters for the platform's services and for targets."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/platform/http_body.py
+++ b/reedspar/platform/http_body.py
@@ -1,4 +1,4 @@
-"""The body of a target's answer, with an end that is marked or not whole."""
+"""A target's response whose body is checked for completeness while it is read."""
 
 from collections.abc import AsyncIterator
 
@@ -8,16 +8,16 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.utils import HOP_BY_HOP
 
-__all__ = ["LEFT_OUT", "HttpTargetResponse"]
+__all__ = ["CONNECTION_HEADERS", "HttpTargetResponse"]
 
-LEFT_OUT = HOP_BY_HOP | {"host"}
-"""Headers that a connection to a target has of its own."""
+CONNECTION_HEADERS = HOP_BY_HOP | {"host"}
+"""Headers that apply to one connection and are not forwarded."""
 STREAM_TYPE = "text/event-stream"
 STREAM_END = b"data: [DONE]"
 
 
 class HttpTargetResponse:
-    """An answer while it arrives (see `TargetResponse`)."""
+    """A response with a streamed body (see `TargetResponse`)."""
 
     def __init__(
         self,
@@ -35,12 +35,12 @@
         self.headers: tuple[tuple[str, str], ...] = tuple(
             (name, value)
             for name, value in response.headers.multi_items()
-            if name.lower() not in LEFT_OUT
+            if name.lower() not in CONNECTION_HEADERS
         )
         self.weights_digest = response.headers.get("x-weights-digest", "")
 
     @property
-    def _has_marked_end(self) -> bool:
+    def _is_framed(self) -> bool:
         headers = self._response.headers
         is_bodiless = self.status in (
             httpx.codes.NO_CONTENT,
@@ -56,7 +56,7 @@
         return self._must_end_with_done and content_type.startswith(STREAM_TYPE)
 
     async def iterate(self) -> AsyncIterator[bytes | Failure]:
-        """Yield the body; a failure, if any, comes last: it was not whole."""
+        """Yield the body; a `Failure` as the last item means that it is incomplete."""
         tail = b""
         pieces = self._response.aiter_raw()
         while True:
@@ -67,14 +67,16 @@
             if isinstance(piece, Failure):
                 return
             tail = (tail + piece)[-2 * len(STREAM_END) :]
-        if not self._has_marked_end:
-            yield self._fail("the body's end is not marked")
+        if not self._is_framed:
+            yield self._fail(
+                "response has neither a content length nor chunked framing"
+            )
         elif self._is_stream and STREAM_END not in tail:
-            yield self._fail("the stream ended before its end marker")
+            yield self._fail("event stream ended without its [DONE] marker")
 
     async def _next_piece(self, pieces: AsyncIterator[bytes]) -> bytes | Failure | None:
-        """Return the next piece, None at the end, or why there is none."""
-        # `fail_after` does the same at twice the cost, for each token.
+        """Return the next part of the body, None at its end, or a failure."""
+        # Runs once per token; `fail_after` would cost twice as much.
         try:
             with anyio.CancelScope(deadline=self._deadline_s):
                 return await anext(pieces)
--- a/reedspar/platform/http_client.py
+++ b/reedspar/platform/http_client.py
@@ -1,4 +1,4 @@
-"""What the HTTP adapters share: clients with bounds, and errors told apart."""
+"""HTTP clients of the adapters, and the mapping of HTTP errors to failures."""
 
 import httpx
 
@@ -7,8 +7,8 @@
 from .http_transport import PooledTransport
 
 __all__ = [
-    "HTTP_REFUSED",
-    "PLAIN_BODIES",
+    "IDENTITY_ENCODING_HEADERS",
+    "NOT_EXECUTED_STATUS",
     "HttpAdapter",
     "create_client",
     "create_unbounded_client",
@@ -19,16 +19,15 @@
 ]
 
 KEEPALIVE_EXPIRY_S = 2.0
-"""Below the idle time of usual servers.
+"""Shorter than the idle timeout of common servers.
 
-A server that closes an idle connection just as a request goes out on it makes
-the request's outcome unknown.  It would show as unknown outcomes after quiet
-moments; letting go of the connection first prevents it.
+If a server closes an idle connection just as a request is sent on it, the
+outcome of the request is unknown.  Closing the connection first avoids this.
 """
-HTTP_REFUSED = 503
+NOT_EXECUTED_STATUS = 503
 MAX_CONNECTIONS = 64
-PLAIN_BODIES = {"accept-encoding": "identity"}
-NOTHING_SENT = (
+IDENTITY_ENCODING_HEADERS = {"accept-encoding": "identity"}
+UNSENT_ERRORS = (
     httpx.ConnectError,
     httpx.ConnectTimeout,
     httpx.PoolTimeout,
@@ -37,19 +36,19 @@
 
 
 def create_client(url: str, timeout_s: float) -> httpx.AsyncClient:
-    """Return a client of one server with a bounded number of connections."""
+    """Return a client for one server with a bounded number of connections."""
     return httpx.AsyncClient(
         base_url=url,
         verify=url.startswith("https:"),
         trust_env=False,
-        headers=PLAIN_BODIES,
+        headers=IDENTITY_ENCODING_HEADERS,
         timeout=httpx.Timeout(timeout_s),
         limits=make_limits(MAX_CONNECTIONS),
     )
 
 
 def create_unbounded_transport(url: str) -> PooledTransport:
-    """Return a transport to one server for any number of requests at once."""
+    """Return a transport to one server with unlimited concurrent requests."""
     verify = httpx.create_ssl_context(verify=url.startswith("https:"))
 
     def create_transport() -> httpx.AsyncHTTPTransport:
@@ -62,18 +61,18 @@
 def create_unbounded_client(
     url: str, timeout_s: float, transport: httpx.AsyncBaseTransport
 ) -> httpx.AsyncClient:
-    """Return a client of one server on its transport."""
+    """Return a client for one server that uses the given transport."""
     return httpx.AsyncClient(
         base_url=url,
         trust_env=False,
-        headers=PLAIN_BODIES,
+        headers=IDENTITY_ENCODING_HEADERS,
         timeout=httpx.Timeout(timeout_s),
         transport=transport,
     )
 
 
 def make_limits(max_connections: int) -> httpx.Limits:
-    """Return the limits of one pool."""
+    """Return the limits of one connection pool."""
     return httpx.Limits(
         max_connections=max_connections,
         max_keepalive_connections=max_connections,
@@ -81,34 +80,34 @@
     )
 
 
-def describe(error: Exception) -> str:
-    """Return the error's kind and text."""
+def describe_error(error: Exception) -> str:
+    """Return the error's type and message."""
     text = str(error)
     kind = type(error).__name__
     return f"{kind}: {text}" if text else kind
 
 
 def failure_of_write(error: Exception, step: Step, peer: str) -> Failure:
-    """Tell whether a call that changes something may have taken effect."""
-    is_unsent = isinstance(error, NOTHING_SENT)
+    """Return the failure of a write: `UNAVAILABLE` only if nothing was sent."""
+    is_unsent = isinstance(error, UNSENT_ERRORS)
     reason = Reason.UNAVAILABLE if is_unsent else Reason.OUTCOME_UNKNOWN
-    return Failure(reason, step, peer, describe(error))
+    return Failure(reason, step, peer, describe_error(error))
 
 
 def failure_of_read(error: Exception, step: Step, peer: str) -> Failure:
-    """Return the failure of a call that changes nothing."""
-    return Failure(Reason.UNAVAILABLE, step, peer, describe(error))
+    """Return the failure of a call without side effects."""
+    return Failure(Reason.UNAVAILABLE, step, peer, describe_error(error))
 
 
 def failure_of_status(response: httpx.Response, step: Step, peer: str) -> Failure:
-    """Return the failure that a refusing status stands for.
+    """Return the failure that an error status stands for.
 
-    A 503 says that nothing was done; any other 5xx may have come after the
-    effect.
+    A 503 means that the request was not executed.  After any other 5xx it may
+    have taken effect.
     """
     status = response.status_code
     detail = f"HTTP {status}: {response.text[:200]}"
-    if status == HTTP_REFUSED:
+    if status == NOT_EXECUTED_STATUS:
         return Failure(Reason.UNAVAILABLE, step, peer, detail)
     if status >= httpx.codes.INTERNAL_SERVER_ERROR:
         return Failure(Reason.OUTCOME_UNKNOWN, step, peer, detail)
@@ -120,7 +119,7 @@
 
 
 class HttpAdapter:
-    """Holds the client that an adapter shares between its calls."""
+    """Base class of adapters that use one HTTP client for all calls."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self._client = client
--- a/reedspar/platform/http_instance_list.py
+++ b/reedspar/platform/http_instance_list.py
@@ -20,10 +20,10 @@
 
 
 class HttpInstanceList(HttpAdapter):
-    """Read the platform's list of instances (see `InstanceList`)."""
+    """Reads the platform's list of instances (see `InstanceList`)."""
 
     async def fetch(self) -> tuple[InstanceRecord, ...] | Failure:
-        """Return the list as it stands."""
+        """Return the current list."""
         try:
             response = await self._client.get("/v1/instances")
         except httpx.HTTPError as error:
@@ -38,5 +38,5 @@
 
 
 def create_http_instance_list(url: str, *, timeout_s: float = 2.0) -> HttpInstanceList:
-    """Make an adapter for the list at `url`."""
+    """Create an adapter for the instance list at `url`."""
     return HttpInstanceList(create_client(url, timeout_s))
--- a/reedspar/platform/http_key_value.py
+++ b/reedspar/platform/http_key_value.py
@@ -20,7 +20,7 @@
 
 
 class HttpKeyValueStore(HttpAdapter):
-    """Speak the key-value service's HTTP interface (see `KeyValueStore`)."""
+    """Client of the key-value service (see `KeyValueStore`)."""
 
     def __init__(self, client: httpx.AsyncClient, timeout_s: float) -> None:
         super().__init__(client)
@@ -33,7 +33,7 @@
     async def watch(
         self, key: str, after_revision: int, timeout_s: float
     ) -> KeyValueEntry | Failure | None:
-        """Return the entry once it is newer, or None when the time is over."""
+        """Return the entry once it is newer, or None at the timeout."""
         params = {
             "key": key,
             "after": str(after_revision),
@@ -44,7 +44,7 @@
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int, lease_id: str = ""
     ) -> int | Failure:
-        """Write if the revision is the expected one; return the new one."""
+        """Write if the current revision is the expected one; return the new one."""
         params = {"key": key, "expected": str(expected_revision), "lease": lease_id}
         answer = await self._write("PUT", "/v1/entry", params, value)
         if isinstance(answer, Failure):
@@ -52,7 +52,7 @@
         revision = answer.get("revision")
         if isinstance(revision, int):
             return revision
-        return self._unreadable()
+        return self._make_unreadable_failure()
 
     async def grant_lease(self, ttl_s: float) -> str | Failure:
         """Return the id of a new lease."""
@@ -62,10 +62,10 @@
         lease_id = answer.get("lease")
         if isinstance(lease_id, str) and lease_id:
             return lease_id
-        return self._unreadable()
+        return self._make_unreadable_failure()
 
     async def renew_lease(self, lease_id: str) -> Failure | None:
-        """Start the lease's time to live again; `NOT_FOUND` once it has ended."""
+        """Restart the lease's time to live; fails with `NOT_FOUND` once it ended."""
         answer = await self._write("POST", "/v1/leases/renew", {"lease": lease_id})
         return answer if isinstance(answer, Failure) else None
 
@@ -82,7 +82,9 @@
             return failure_of_status(response, STEP, self._peer)
         revision = response.headers.get(REVISION_HEADER, "")
         if not revision.isdecimal():
-            return Failure(Reason.CORRUPT, STEP, self._peer, "answer has no revision")
+            return Failure(
+                Reason.CORRUPT, STEP, self._peer, "response has no revision header"
+            )
         return KeyValueEntry(params["key"], response.content, int(revision))
 
     async def _write(
@@ -99,16 +101,16 @@
         try:
             answer = response.json()
         except ValueError:
-            return self._unreadable()
-        return answer if isinstance(answer, dict) else self._unreadable()
+            return self._make_unreadable_failure()
+        return answer if isinstance(answer, dict) else self._make_unreadable_failure()
 
-    def _unreadable(self) -> Failure:
-        detail = "the answer can't be read"
+    def _make_unreadable_failure(self) -> Failure:
+        detail = "unreadable response"
         return Failure(Reason.OUTCOME_UNKNOWN, STEP, self._peer, detail)
 
 
 def create_http_key_value_store(
     url: str, *, timeout_s: float = 2.0
 ) -> HttpKeyValueStore:
-    """Make an adapter; `timeout_s` bounds a call, and a watch beyond its own time."""
+    """Create an adapter; `timeout_s` bounds a call, and extends a watch's own time."""
     return HttpKeyValueStore(create_client(url, timeout_s), timeout_s)
--- a/reedspar/platform/http_target.py
+++ b/reedspar/platform/http_target.py
@@ -1,6 +1,6 @@
 """Targets over HTTP: plain services, and model engines.
 
-The engine's interface is that of usual completion servers, with
+The engine's interface is that of common completion servers, with additional
 ``x-request-id``, ``x-priority`` and ``x-weights-digest`` headers.
 """
 
@@ -13,9 +13,9 @@
 
 from reedspar.errors import Failure, Reason, Step
 
-from .http_body import LEFT_OUT, HttpTargetResponse
+from .http_body import CONNECTION_HEADERS, HttpTargetResponse
 from .http_client import (
-    PLAIN_BODIES,
+    IDENTITY_ENCODING_HEADERS,
     HttpAdapter,
     create_unbounded_client,
     create_unbounded_transport,
@@ -24,7 +24,7 @@
     failure_of_write,
 )
 from .models import EngineState, LoadOrder, TargetRequest
-from .ordering import OrderedReads
+from .ordering import MonotonicReader
 from .protocols import TargetResponse
 
 __all__ = [
@@ -35,16 +35,16 @@
 ]
 
 LOAD_TIMEOUT_S = 120.0
-DIAL_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 _REQUEST_EXTENSIONS = {
-    "timeout": {"connect": DIAL_TIMEOUT_S, "read": None, "write": None, "pool": None}
+    "timeout": {"connect": CONNECT_TIMEOUT_S, "read": None, "write": None, "pool": None}
 }
 _STATE = TypeAdapter(EngineState)
 _LOAD_ORDER = TypeAdapter(LoadOrder)
 
 
 class HttpPlainService(HttpAdapter):
-    """Hand requests to a plain service (see `Target`)."""
+    """Sends requests to a plain service (see `Target`)."""
 
     _ends_streams_with_done = False
 
@@ -55,17 +55,17 @@
         self._transport = transport
         self._base_url = str(client.base_url).rstrip("/")
         self._state_request = client.build_request("GET", "/state")
-        self._states = OrderedReads(self._read_state)
+        self._state_reader = MonotonicReader(self._read_state)
 
     async def read_state(self) -> EngineState | Failure:
-        """Return the target's own report, never one older than returned before."""
-        return await self._states.read()
+        """Return the target's report, never an older one than returned before."""
+        return await self._state_reader.read()
 
     @asynccontextmanager
     async def send(
         self, request: TargetRequest
     ) -> AsyncIterator[TargetResponse | Failure]:
-        """Hand over a request; `UNAVAILABLE` only if nothing was handed over."""
+        """Send a request; fails with `UNAVAILABLE` only if nothing was sent."""
         deadline_s = anyio.current_time() + request.timeout_s
         answer = await self._open(request)
         if isinstance(answer, Failure):
@@ -83,15 +83,15 @@
                 await answer.aclose()
 
     async def cancel(self, request_id: str) -> Failure | None:
-        """Return `NOT_FOUND`: a plain service runs to its end what it began."""
-        detail = f"{request_id}: plain services take no cancellation"
+        """Return `NOT_FOUND`: a plain service always finishes a started request."""
+        detail = f"{request_id}: plain services do not support cancellation"
         return Failure(Reason.NOT_FOUND, Step.TARGET_CALL, self._peer, detail)
 
     async def _open(self, request: TargetRequest) -> httpx.Response | Failure:
-        """Hand the request to the transport, past the client.
+        """Send the request through the transport, without the client.
 
-        The client would cost more than the rest of the way, and it keeps
-        cookies: one caller's would go out with the next one's request.
+        The client would cost more than the rest of the call.  It also stores
+        cookies, and would send those of one caller with the next caller's request.
         """
         outgoing = httpx.Request(
             request.method,
@@ -109,7 +109,7 @@
         return response
 
     async def _read_state(self) -> EngineState | Failure:
-        """Ask for the report."""
+        """Request the target's report."""
         step = Step.TARGET_CALL
         try:
             response = await self._transport.handle_async_request(self._state_request)
@@ -132,7 +132,7 @@
 
 
 class HttpModelEngine(HttpPlainService):
-    """Hand requests and weights to a model engine (see `ModelEngine`)."""
+    """Sends requests and weights to a model engine (see `ModelEngine`)."""
 
     _ends_streams_with_done = True
 
@@ -143,17 +143,17 @@
     async def stage_chunk(
         self, root_digest: str, index: int, data: bytes
     ) -> Failure | None:
-        """Hand over one checked chunk of a version."""
+        """Send one verified chunk of a version."""
         return await self._call("POST", f"/stage/{root_digest}/{index}", data=data)
 
     async def drop_staged(self, root_digest: str) -> Failure | None:
-        """Let go of the chunks of a version that will not be loaded."""
+        """Discard the staged chunks of a version that will not be loaded."""
         return await self._call("DELETE", f"/stage/{root_digest}")
 
     async def load(self, order: LoadOrder) -> Failure | None:
-        """Order a load; `FENCED` if a newer fencing number was seen.
+        """Order a load; fails with `FENCED` if a newer fencing number was seen.
 
-        Returns when the engine has loaded; its `read_state` says what.
+        Returns when the engine has finished; `read_state` returns what it loaded.
         """
         failure = await self._call(
             "POST", "/load", data=_LOAD_ORDER.dump_json(order), timeout_s=LOAD_TIMEOUT_S
@@ -184,21 +184,21 @@
 
 
 def make_headers(request: TargetRequest) -> list[tuple[str, str]]:
-    """Return the headers to send: the caller's, less those of its connection."""
+    """Return the caller's headers without hop-by-hop ones, plus our own."""
     headers = [
         (name, value)
         for name, value in request.headers
-        if name.lower() not in LEFT_OUT
+        if name.lower() not in CONNECTION_HEADERS
         and name.lower() not in {"x-request-id", "x-priority", "accept-encoding"}
     ]
-    headers.extend(PLAIN_BODIES.items())
+    headers.extend(IDENTITY_ENCODING_HEADERS.items())
     headers.append(("x-request-id", request.request_id))
     headers.append(("x-priority", str(request.priority)))
     return headers
 
 
 def create_http_plain_service(url: str, *, timeout_s: float = 5.0) -> HttpPlainService:
-    """Make an adapter; `timeout_s` bounds calls other than requests."""
+    """Create an adapter; `timeout_s` bounds calls other than requests."""
     transport = create_unbounded_transport(url)
     return HttpPlainService(
         create_unbounded_client(url, timeout_s, transport), transport
@@ -206,7 +206,7 @@
 
 
 def create_http_model_engine(url: str, *, timeout_s: float = 5.0) -> HttpModelEngine:
-    """Make an adapter; `timeout_s` bounds calls other than requests and loads."""
+    """Create an adapter; `timeout_s` bounds calls other than requests and loads."""
     transport = create_unbounded_transport(url)
     return HttpModelEngine(
         create_unbounded_client(url, timeout_s, transport), transport
--- a/reedspar/platform/http_transport.py
+++ b/reedspar/platform/http_transport.py
@@ -1,9 +1,9 @@
-"""A transport for many requests at once to one server, at a constant cost each.
+"""An HTTP transport whose cost per request does not grow with concurrency.
 
-The pool of httpx looks at every connection when a request starts and when it
-ends, and polls the sockets of the idle ones: its cost grows with the number of
-requests in flight.  Here each connection has a pool of its own, and idle ones
-lie on a stack.
+The connection pool of httpx iterates over all connections when a request starts
+and when it ends, and polls the sockets of idle ones, so its cost grows with the
+number of requests in flight.  Here each connection has an httpx pool of its own,
+and idle ones are kept in a last-in, first-out list.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -12,11 +12,11 @@
 
 __all__ = ["PooledTransport"]
 
-IDLE_MAX = 64
+IDLE_CONNECTIONS_MAX = 64
 
 
 class PooledTransport(httpx.AsyncBaseTransport):
-    """Hand each request to an idle one-connection transport, or to a new one."""
+    """Sends each request on an idle single-connection transport or a new one."""
 
     def __init__(
         self, create_transport: Callable[[], httpx.AsyncBaseTransport]
@@ -26,7 +26,7 @@
         self._busy: set[httpx.AsyncBaseTransport] = set()
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request; its transport is free again once the answer is closed."""
+        """Send a request; its transport is reused once the response is closed."""
         transport = self._idle.pop() if self._idle else self._create_transport()
         self._busy.add(transport)
         try:
@@ -51,14 +51,14 @@
         if transport not in self._busy:
             return
         self._busy.discard(transport)
-        if len(self._idle) < IDLE_MAX:
+        if len(self._idle) < IDLE_CONNECTIONS_MAX:
             self._idle.append(transport)
         else:
             await transport.aclose()
 
 
 class _ReleasingStream(httpx.AsyncByteStream):
-    """A body that frees its transport when it is closed."""
+    """A response body that releases its transport when it is closed."""
 
     def __init__(
         self, stream: httpx.AsyncByteStream, release: Callable[[], Awaitable[None]]
@@ -71,7 +71,7 @@
             yield piece
 
     async def aclose(self) -> None:
-        """Close the body, then free the transport."""
+        """Close the body, then release the transport."""
         try:
             await self._stream.aclose()
         finally:
--- a/reedspar/platform/http_weight_source.py
+++ b/reedspar/platform/http_weight_source.py
@@ -1,4 +1,4 @@
-"""The origin of weights, or the weight store, over HTTP with ranged reads."""
+"""The origin of weights, or the weight store, read by HTTP range requests."""
 
 import re
 
@@ -21,10 +21,10 @@
 
 
 class HttpWeightSource(HttpAdapter):
-    """Read ranges of objects (see `WeightSource`), and store them (`WeightSink`)."""
+    """Reads ranges of objects (see `WeightSource`) and stores objects."""
 
     async def read(self, name: str, offset: int, size_bytes: int) -> bytes | Failure:
-        """Return a range of the object; size 0 means to its end."""
+        """Return a range of the object; size 0 means up to its end."""
         last = str(offset + size_bytes - 1) if size_bytes else ""
         headers = {"range": f"bytes={offset}-{last}"}
         try:
@@ -41,7 +41,7 @@
         return self._check_range(response, offset, size_bytes)
 
     async def has(self, name: str) -> bool | Failure:
-        """Tell whether the object is there; the origin stores it whole or not."""
+        """Return whether the object exists; the origin never stores partial ones."""
         try:
             response = await self._client.head(f"/objects/{name}")
         except httpx.HTTPError as error:
@@ -53,7 +53,7 @@
         return failure_of_status(response, STEP, self._peer)
 
     async def put(self, name: str, data: bytes) -> Failure | None:
-        """Store an object; storing the same one again changes nothing."""
+        """Store an object; storing it again has no effect."""
         try:
             response = await self._client.put(f"/objects/{name}", content=data)
         except httpx.HTTPError as error:
@@ -65,7 +65,7 @@
     def _check_range(
         self, response: httpx.Response, offset: int, size_bytes: int
     ) -> bytes | Failure:
-        """Return the body if it is the whole of the range that was asked for."""
+        """Return the body if it is exactly the requested range."""
         text = response.headers.get("content-range", "")
         match = _CONTENT_RANGE.fullmatch(text)
         if match is None:
@@ -79,5 +79,5 @@
 
 
 def create_http_weight_source(url: str, *, timeout_s: float = 10.0) -> HttpWeightSource:
-    """Make an adapter; `timeout_s` bounds the time between two pieces of a body."""
+    """Create an adapter; `timeout_s` bounds the wait for the next part of a body."""
     return HttpWeightSource(create_client(url, timeout_s))
--- a/reedspar/platform/models.py
+++ b/reedspar/platform/models.py
@@ -1,4 +1,4 @@
-"""What the platform's services take and return."""
+"""Data types of the platform's services."""
 
 from dataclasses import KW_ONLY, dataclass, field
 from enum import Enum
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValueEntry:
-    """A value and the revision that a compare-and-swap names."""
+    """A value and the revision to expect in a compare-and-swap."""
 
     key: str
     value: bytes
@@ -23,7 +23,7 @@
 
 
 class InstanceState(Enum):
-    """What the instance list says of an instance; it lags."""
+    """State of an instance in the instance list, which may be out of date."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """One line of the instance list; `pool` is empty for an entry instance."""
+    """One record of the instance list; `pool` is empty for an entry instance."""
 
     name: str
     role: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What a target reports of itself; the load lags."""
+    """A target's report of its state; its load figures may be out of date."""
 
     boot_id: str
     """Changes whenever the target's process starts."""
@@ -57,18 +57,18 @@
     in_flight: int = 0
     queued: int = 0
     loaded: dict[str, str] = field(default_factory=dict)
-    """Root digest by model, computed by the engine over what it holds."""
+    """Root digest by model, computed by the engine from its loaded weights."""
     is_taking: bool = True
-    """False while it takes no new requests, as it loads weights."""
+    """False while it accepts no new requests because it loads weights."""
     pace: float = 1.0
-    """How many times as long as usual it takes."""
+    """Current duration of requests relative to the usual one; 2 is half speed."""
     fencing_number: int = 0
-    """The highest one seen; 0 where the engine ignores fencing."""
+    """Highest fencing number seen; 0 if the engine ignores fencing."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """Orders an engine to serve a version whose chunks were all staged."""
+    """An order to load a version of which all chunks are staged."""
 
     model: str
     root_digest: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRequest:
-    """A request as it is handed to a target."""
+    """A request as it is sent to a target."""
 
     request_id: str
     method: str
@@ -90,4 +90,4 @@
     priority: int = 0
     workspace: str = ""
     expected_weights: str = ""
-    """Weights that must answer, where the target can be told; empty: any."""
+    """Weights that must serve the request, if the target supports it; empty: any."""
--- a/reedspar/platform/protocols.py
+++ b/reedspar/platform/protocols.py
@@ -1,7 +1,7 @@
-"""Protocols of the outside systems; one adapter each speaks today's wire format.
+"""Protocols of the external systems, each implemented by an adapter.
 
-A failure tells whether anything took effect: `Reason.UNAVAILABLE` means that
-nothing did, `Reason.OUTCOME_UNKNOWN` that it may have.
+`Reason.UNAVAILABLE` means that a call had no effect, `Reason.OUTCOME_UNKNOWN`
+that it may have had one.
 """
 
 from collections.abc import AsyncIterator
@@ -29,10 +29,10 @@
 
 
 class KeyValueStore(Protocol):
-    """The platform's key-value service; each call, and each waiting watch, counts."""
+    """The platform's key-value service, which charges each call and pending watch."""
 
     async def get(self, key: str) -> KeyValueEntry | Failure | None:
-        """Return the entry, or None if there is none; it may be an older one."""
+        """Return the entry, or None if there is none; the entry may be stale."""
         ...
 
     async def compare_and_swap(
@@ -41,15 +41,15 @@
         """Write if the revision is the expected one (0: absent); return the new one.
 
         Fails with `CONFLICT` (not written), `UNAVAILABLE` (not written) or
-        `OUTCOME_UNKNOWN` (the answer was lost).  An entry under a lease goes
-        when the lease ends.
+        `OUTCOME_UNKNOWN` (the response was lost).  An entry with a lease is
+        removed when the lease ends.
         """
         ...
 
     async def watch(
         self, key: str, after_revision: int, timeout_s: float
     ) -> KeyValueEntry | Failure | None:
-        """Return the entry once it is newer, or None when the time is over."""
+        """Return the entry once it is newer, or None at the timeout."""
         ...
 
     async def grant_lease(self, ttl_s: float) -> str | Failure:
@@ -57,50 +57,50 @@
         ...
 
     async def renew_lease(self, lease_id: str) -> Failure | None:
-        """Start the lease's time to live again; `NOT_FOUND` once it has ended."""
+        """Restart the lease's time to live; fails with `NOT_FOUND` once it ended."""
         ...
 
 
 class InstanceList(Protocol):
-    """The platform's lagging list of instances."""
+    """The platform's list of instances, which may be out of date."""
 
     async def fetch(self) -> tuple[InstanceRecord, ...] | Failure:
-        """Return the list as it stands."""
+        """Return the current list."""
         ...
 
 
 class WeightSource(Protocol):
-    """The origin of weights, or the weight store; both limit their rate."""
+    """The origin of weights, or the weight store; both are rate-limited."""
 
     async def read(self, name: str, offset: int, size_bytes: int) -> bytes | Failure:
-        """Return a range of the object `name` (a digest); size 0 means to its end."""
+        """Return a range of the object `name` (a digest); size 0: up to its end."""
         ...
 
 
 class TargetResponse(Protocol):
-    """A target's answer while it arrives."""
+    """A target's response with a streamed body."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     weights_digest: str
-    """Root digest that the engine says it answered with; empty for plain services."""
+    """Root digest of the weights that the engine used; empty for plain services."""
 
     def iterate(self) -> AsyncIterator[bytes | Failure]:
-        """Yield the body; a failure, if any, comes last: it was not whole."""
+        """Yield the body; a `Failure` as the last item means that it is incomplete."""
         ...
 
 
 class Target(Protocol):
-    """What every target offers: a model engine or a plain service."""
+    """A back end that runs requests: a model engine or a plain service."""
 
     async def read_state(self) -> EngineState | Failure:
-        """Return the target's own report, never one older than returned before."""
+        """Return the target's report, never an older one than returned before."""
         ...
 
     def send(
         self, request: TargetRequest
     ) -> AbstractAsyncContextManager[TargetResponse | Failure]:
-        """Hand over a request; `UNAVAILABLE` only if nothing was handed over."""
+        """Send a request; fails with `UNAVAILABLE` only if nothing was sent."""
         ...
 
     async def cancel(self, request_id: str) -> Failure | None:
@@ -114,13 +114,13 @@
     async def stage_chunk(
         self, root_digest: str, index: int, data: bytes
     ) -> Failure | None:
-        """Hand over one checked chunk of a version."""
+        """Send one verified chunk of a version."""
         ...
 
     async def drop_staged(self, root_digest: str) -> Failure | None:
-        """Let go of the chunks of a version that will not be loaded."""
+        """Discard the staged chunks of a version that will not be loaded."""
         ...
 
     async def load(self, order: LoadOrder) -> Failure | None:
-        """Order a load; `FENCED` if a newer fencing number was seen."""
+        """Order a load; fails with `FENCED` if a newer fencing number was seen."""
         ...
--- a/reedspar/platform/tests/__init__.py
+++ b/reedspar/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapters, over loopback against the stand-ins."""
+"""Tests of the adapters against the stand-ins on loopback."""
--- a/reedspar/platform/tests/test_http_key_value.py
+++ b/reedspar/platform/tests/test_http_key_value.py
@@ -41,9 +41,9 @@
             await store.aclose()
 
     async def test_lost_answer_is_unknown_and_found_again(self) -> None:
-        # The service writes and the connection dies before its answer.  A
-        # caller that took this for a refusal would write a second time, or
-        # tell the operator that a patch in force had failed.
+        # Guards against treating a lost response as a refusal: the service has
+        # written, so the caller would write twice, or report to the operator that
+        # an applied patch had failed.
         async with open_server(create_app()) as url:
             store = create_http_key_value_store(url)
             await set_faults(url, lost_answer_share=1.0)
@@ -55,8 +55,8 @@
             await store.aclose()
 
     async def test_outage_and_refused_dial_take_no_effect(self) -> None:
-        # During an outage the service refuses, or nobody listens.  Nothing
-        # was written, so a caller may try again without reading first.
+        # If the service refuses or its port is closed, nothing was written.  The
+        # caller may retry without reading first.
         async with open_server(create_app()) as url:
             store = create_http_key_value_store(url)
             await set_faults(url, outage=True)
@@ -74,8 +74,8 @@
         await store.aclose()
 
     async def test_write_that_is_too_slow_is_unknown(self) -> None:
-        # The service is so slow that the caller gives up.  The write takes
-        # effect afterwards, so it must not count as failed.
+        # Guards against reporting a timed-out write as failed: it takes effect
+        # after the caller has stopped waiting.
         async with open_server(create_app()) as url:
             store = create_http_key_value_store(url, timeout_s=0.1)
             await set_faults(url, slow_s=0.3)
--- a/reedspar/platform/tests/test_http_reads.py
+++ b/reedspar/platform/tests/test_http_reads.py
@@ -1,4 +1,4 @@
-"""Tests of the adapters of the origin and of the instance list."""
+"""Tests of the adapters for the origin and for the instance list."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -55,10 +55,10 @@
             self.assertIs(missing.reason, Reason.NOT_FOUND)
             await source.aclose()
 
-    async def test_short_bodies_are_not_whole(self) -> None:
-        # The origin's connection breaks within a chunk, once against the
-        # length it promised and once with a length that fits the broken body.
-        # A target that took the piece for the chunk would load bad weights.
+    async def test_truncated_bodies_are_corrupt(self) -> None:
+        # Guards against loading a truncated chunk.  The body is shorter than the
+        # requested range, with a content length that is right for the range or
+        # for the truncated body.
         broken = b"HTTP/1.1 206 P\r\ncontent-range: bytes 0-9/10\r\n"
         for length in (10, 4):
             head = broken + f"content-length: {length}\r\n\r\n".encode()
@@ -82,9 +82,9 @@
 
 
 class UnmarkedEndTest(unittest.IsolatedAsyncioTestCase):
-    async def test_body_without_a_marked_end_is_not_whole(self) -> None:
-        # An old service ends its answer by closing the connection.  A cut
-        # connection looks the same, and half a confirmation would pass on.
+    async def test_body_without_length_or_chunked_framing_is_incomplete(self) -> None:
+        # Guards against forwarding a truncated confirmation: a service that ends
+        # its response by closing the connection looks like a broken connection.
         async with open_raw_server(b"HTTP/1.1 200 OK\r\n\r\nhalf a confir") as url:
             service = create_http_plain_service(url)
             request = TargetRequest("r", "POST", "/d", (), b"", 5.0)
@@ -97,7 +97,7 @@
 
 
 class InstanceListTest(unittest.IsolatedAsyncioTestCase):
-    async def test_list_shows_changes_after_the_lag(self) -> None:
+    async def test_list_shows_changes_after_its_delay(self) -> None:
         async with (
             open_server(instance_list.create_app(lag_s=3600.0)) as url,
             httpx.AsyncClient(trust_env=False, base_url=url) as client,
--- a/reedspar/platform/tests/test_http_target.py
+++ b/reedspar/platform/tests/test_http_target.py
@@ -65,7 +65,7 @@
 async def exchange(
     target: Target, request: TargetRequest
 ) -> tuple[int, str, bytes, Failure | None]:
-    """Return status, weights digest, body and what spoiled the body."""
+    """Return status, weights digest, body and the failure of an incomplete body."""
     async with target.send(request) as response:
         if isinstance(response, Failure):
             return 0, "", b"", response
@@ -83,20 +83,20 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_answers_follow_from_prompt_and_weights(self) -> None:
+    async def test_answers_are_determined_by_prompt_and_weights(self) -> None:
         async with open_server(engine.create_app(make_options())) as url:
             adapter = create_http_model_engine(url)
             await load_weights(adapter)
-            status, digest, body, spoiled = await exchange(
+            status, digest, body, body_failure = await exchange(
                 adapter, make_completion("r1")
             )
-            self.assertEqual((status, digest, spoiled), (200, ROOT, None))
+            self.assertEqual((status, digest, body_failure), (200, ROOT, None))
             text = json.loads(body)["choices"][0]["text"]
             self.assertEqual(text, expect_text("oak", ROOT, 8))
-            _, digest, body, spoiled = await exchange(
+            _, digest, body, body_failure = await exchange(
                 adapter, make_completion("r2", stream=True)
             )
-            self.assertEqual((digest, spoiled), (ROOT, None))
+            self.assertEqual((digest, body_failure), (ROOT, None))
             self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
             self.assertEqual(read_stream(body), expect_text("oak", ROOT, 8))
             state = await adapter.read_state()
@@ -105,8 +105,8 @@
             await adapter.aclose()
 
     async def test_old_fencing_number_is_refused(self) -> None:
-        # A paused agent wakes up and orders the version that its successor
-        # has replaced.  The caller would be served from old weights.
+        # Guards against serving old weights: an agent resumes after a pause and
+        # orders the version that its successor has replaced.
         async with open_server(engine.create_app(make_options())) as url:
             adapter = create_http_model_engine(url)
             await load_weights(adapter, number=5)
@@ -126,9 +126,9 @@
             self.assertIs(failure.reason, Reason.INVALID)
             await adapter.aclose()
 
-    async def test_crash_cuts_streams_that_are_not_taken_for_whole(self) -> None:
-        # The engine dies in the middle of an answer.  Its connection closes,
-        # and what came so far must not pass for the whole answer.
+    async def test_stream_of_a_crashed_engine_is_incomplete(self) -> None:
+        # Guards against treating a partial answer as complete when the engine
+        # crashes and its connection closes.
         options = make_options(token_s=0.02)
         async with open_server(engine.create_app(options)) as url:
             adapter = create_http_model_engine(url)
@@ -165,31 +165,33 @@
             self.assertEqual(state.in_flight, 0)
             await adapter.aclose()
 
-    async def test_too_much_in_cold_start_crashes_the_engine(self) -> None:
+    async def test_overload_in_cold_start_crashes_the_engine(self) -> None:
         options = make_options(
             cold_completions=100, cold_s=60, cold_limit=1, crash_limit=2, token_s=0.05
         )
         async with open_server(engine.create_app(options)) as url:
             adapter = create_http_model_engine(url)
             await load_weights(adapter)
-            spoils: list[Failure | None] = []
+            body_failures: list[Failure | None] = []
 
             async def run(request_id: str) -> None:
                 request = make_completion(request_id, tokens=200)
                 result = await exchange(adapter, request)
-                spoils.append(result[3])
+                body_failures.append(result[3])
 
             async with anyio.create_task_group() as tasks:
                 for i in range(3):
                     tasks.start_soon(run, f"r{i}")
-            self.assertTrue(all(isinstance(spoil, Failure) for spoil in spoils))
+            self.assertTrue(
+                all(isinstance(failure, Failure) for failure in body_failures)
+            )
             await adapter.aclose()
 
 
 class PlainServiceTest(unittest.IsolatedAsyncioTestCase):
     async def test_answer_lost_after_the_run_is_unknown(self) -> None:
-        # The service books the deposit and dies before it answers.  Taken for
-        # "not run", the shop would book it again and owe a refund.
+        # Guards against booking a deposit twice: the service books it and crashes
+        # before it responds, so the request must not count as not run.
         async with open_server(plain_service.create_app()) as url:
             adapter = create_http_plain_service(url)
             headers = (("Idempotency-Key", "order-7"),)
@@ -197,21 +199,20 @@
             async with httpx.AsyncClient(trust_env=False, base_url=url) as client:
                 settings = {"crash_next": 1, "restart_s": 0}
                 await client.put("/control/settings", json=settings)
-                *_, spoiled = await exchange(adapter, request)
-                assert spoiled is not None
-                self.assertIs(spoiled.reason, Reason.OUTCOME_UNKNOWN)
-                status, _, body, spoiled = await exchange(adapter, request)
-                self.assertEqual((status, spoiled), (200, None))
+                *_, body_failure = await exchange(adapter, request)
+                assert body_failure is not None
+                self.assertIs(body_failure.reason, Reason.OUTCOME_UNKNOWN)
+                status, _, body, body_failure = await exchange(adapter, request)
+                self.assertEqual((status, body_failure), (200, None))
                 self.assertEqual(json.loads(body)["run"], 2)
                 runs = (await client.get("/control/runs")).json()
             self.assertEqual(runs["order-7"]["count"], 2)
             self.assertEqual(runs["order-7"]["answered"], 1)
             await adapter.aclose()
 
-    async def test_answer_of_an_abandoned_request_reaches_nobody_else(self) -> None:
-        # A caller gives up, and the service answers all the same, late, on a
-        # connection that was open for reuse.  The next shop must not get the
-        # first one's confirmation.
+    async def test_answer_of_an_abandoned_request_reaches_no_other_caller(self) -> None:
+        # Guards against sending one shop's confirmation to another: a caller stops
+        # waiting, and the service responds late on a connection kept for reuse.
         async with open_server(plain_service.create_app()) as url:
             adapter = create_http_plain_service(url)
             async with httpx.AsyncClient(trust_env=False, base_url=url) as client:
@@ -221,17 +222,17 @@
                     headers = (("idempotency-key", key),)
                     timeout_s = 5.0 if number % 2 else 0.05
                     request = TargetRequest(key, "POST", "/d", headers, b"", timeout_s)
-                    _, _, body, spoiled = await exchange(adapter, request)
+                    _, _, body, body_failure = await exchange(adapter, request)
                     if number % 2:
-                        self.assertIsNone(spoiled)
+                        self.assertIsNone(body_failure)
                         self.assertEqual(json.loads(body)["order_key"], key)
                     else:
-                        self.assertIsInstance(spoiled, Failure)
+                        self.assertIsInstance(body_failure, Failure)
             await adapter.aclose()
 
-    async def test_one_callers_cookie_stays_with_its_caller(self) -> None:
-        # A service sets a cookie for one shop.  Kept by the agent and sent on
-        # with the next shop's order, it would book that order on the first.
+    async def test_cookie_is_not_sent_for_another_caller(self) -> None:
+        # Guards against booking one shop's order on another: the agent must not
+        # store a cookie of the service and send it with the next shop's order.
         async def greet(request: Request) -> Response:
             response = PlainTextResponse(request.headers.get("cookie", "none"))
             response.set_cookie("shop", "first")
@@ -246,14 +247,14 @@
                 self.assertEqual(body, b"none")
             await adapter.aclose()
 
-    async def test_silent_service_times_out_as_unknown(self) -> None:
+    async def test_timeout_of_a_silent_service_has_unknown_outcome(self) -> None:
         async with open_server(plain_service.create_app()) as url:
             adapter = create_http_plain_service(url)
             async with httpx.AsyncClient(trust_env=False, base_url=url) as client:
                 await client.put("/control/settings", json={"silent": True})
                 request = TargetRequest("r1", "POST", "/d", (), b"", 0.1)
-                *_, spoiled = await exchange(adapter, request)
+                *_, body_failure = await exchange(adapter, request)
                 await client.put("/control/settings", json={})
-            assert spoiled is not None
-            self.assertIs(spoiled.reason, Reason.OUTCOME_UNKNOWN)
+            assert body_failure is not None
+            self.assertIs(body_failure.reason, Reason.OUTCOME_UNKNOWN)
             await adapter.aclose()
--- a/reedspar/platform/tests/test_ordering.py
+++ b/reedspar/platform/tests/test_ordering.py
@@ -1,18 +1,18 @@
-"""Tests that an answer which was overtaken brings nothing old back."""
+"""Tests that an overtaken read does not bring back an older state."""
 
 import unittest
 
 import anyio
 
-from reedspar.platform.ordering import OrderedReads
+from reedspar.platform.ordering import MonotonicReader
 
 
-class OrderedReadsTest(unittest.TestCase):
-    def test_answer_that_was_overtaken_gives_the_later_one(self) -> None:
-        # The agent's poll is under way when the engine loads a new version;
-        # the read that confirms the load is faster.  Taken in after it, the
-        # poll's old digest withdrew the new version, and a caller was told
-        # "unknown" by an answer of sound weights (bench/random_run, seed 11).
+class MonotonicReaderTest(unittest.TestCase):
+    def test_overtaken_read_returns_the_later_result(self) -> None:
+        # Guards against withdrawing a version that has just been loaded.  The agent
+        # polls while the engine loads, and the read that confirms the load finishes
+        # first.  The poll's older digest then withdrew the new version, and a valid
+        # answer was reported as "unknown" (bench/random_run, seed 11).
         async def scenario() -> None:
             gates = [anyio.Event(), anyio.Event()]
             answers = iter([(gates[0], "old weights"), (gates[1], "new weights")])
@@ -22,7 +22,7 @@
                 await gate.wait()
                 return answer
 
-            reads = OrderedReads(read)
+            reads = MonotonicReader(read)
             results: list[str] = []
 
             async def read_once() -> None:
