--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -14,7 +14,7 @@
 from stand_ins.launcher import Daemon, Launcher
 from stand_ins.operations import Operator, OperatorError
 from stand_ins.processes import StartError
-from stand_ins.promises import HeldPath, ZoneOutage
+from stand_ins.promises import StalledPath, ZoneOutage
 
 __all__ = ["Chaos", "PlannedStop", "TimeLine"]
 
@@ -67,7 +67,7 @@
         self._last_end_s = 0.0
         self._is_closing = False
         self.time_line = TimeLine()
-        self.held_paths: list[HeldPath] = []
+        self.stalled_paths: list[StalledPath] = []
         self.outages: list[ZoneOutage] = []
         self.stops: list[PlannedStop] = []
         self.disturbed_at: dict[str, float] = {}
@@ -150,7 +150,7 @@
             return
         self.disturbed_at[daemon.name] = time.time()
         self.time_line.note(f"SIGKILL {daemon.name}")
-        self._launcher.processes[daemon.name].is_wanted = False
+        self._launcher.processes[daemon.name].should_run = False
         self._launcher.processes.kill(daemon.name)
         await anyio.sleep(self._rng.uniform(0.2, 3.0))
         await self._restart(daemon)
@@ -254,7 +254,7 @@
             await self._client.put(f"{control_url}/control/rules", json=body)
             await anyio.sleep(self._rng.uniform(1.0, 6.0))
             await self._client.put(f"{control_url}/control/rules", json={})
-            self.held_paths.append(HeldPath(name, begun_at, time.time()))
+            self.stalled_paths.append(StalledPath(name, begun_at, time.time()))
             self.time_line.note(f"path to {name}: clear")
         self._busy.discard(f"path {name}")
 
@@ -301,7 +301,7 @@
         self.time_line.note(f"SIGTERM {daemon.name}")
         begun_at = time.time()
         process = self._launcher.processes[daemon.name]
-        process.is_wanted = False
+        process.should_run = False
         self._launcher.set_instance(daemon, InstanceState.LEAVING)
         self._launcher.processes.kill(daemon.name, signal.SIGTERM)
         with anyio.move_on_after(STOP_LIMIT_S):
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -24,7 +24,7 @@
 from stand_ins.keys import make_dated_key
 from stand_ins.launcher import Daemon, Launcher, launch
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import read_percentile
+from stand_ins.promises import compute_percentile
 
 from .measuring import CpuMeter, print_result, read_resident_bytes
 from .small_deployment import DEPLOYMENT, make_options, prepare
@@ -52,8 +52,8 @@
         return {
             "count": len(counted),
             "failures": len(self.failures),
-            "p50_ms": round(read_percentile(counted, 0.5), 3),
-            "p99_ms": round(read_percentile(counted, 0.99), 3),
+            "p50_ms": round(compute_percentile(counted, 0.5), 3),
+            "p99_ms": round(compute_percentile(counted, 0.99), 3),
         }
 
 
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -24,7 +24,7 @@
 from stand_ins.load import Load, LoadPlan
 from stand_ins.operations import Operator, OperatorError
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, Violation, read_percentile
+from stand_ins.promises import Ledger, Violation, compute_percentile
 from stand_ins.reasons import describe_reasons
 
 from .chaos import Chaos
@@ -106,7 +106,7 @@
         for line in describe_reasons(self._ledger.calls):
             print(f"  {line}", flush=True)
         self._ledger.outages = self._chaos.outages
-        self._ledger.held_paths = self._chaos.held_paths
+        self._ledger.stalled_paths = self._chaos.stalled_paths
         violations = [
             *self._ledger.check(),
             *self._check_stops(),
@@ -151,7 +151,7 @@
                 yield Violation(run.started_at, promise, detail)
 
     def _check_deaths(self) -> Iterable[Violation]:
-        for process in self._launcher.processes.find_dead():
+        for process in self._launcher.processes.find_unexpected_exits():
             detail = f"{process.name}:\n{process.read_log_tail(3000)}"
             yield Violation(float("inf"), "no process dies by itself", detail)
 
@@ -177,8 +177,8 @@
             "orders": len({c.key for c in calls if c.kind is CallKind.ORDER}),
             "endings": self._ledger.count_endings(),
             "endings_of_orders": count_endings(calls, CallKind.ORDER),
-            "p50_ms": round(read_percentile(answered, 0.5), 1),
-            "p99_ms": round(read_percentile(answered, 0.99), 1),
+            "p50_ms": round(compute_percentile(answered, 0.5), 1),
+            "p99_ms": round(compute_percentile(answered, 0.99), 1),
             "planned_stops": len(self._chaos.stops),
             "zone_outages": len(self._chaos.outages),
             "time_line_lines": len(self._chaos.time_line.lines),
--- a/bench/requests_during_distribution.py
+++ b/bench/requests_during_distribution.py
@@ -19,7 +19,7 @@
 from stand_ins.load import Load, LoadPlan
 from stand_ins.operations import Operator
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, read_percentile
+from stand_ins.promises import Ledger, compute_percentile
 
 from .measuring import print_result
 
@@ -112,8 +112,8 @@
         return {
             "seconds": round(window.ended_at - window.begun_at, 2),
             "calls": len(calls),
-            "p50_ms": round(1000 * read_percentile(latencies_s, 0.5), 1),
-            "p99_ms": round(1000 * read_percentile(latencies_s, 0.99), 1),
+            "p50_ms": round(1000 * compute_percentile(latencies_s, 0.5), 1),
+            "p99_ms": round(1000 * compute_percentile(latencies_s, 0.99), 1),
             "not_answered": sum(1 for c in calls if c.ending is not Ending.ANSWERED),
             "problems": sum(1 for call in calls if call.problem),
         }
--- a/bench/zone_outage.py
+++ b/bench/zone_outage.py
@@ -19,7 +19,7 @@
 from stand_ins.load import Load, LoadPlan
 from stand_ins.operations import Operator
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, ZoneOutage, read_percentile
+from stand_ins.promises import Ledger, ZoneOutage, compute_percentile
 
 from .measuring import print_result
 from .zone_outage_plot import Mark, render_plot
@@ -145,7 +145,7 @@
 def _read_p99_ms(calls: list[Call]) -> float:
     if not calls:
         return 0.0
-    return round(1000 * read_percentile([c.latency_s for c in calls], 0.99), 1)
+    return round(1000 * compute_percentile([c.latency_s for c in calls], 0.99), 1)
 
 
 def _sum_up(seconds: list[Second]) -> dict[str, float]:
--- a/stand_ins/processes.py
+++ b/stand_ins/processes.py
@@ -34,7 +34,7 @@
     log_path: Path
     ready_url: str
     popen: subprocess.Popen[bytes] = field(repr=False)
-    is_wanted: bool = True
+    should_run: bool = True
 
     @property
     def is_running(self) -> bool:
@@ -92,7 +92,7 @@
     def stop(self, name: str, timeout_s: float) -> int | None:
         """Ask for a graceful stop and return the exit code; None if too late."""
         process = self._processes[name]
-        process.is_wanted = False
+        process.should_run = False
         self.kill(name, signal.SIGTERM)
         try:
             return process.popen.wait(timeout_s)
@@ -105,12 +105,14 @@
         if process.is_running:
             self.kill(name)
         process.popen.wait()
-        process.is_wanted = True
+        process.should_run = True
         process.popen = self._open(process.arguments, process.log_path)
 
-    def find_dead(self) -> list[ManagedProcess]:
+    def find_unexpected_exits(self) -> list[ManagedProcess]:
         """Return those that ended though nobody asked them to."""
-        return [p for p in self._processes.values() if p.is_wanted and not p.is_running]
+        return [
+            p for p in self._processes.values() if p.should_run and not p.is_running
+        ]
 
     def stop_all(
         self, names: Iterable[str] = (), timeout_s: float = STOP_TIMEOUT_S
@@ -119,7 +121,7 @@
         chosen = [self._processes[name] for name in names or self.names]
         running = [process for process in chosen if process.is_running]
         for process in running:
-            process.is_wanted = False
+            process.should_run = False
             process.popen.send_signal(signal.SIGCONT)
             process.popen.send_signal(signal.SIGTERM)
         deadline_s = time.monotonic() + timeout_s
--- a/stand_ins/promises.py
+++ b/stand_ins/promises.py
@@ -14,17 +14,17 @@
 from .launcher import Daemon, Launcher
 
 __all__ = [
-    "HeldPath",
     "Ledger",
+    "StalledPath",
     "TargetRun",
     "Violation",
     "ZoneOutage",
-    "read_percentile",
+    "compute_percentile",
 ]
 
 ZONE_OUT_LIMIT_S = 3.0
 """Time after which a zone that was taken out gets no new work."""
-HELD_MARGIN_S = 0.5
+STALL_RELEASE_MARGIN_S = 0.5
 """Time in which a path that has cleared passes on what it held."""
 
 
@@ -47,11 +47,11 @@
 
 
 @dataclass(frozen=True)
-class HeldPath:
+class StalledPath:
     """A time in which a relay held back what was on its way to a target."""
 
     target: str
-    begun_at: float
+    started_at: float
     ended_at: float
 
 
@@ -73,7 +73,7 @@
 
     calls: list[Call] = field(default_factory=list)
     outages: list[ZoneOutage] = field(default_factory=list)
-    held_paths: list[HeldPath] = field(default_factory=list)
+    stalled_paths: list[StalledPath] = field(default_factory=list)
     runs: list[TargetRun] = field(default_factory=list)
     engine_counts: Counter[str] = field(default_factory=Counter)
 
@@ -201,10 +201,10 @@
         )
         return is_older and any(
             path.target == run.target
-            and path.begun_at < outage.accepted_at + ZONE_OUT_LIMIT_S
-            and path.ended_at - HELD_MARGIN_S < run.started_at
-            and run.started_at < path.ended_at + HELD_MARGIN_S
-            for path in self.held_paths
+            and path.started_at < outage.accepted_at + ZONE_OUT_LIMIT_S
+            and path.ended_at - STALL_RELEASE_MARGIN_S < run.started_at
+            and run.started_at < path.ended_at + STALL_RELEASE_MARGIN_S
+            for path in self.stalled_paths
         )
 
     def _check_engines(self) -> Iterable[Violation]:
@@ -214,7 +214,7 @@
             yield Violation(math.inf, promise, detail)
 
 
-def read_percentile(values: list[float], share: float) -> float:
+def compute_percentile(values: list[float], share: float) -> float:
     """Return the value at a share of the sorted ones; 0 if there are none."""
     if not values:
         return 0.0
--- a/stand_ins/tests/test_promises.py
+++ b/stand_ins/tests/test_promises.py
@@ -6,7 +6,7 @@
 from reedspar.settings import TargetKind
 from stand_ins.caller import Call, CallKind, Ending, check_text
 from stand_ins.generation import expect_text, make_token
-from stand_ins.promises import HeldPath, Ledger, TargetRun, ZoneOutage
+from stand_ins.promises import Ledger, StalledPath, TargetRun, ZoneOutage
 
 PLAIN = TargetKind.PLAIN_SERVICE
 
@@ -66,7 +66,7 @@
         ledger.runs = [make_run("k", 16.1)]
         late = ["a zone that was taken out gets no new work"]
         self.assertEqual(self.find(ledger), late)
-        ledger.held_paths = [HeldPath("t", 9.5, 16.0)]
+        ledger.stalled_paths = [StalledPath("t", 9.5, 16.0)]
         self.assertEqual(self.find(ledger), [])
         call.started_at = 11.0
         self.assertEqual(self.find(ledger), late)
--- a/stand_ins/try_it.py
+++ b/stand_ins/try_it.py
@@ -21,7 +21,7 @@
 from .load import Load, LoadPlan
 from .operations import Operator, OperatorError
 from .processes import StartError, exit_on_signals
-from .promises import Ledger, ZoneOutage, read_percentile
+from .promises import Ledger, ZoneOutage, compute_percentile
 from .reasons import describe_reasons
 
 __all__ = ["main"]
@@ -127,7 +127,7 @@
         self._tell(f"orders that ran twice: {doubled}")
         for violation in violations[:10]:
             self._tell(f"BROKEN {violation.promise}: {violation.detail}")
-        for process in self._launcher.processes.find_dead():
+        for process in self._launcher.processes.find_unexpected_exits():
             self._tell(f"DIED {process.name}:\n{process.read_log_tail()}")
             self._is_complete = False
         is_kept = not violations and self._is_complete and bool(calls)
@@ -146,8 +146,8 @@
         for ending in Ending
     )
     latencies = [1000 * call.latency_s for call in answered]
-    middle = read_percentile(latencies, 0.5)
-    late = read_percentile(latencies, 0.99)
+    middle = compute_percentile(latencies, 0.5)
+    late = compute_percentile(latencies, 0.99)
     return f"{kind.value}: {endings}; p50 {middle:.1f} ms, p99 {late:.1f} ms"
 
 
