--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/drawing.py
@@ -124,7 +124,7 @@
     def _take_over(
         self, transfer: Transfer, placement: Placement, now_s: float
     ) -> None:
-        """Take over chunks assigned to other caches of the region, after the own ones.
+        """Take over chunks assigned to other caches of the region, after its own.
 
         A partitioned or frozen cache stays in the view for seconds.  The origin would
         be idle until then, and may become unavailable before.
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -42,12 +42,12 @@
         # links shared with requests, although all targets have the version.
         self.begin()
         self.finish()
-        drawn = self.fleet.origin_bytes
-        across = count_across(self.fleet)
+        origin_bytes = self.fleet.origin_bytes
+        region_bytes = count_region_bytes(self.fleet)
         successor = restart(self.fleet, CACHE, self.manifest)
         self.fleet.events.run(lambda: False, self.fleet.events.now_s + 5.0)
-        self.assertEqual(self.fleet.origin_bytes, drawn)
-        self.assertEqual(count_across(self.fleet), across)
+        self.assertEqual(self.fleet.origin_bytes, origin_bytes)
+        self.assertEqual(count_region_bytes(self.fleet), region_bytes)
         self.assertEqual(
             successor.decide.object_bytes(self.manifest.chunks[0].digest), None
         )
@@ -173,7 +173,7 @@
     return {d for d in manifest.chunk_digests if agent.decide.object_bytes(d) is None}
 
 
-def count_across(fleet: Fleet) -> int:
+def count_region_bytes(fleet: Fleet) -> int:
     return sum(link.sent_bytes for link in fleet.regions.values())
 
 
--- a/reedspar/weights/tests/test_manifest_exchange.py
+++ b/reedspar/weights/tests/test_manifest_exchange.py
@@ -243,8 +243,8 @@
 
         self.run_scenario(script)
 
-    def test_single_answer_is_accepted_while_the_origin_is_away(self) -> None:
-        # Guards against a failed read when the origin is away and one reader answers.
+    def test_single_answer_is_accepted_during_an_origin_outage(self) -> None:
+        # Guards against a failed read if only one reader answers during an outage.
         async def script(site: Site) -> None:
             first, second = await self.find_readers(site)
             second.is_dead = True
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -209,10 +209,10 @@
         with mock.patch.object(fleet, "read_origin"):
             scenario.run_for(2.5)
         near = [a for a in fleet.live if a.peer.region == REGIONS[0]]
-        drawn = fleet.origin_bytes / scenario.manifest.size_bytes
+        read_share = fleet.origin_bytes / scenario.manifest.size_bytes
         for agent in near:
-            missing_counts = len(agent.missing) / len(scenario.manifest.chunk_digests)
-            self.assertLess(missing_counts, 1 - drawn + 0.1)
+            missing_share = len(agent.missing) / len(scenario.manifest.chunk_digests)
+            self.assertLess(missing_share, 1 - read_share + 0.1)
 
     def test_origin_region_fetches_chunks_that_only_other_regions_hold(self) -> None:
         # Guards against requests refused 3 s longer.  One of three targets in the
@@ -269,13 +269,13 @@
             fleet = create_fleet(18, 1)
             scenario = Scenario(fleet, 1)
             self.assertTrue(scenario.finish())
-            drawn = fleet.origin_bytes
-            across = sum(link.sent_bytes for link in fleet.regions.values())
+            origin_bytes = fleet.origin_bytes
+            region_bytes = sum(link.sent_bytes for link in fleet.regions.values())
             scenario.restart_agent(fleet.agents[f"agent-{place}"])
             self.assertTrue(scenario.finish())
-            self.assertEqual(fleet.origin_bytes, drawn)
-            now_across = sum(link.sent_bytes for link in fleet.regions.values())
-            self.assertEqual(now_across, across)
+            self.assertEqual(fleet.origin_bytes, origin_bytes)
+            region_bytes_after = sum(link.sent_bytes for link in fleet.regions.values())
+            self.assertEqual(region_bytes_after, region_bytes)
 
     def test_version_change_during_transfer_fetches_shared_chunks_once(self) -> None:
         # Guards against fetching chunks twice that are shared with a version that was
@@ -293,12 +293,14 @@
         fleet = create_fleet(18, 1)
         scenario = Scenario(fleet, 1)
         self.assertTrue(scenario.finish())
-        drawn = fleet.origin_bytes
-        across = sum(link.sent_bytes for link in fleet.regions.values())
+        origin_bytes = fleet.origin_bytes
+        region_bytes = sum(link.sent_bytes for link in fleet.regions.values())
         for agent in list(fleet.agents.values()):
             if agent.peer.region == REGIONS[2]:
                 scenario.restart_agent(agent)
         self.assertTrue(scenario.finish())
-        self.assertEqual(fleet.origin_bytes, drawn)
-        now_across = sum(link.sent_bytes for link in fleet.regions.values())
-        self.assertLessEqual(now_across - across, 1.1 * scenario.manifest.size_bytes)
+        self.assertEqual(fleet.origin_bytes, origin_bytes)
+        region_bytes_after = sum(link.sent_bytes for link in fleet.regions.values())
+        self.assertLessEqual(
+            region_bytes_after - region_bytes, 1.1 * scenario.manifest.size_bytes
+        )
