--- a/reedspar/__init__.py
+++ b/reedspar/__init__.py
@@ -1,3 +1,3 @@
-"""Weight distribution for bursts: entry daemons, target agents and what they share."""
+"""Distribution of model weights, and routing of requests to the targets that serve."""
 
 __version__ = "0.1.0"
--- a/reedspar/errors.py
+++ b/reedspar/errors.py
@@ -1,8 +1,8 @@
-"""Failures as values: a sentinel reason, and the step and peer at which it arose.
+"""Failures as return values, with a reason, a step and the peer concerned.
 
-Functions that can fail return their result or a `Failure`; exceptions stay at
-the borders of libraries.  `Reason` and `Step` members are the sentinels that
-callers compare by identity.
+Functions that can fail return their result or a `Failure`; exceptions of libraries
+are caught where the library is called.  Callers compare members of `Reason` and
+`Step` by identity.
 """
 
 from dataclasses import dataclass
@@ -13,30 +13,30 @@
 
 
 class Reason(Enum):
-    """Why something failed."""
+    """The cause of a failure."""
 
     UNAVAILABLE = "unavailable"
-    """Nothing took effect; the peer could not be reached or declined."""
+    """The peer was unreachable or declined the operation, which had no effect."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It may or may not have taken effect."""
+    """The operation may or may not have taken effect."""
     CONFLICT = "conflict"
     """A compare-and-swap or a patch named a stale revision."""
     NOT_FOUND = "not_found"
     INVALID = "invalid"
-    """The input breaks a rule; the detail says which."""
+    """The input violates a rule, which the detail names."""
     OVERLOADED = "overloaded"
     COLD = "cold"
-    """The target is in cold start and bears no more now."""
+    """The target is in cold start and can accept no more work now."""
     DRAINING = "draining"
     ZONE_OUT = "zone_out"
     STALE = "stale"
-    """The sender or receiver has no fresh confirmation of the configuration."""
+    """The sender or receiver lacks a recent confirmation of its configuration."""
     SUPERSEDED = "superseded"
-    """What was chosen may not begin work any more: news or time have overtaken it."""
+    """The chosen target may not start work any more, after an update or a delay."""
     FENCED = "fenced"
-    """A newer holder exists; the order carried an old fencing number."""
+    """The order carried an outdated fencing number; a newer holder exists."""
     QUARANTINED = "quarantined"
-    """The request's fingerprint crashed targets before."""
+    """Requests with the same fingerprint have crashed targets."""
     DUPLICATE = "duplicate"
     EXPIRED = "expired"
     """The deadline or the record's time to live has passed."""
@@ -45,15 +45,15 @@
     """A digest or a length did not match."""
     CANCELLED = "cancelled"
     NO_TARGET = "no_target"
-    """No target is offered for what was asked."""
+    """No target is available for the request."""
     UNAUTHENTICATED = "unauthenticated"
-    """The caller's key is not known."""
+    """The caller's API key is unknown."""
     NOT_READY = "not_ready"
-    """The process has not yet learned what it needs to serve."""
+    """The process has not yet received the state that it needs to serve."""
 
 
 class Step(Enum):
-    """Where a failure arose."""
+    """The step in which a failure occurred."""
 
     IDENTIFY = "identify"
     BOUND = "bound"
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A failed step, with the peer it failed at and when to come back."""
+    """A failed step, with the peer at which it failed and when to retry."""
 
     reason: Reason
     step: Step
@@ -98,9 +98,9 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant that must always hold was broken."""
+    """A violated invariant."""
 
 
 def is_failure(value: object) -> TypeGuard[Failure]:
-    """Tell whether a result is a failure."""
+    """Return whether a result is a failure."""
     return isinstance(value, Failure)
--- a/reedspar/messages/codec.py
+++ b/reedspar/messages/codec.py
@@ -1,4 +1,4 @@
-"""Frames: an envelope that says who speaks and what it knows, around one payload."""
+"""Encoding of frames: an envelope with the sender's state, and one payload."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """What every frame says of the daemon that sent it."""
+    """The state of the sending daemon that every frame carries."""
 
     name: str
     incarnation: int
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A received frame; a batch is taken apart."""
+    """A received frame, with a batch split into its messages."""
 
     sender: Sender
     messages: Sequence[Any]
 
 
 def encode_frame(registry: MessageRegistry, sender: Sender, message: Any) -> bytes:
-    """Return the frame's bytes, without the length that goes before it."""
+    """Return the bytes of the frame, without its length prefix."""
     message_type = registry.for_class(type(message))
     builder = _STRUCT.new_message()
     builder.sender = sender.name
@@ -47,10 +47,10 @@
 
 
 def decode_frame(registry: MessageRegistry, data: bytes) -> Envelope | Failure:
-    """Return the frame, or why it can't be read.
+    """Return the decoded frame, or why it can't be read.
 
-    A message kind that this release does not know is a failure of its own
-    reason, so that a daemon of a newer release does no harm.
+    An unknown message kind is reported as `NOT_FOUND`, not as `CORRUPT`, so that
+    callers can ignore messages of a newer release without closing the link.
     """
     try:
         with _STRUCT.from_bytes(data) as reader:
--- a/reedspar/messages/registry.py
+++ b/reedspar/messages/registry.py
@@ -1,8 +1,8 @@
-"""Message types by name: a dataclass on one side, a Cap'n Proto struct on the other.
+"""A registry that maps message dataclasses to Cap'n Proto structs of the same name.
 
-Each package keeps its own schema and dataclasses; a field ``retry_after_s``
-of the dataclass is ``retryAfterS`` in the schema.  Supported are str, int,
-float, bool, bytes, enums with string values, dataclasses, and tuples of these.
+Each package has its own schema and dataclasses.  The field ``retry_after_s`` of a
+dataclass is ``retryAfterS`` in the schema.  Supported field types are str, int, float,
+bool, bytes, enums with string values, dataclasses, and tuples of these.
 """
 
 import dataclasses
@@ -17,14 +17,14 @@
 
 __all__ = ["BatchType", "MessageRegistry", "MessageType", "load_schema"]
 
-Converter = Callable[[Any], Any]
+Reader = Callable[[Any], Any]
 Writer = Callable[[Any, str, Any], None]
-"""Sets the field of that name of a builder to the schema's form of a value."""
+"""Sets a builder's field, given by name, to the encoded form of a value."""
 SCALARS = (str, int, float, bool, bytes)
 
 
 def load_schema(package_file: str, name: str) -> Any:
-    """Load the schema `name` that lies beside `package_file`."""
+    """Load the schema `name` from the directory of `package_file`."""
     return capnp.load(str(Path(package_file).parent / name))
 
 
@@ -37,8 +37,8 @@
     return value
 
 
-def _make_converters(annotation: Any) -> tuple[Writer, Converter]:
-    """Return the functions to and from the schema's value."""
+def _make_accessors(annotation: Any) -> tuple[Writer, Reader]:
+    """Return the functions that encode and decode values of a type."""
     if annotation in SCALARS:
         return setattr, _identity
     if isinstance(annotation, type) and issubclass(annotation, Enum):
@@ -49,14 +49,14 @@
     if typing.get_origin(annotation) is tuple:
         item, ellipsis = typing.get_args(annotation)
         if ellipsis is Ellipsis:
-            return _make_list_converters(item)
+            return _make_list_accessors(item)
     raise TypeError(f"{annotation} has no encoding")
 
 
-def _make_list_converters(item: Any) -> tuple[Writer, Converter]:
+def _make_list_accessors(item: Any) -> tuple[Writer, Reader]:
     if item in SCALARS:
         return _write_scalars, tuple
-    _, read = _make_converters(item)
+    _, read = _make_accessors(item)
 
     def read_all(values: Any) -> tuple[Any, ...]:
         return tuple([read(value) for value in values])
@@ -85,14 +85,14 @@
     name: str
     wire_name: str
     write: Writer
-    read: Converter
+    read: Reader
 
 
 def _make_fields(message_class: Any) -> tuple[_Field, ...]:
     hints = typing.get_type_hints(message_class)
     fields = []
     for field in dataclasses.fields(message_class):
-        write, read = _make_converters(hints[field.name])
+        write, read = _make_accessors(hints[field.name])
         fields.append(_Field(field.name, to_camel_case(field.name), write, read))
     return tuple(fields)
 
@@ -110,7 +110,10 @@
 
 
 def _make_struct_list_writer(fields: tuple[_Field, ...]) -> Writer:
-    """Return a writer in place; a list of dicts would cost eight times as much."""
+    """Return a writer that fills the list in place.
+
+    Passing a list of dicts to the builder would cost eight times as much.
+    """
 
     def write(builder: Any, name: str, values: tuple[Any, ...]) -> None:
         items = builder.init(name, len(values))
@@ -120,7 +123,7 @@
     return write
 
 
-def _make_struct_reader(message_class: Any, fields: tuple[_Field, ...]) -> Converter:
+def _make_struct_reader(message_class: Any, fields: tuple[_Field, ...]) -> Reader:
     def read(reader: Any) -> Any:
         return message_class(*[f.read(getattr(reader, f.wire_name)) for f in fields])
 
@@ -128,7 +131,7 @@
 
 
 class MessageType:
-    """One message type's two sides."""
+    """Encoder and decoder of one message type."""
 
     def __init__(self, kind: str, message_class: type, struct: Any) -> None:
         self.kind = kind
@@ -138,30 +141,30 @@
         self._decode = _make_struct_reader(message_class, self._fields)
 
     def encode(self, message: Any) -> bytes:
-        """Return the message's Cap'n Proto bytes."""
+        """Return the message encoded in Cap'n Proto."""
         builder = self._struct.new_message()
         _write_fields(builder, self._fields, message)
         return builder.to_bytes()
 
     def decode(self, data: bytes) -> Any:
-        """Return the dataclass; raise `capnp.KjException` on damaged bytes."""
+        """Return the message; raise `capnp.KjException` if `data` is damaged."""
         with self._struct.from_bytes(data) as reader:
             return self._decode(reader)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BatchType:
-    """How messages of one class travel together in one frame.
+    """How several messages of one class are combined into one frame.
 
-    What is small and frequent costs far more for its frame than for itself.
+    For small, frequent messages the cost of a frame far exceeds that of its content.
     """
 
     batch_class: type
     measure: Callable[[Any], int]
-    """Returns about how many bytes a message adds to a batch."""
+    """Returns the approximate number of bytes that a message adds to a batch."""
     join: Callable[[Sequence[Any]], Any]
     split: Callable[[Any], Sequence[Any]]
-    """Returns the messages in their order; raises `ValueError` if damaged."""
+    """Returns the messages in order; raises `ValueError` if the batch is damaged."""
 
 
 class MessageRegistry:
@@ -174,7 +177,7 @@
         self._splitters: dict[type, Callable[[Any], Sequence[Any]]] = {}
 
     def add(self, message_class: type, struct: Any) -> None:
-        """Register a dataclass under its own name."""
+        """Register a dataclass under its class name."""
         kind = message_class.__name__
         if kind in self._by_kind:
             raise ValueError(f"message type {kind} is registered twice")
@@ -183,28 +186,28 @@
         self._by_class[message_class] = message_type
 
     def add_all(self, schema: Any, *message_classes: type) -> None:
-        """Register dataclasses whose structs have the same names in `schema`."""
+        """Register dataclasses with the structs of the same names in `schema`."""
         for message_class in message_classes:
             self.add(message_class, getattr(schema, message_class.__name__))
 
     def add_batch(self, message_class: type, batch: BatchType) -> None:
-        """Let messages of a class travel together; both are registered before."""
+        """Allow batches of a message class; both classes must be registered already."""
         self._batches[message_class] = batch
         self._splitters[batch.batch_class] = batch.split
 
     def batch_for(self, message_class: type) -> BatchType | None:
-        """Return how messages of a class travel together, or None."""
+        """Return how messages of a class are batched, or None if they are not."""
         return self._batches.get(message_class)
 
     def split(self, message: Any) -> Sequence[Any]:
-        """Return the messages of a batch, or any other message by itself."""
+        """Return the messages of a batch, or a single message as a sequence of one."""
         splitter = self._splitters.get(type(message))
         return (message,) if splitter is None else splitter(message)
 
     def for_class(self, message_class: type) -> MessageType:
-        """Return the type of a dataclass; raise `KeyError` if unregistered."""
+        """Return the message type of a dataclass; raise `KeyError` if unregistered."""
         return self._by_class[message_class]
 
     def for_kind(self, kind: str) -> MessageType | None:
-        """Return the type of that name, or None for one of a newer release."""
+        """Return the message type with this name, or None if it is unknown."""
         return self._by_kind.get(kind)
--- a/reedspar/messages/tests/test_codec.py
+++ b/reedspar/messages/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests that frames survive the wire, and that damaged ones are refused."""
+"""Tests of the encoding of frames, and of the rejection of damaged frames."""
 
 import unittest
 
@@ -27,7 +27,7 @@
         frame = encode_frame(self.registry, SENDER, HELLO)
         self.assertEqual(decode_frame(self.registry, frame), Envelope(SENDER, (HELLO,)))
 
-    def test_unknown_kind_is_told_apart(self) -> None:
+    def test_unknown_kind_is_not_found(self) -> None:
         frame = encode_frame(self.registry, SENDER, HELLO)
         failure = decode_frame(MessageRegistry(), frame)
         assert isinstance(failure, Failure)
@@ -35,16 +35,16 @@
         self.assertEqual(failure.peer, "entry-1")
 
     def test_damaged_frame_is_refused(self) -> None:
-        # A frame was cut or overwritten on its way.  It must become a failure
-        # that closes the link, never a message with made-up fields.
+        # A frame was truncated or overwritten in transit.  It must become a failure
+        # that closes the link, never a message with wrong fields.
         frame = encode_frame(self.registry, SENDER, HELLO)
         failure = decode_frame(self.registry, frame[:16])
         assert isinstance(failure, Failure)
         self.assertIs(failure.reason, Reason.CORRUPT)
 
     def test_batch_whose_columns_differ_is_refused(self) -> None:
-        # The sizes of a batch were damaged.  Cut at wrong places, one caller's
-        # tokens would go into another caller's answer.
+        # The sizes in a batch are damaged.  Splitting the data at wrong offsets would
+        # put one caller's tokens into another caller's answer.
         registry = MessageRegistry()
         register_attempts(registry)
         columns = (("r1", "r2"), (0, 0), (5, 9))
--- a/reedspar/timers/__init__.py
+++ b/reedspar/timers/__init__.py
@@ -1,4 +1,4 @@
-"""Time as a service: clocks, subscriptions, and the detection of pauses."""
+"""Clocks, and a timer service that detects pauses of the process."""
 
 from .clock import Clock, MonotonicClock, VirtualClock
 from .service import PauseListener, Subscription, TimerService, create_timer_service
--- a/reedspar/timers/clock.py
+++ b/reedspar/timers/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: the machine's monotonic one, and a virtual one for decisions under test."""
+"""Clocks: the machine's monotonic clock, and a virtual clock for tests."""
 
 import time
 from typing import Protocol
@@ -10,7 +10,7 @@
     """A source of monotonic time."""
 
     def now_s(self) -> float:
-        """Return seconds since an arbitrary start; never goes back."""
+        """Return seconds since an arbitrary start; never decreases."""
         ...
 
 
@@ -23,17 +23,17 @@
 
 
 class VirtualClock:
-    """A clock that moves only when told to."""
+    """A clock that advances only by calls of `advance`."""
 
     def __init__(self, start_s: float = 0.0) -> None:
         self._now_s = start_s
 
     def now_s(self) -> float:
-        """Return the time it was last set to."""
+        """Return the current virtual time."""
         return self._now_s
 
     def advance(self, by_s: float) -> None:
-        """Move forward; a negative step is refused."""
+        """Advance the time; raise `ValueError` if `by_s` is negative."""
         if by_s < 0:
             raise ValueError(f"time cannot go back by {-by_s} s")
         self._now_s += by_s
--- a/reedspar/timers/service.py
+++ b/reedspar/timers/service.py
@@ -1,4 +1,4 @@
-"""A timer service that parts subscribe to, and that notices when it was paused."""
+"""A timer service that detects when the process was paused."""
 
 import heapq
 import itertools
@@ -11,15 +11,15 @@
 
 __all__ = ["PauseListener", "Subscription", "TimerService", "create_timer_service"]
 
-TICK_S = 0.1
-PAUSE_THRESHOLD_S = 1.0
+DEFAULT_TICK_INTERVAL_S = 0.1
+DEFAULT_PAUSE_THRESHOLD_S = 1.0
 
 PauseListener = Callable[[float], None]
 
 
 @dataclass(order=True, slots=True)
 class Subscription:
-    """One subscriber; `cancel` ends it."""
+    """A scheduled callback."""
 
     due_s: float
     order: int
@@ -28,25 +28,25 @@
     is_cancelled: bool = field(compare=False, default=False)
 
     def cancel(self) -> None:
-        """End the subscription; a later call does nothing."""
+        """End the subscription; further calls have no effect."""
         self.is_cancelled = True
 
 
 class TimerService:
-    """Call subscribers when they are due, pauses first.
+    """Call subscribers when they are due, after the listeners for pauses.
 
-    A process that was stopped and continued (SIGSTOP, a hypervisor's pause)
-    would act on leases and freshness claims that lapsed meanwhile.  It shows
-    as a jump of the own clock between two ticks.  The pause listeners run
-    before any timer, so every claim lapses before anything else is done.
+    A process that was stopped and continued (by SIGSTOP or a hypervisor) must not act
+    on leases and freshness claims that expired in the meantime.  A pause is detected
+    as a jump of the local clock between two ticks.  The pause listeners run before
+    any timer, so that they invalidate such claims before anything else happens.
     """
 
     def __init__(
         self,
         clock: Clock,
         *,
-        tick_s: float = TICK_S,
-        pause_threshold_s: float = PAUSE_THRESHOLD_S,
+        tick_s: float = DEFAULT_TICK_INTERVAL_S,
+        pause_threshold_s: float = DEFAULT_PAUSE_THRESHOLD_S,
     ) -> None:
         self._clock = clock
         self._tick_s = tick_s
@@ -59,12 +59,12 @@
 
     @property
     def clock(self) -> Clock:
-        """Return the clock that timers are measured by."""
+        """Return the clock that determines when timers are due."""
         return self._clock
 
     @property
     def pause_count(self) -> int:
-        """Return how many pauses were noticed."""
+        """Return the number of pauses detected so far."""
         return self._pause_count
 
     def now_s(self) -> float:
@@ -72,24 +72,24 @@
         return self._clock.now_s()
 
     def on_pause(self, listener: PauseListener) -> None:
-        """Call `listener` with the pause's length in seconds."""
+        """Call `listener` with the length in seconds of each pause."""
         self._pause_listeners.append(listener)
 
     def call_every(
         self, interval_s: float, callback: Callable[[], None]
     ) -> Subscription:
-        """Call `callback` each `interval_s`, first one interval from now."""
-        return self._push(self.now_s() + interval_s, callback, interval_s)
+        """Call `callback` every `interval_s`, starting one interval from now."""
+        return self._schedule(self.now_s() + interval_s, callback, interval_s)
 
     def call_after(self, delay_s: float, callback: Callable[[], None]) -> Subscription:
         """Call `callback` once, `delay_s` from now."""
-        return self._push(self.now_s() + delay_s, callback, None)
+        return self._schedule(self.now_s() + delay_s, callback, None)
 
     def check_pause(self) -> bool:
-        """Notice a pause since the last tick and tell the listeners.
+        """Return whether there was a pause since the last check; call the listeners.
 
-        Call it, too, wherever a claim is about to be relied on: the tick may
-        come later than the claim's use.
+        Call this also before relying on a claim, since the claim may be used before
+        the next tick.
         """
         now_s = self.now_s()
         gap_s = now_s - self._last_tick_s
@@ -102,7 +102,7 @@
         return True
 
     def run_due(self) -> None:
-        """Run what is due now, pauses first."""
+        """Check for a pause, then call all subscribers that are due."""
         self.check_pause()
         now_s = self.now_s()
         while self._heap and self._heap[0].due_s <= now_s:
@@ -120,7 +120,7 @@
             self.run_due()
             await anyio.sleep(self._tick_s)
 
-    def _push(
+    def _schedule(
         self, due_s: float, callback: Callable[[], None], interval_s: float | None
     ) -> Subscription:
         entry = Subscription(due_s, next(self._orders), callback, interval_s)
@@ -129,5 +129,5 @@
 
 
 def create_timer_service(clock: Clock | None = None) -> TimerService:
-    """Make a timer service on the machine's clock, or on the one given."""
+    """Create a timer service, by default with the machine's clock."""
     return TimerService(clock or MonotonicClock())
--- a/reedspar/timers/tests/test_service.py
+++ b/reedspar/timers/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of subscriptions and of the detection of pauses."""
+"""Tests of subscriptions and pause detection."""
 
 import unittest
 
@@ -15,7 +15,7 @@
         self.clock.advance(by_s)
         self.timers.run_due()
 
-    def test_interval_repeats_and_cancel_ends_it(self) -> None:
+    def test_interval_repeats_until_cancelled(self) -> None:
         entry = self.timers.call_every(0.5, lambda: self.calls.append("tick"))
         for _ in range(4):
             self.advance(0.25)
@@ -30,9 +30,9 @@
         self.advance(0.3)
         self.assertEqual(self.calls, ["once"])
 
-    def test_pause_is_told_before_any_timer(self) -> None:
-        # The process is stopped for ten seconds and continued.  Were a timer
-        # to run first, it would act on a lease that has lapsed.
+    def test_pause_listeners_run_before_timers(self) -> None:
+        # The process is stopped for ten seconds and continued.  A timer that ran
+        # before the pause listeners would act on a lease that has expired.
         self.timers.on_pause(lambda gap_s: self.calls.append(f"pause {gap_s:g}"))
         self.timers.call_every(0.1, lambda: self.calls.append("tick"))
         self.advance(10.0)
--- a/reedspar/utils/__init__.py
+++ b/reedspar/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Small helpers that more than one package needs."""
+"""Helpers shared by several packages."""
 
 from .hashing import digest_bytes, rank_by_rendezvous, rendezvous_score
 from .headers import HOP_BY_HOP_HEADERS
--- a/reedspar/utils/headers.py
+++ b/reedspar/utils/headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP that end at each hop."""
+"""HTTP headers that proxies do not forward."""
 
 __all__ = ["HOP_BY_HOP_HEADERS"]
 
@@ -15,5 +15,5 @@
         "upgrade",
     }
 )
-"""Headers of one connection (RFC 9110, section 7.6.1), and the framing, which is set
-anew at each hop."""
+"""Connection-specific headers (RFC 9110, section 7.6.1) and the framing headers, which
+each hop sets for its own message."""
--- a/reedspar/utils/pacing.py
+++ b/reedspar/utils/pacing.py
@@ -1,14 +1,15 @@
-"""Pacing of a link, or of requests, to a budget."""
+"""Rate limiting with a token bucket."""
 
 __all__ = ["TokenBucket"]
 
 
 class TokenBucket:
-    """Let `rate` units a second through, and `burst` at once after a rest.
+    """A token bucket that permits `rate_per_s` units a second, and bursts when idle.
 
-    Units are bytes of messages, or requests.  A message may go as soon as the
-    bucket is not empty, and leaves a debt if it is larger than what is there:
-    over any time the excess is at most the burst and one message.
+    Units are bytes of messages, or requests.  A message may be sent while the bucket
+    is not empty.  If the message exceeds the available tokens, the balance becomes
+    negative: in any interval, the amount sent exceeds the rate by at most the burst
+    and one message.
     """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
@@ -19,26 +20,26 @@
 
     @property
     def rate_per_s(self) -> float:
-        """Return the budget."""
+        """Return the rate limit."""
         return self._rate
 
     def set_rate(self, rate_per_s: float, now_s: float) -> None:
-        """Change the budget from now on."""
+        """Change the rate limit from now on."""
         self._refill(now_s)
         self._rate = rate_per_s
 
     def is_ready(self, now_s: float) -> bool:
-        """Tell whether a message may go now."""
+        """Return whether a message may be sent now."""
         self._refill(now_s)
         return self._tokens > 0
 
     def take(self, size: float, now_s: float) -> None:
-        """Count a message that goes now."""
+        """Remove the tokens of a message that is sent now."""
         self._refill(now_s)
         self._tokens -= size
 
     def ready_at_s(self, now_s: float) -> float:
-        """Return when the next message may go, if no other goes before."""
+        """Return when the next message may be sent, if none is sent before."""
         self._refill(now_s)
         if self._tokens > 0:
             return now_s
@@ -46,7 +47,7 @@
 
     def _refill(self, now_s: float) -> None:
         if self._updated_s is not None:
-            # A pause of the process refills no more than the burst.
+            # The refill is capped at the burst, even after a pause of the process.
             gained = (now_s - self._updated_s) * self._rate
             self._tokens = min(self._burst, self._tokens + gained)
         self._updated_s = now_s
