--- a/reedspar/links/__init__.py
+++ b/reedspar/links/__init__.py
@@ -1,4 +1,4 @@
-"""Connections between daemons: dialled, watched by heartbeats, replaced on silence."""
+"""Links between daemons: TCP connections monitored by heartbeats."""
 
 from .forwarding import ForwardingNetwork
 from .messages import Heartbeat, Hello, Role, register_messages
--- a/reedspar/links/connection.py
+++ b/reedspar/links/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: frames in, frames out, live ones before bulk."""
+"""A TCP connection that carries frames, with live messages sent before bulk ones."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -17,17 +17,17 @@
 LENGTH_SIZE_BYTES = 4
 FRAME_SIZE_MAX_BYTES = 4 * 1024 * 1024
 RECEIVE_SIZE_BYTES = 256 * 1024
-BULK_SHARE_BYTES = 128 * 1024
+MAX_BULK_BYTES_PER_WRITE = 128 * 1024
 LIVE_BACKLOG_MAX_BYTES = 16 * 1024 * 1024
 BULK_BACKLOG_MAX_BYTES = 512 * 1024
 BATCH_MAX_BYTES = 256 * 1024
-LINGER_S = 0.002
-"""Least time between two writes of nothing but batches: tokens that come faster
-share a write and a frame.  A quiet link writes at once."""
+BATCH_WRITE_INTERVAL_S = 0.002
+"""Minimum time from one write to the next if that contains only a batch, so that tokens
+at higher rates share a write and a frame.  An idle link writes without delay."""
 
 
 class FrameBuffer:
-    """Cut a byte stream into frames, each behind its length (big-endian)."""
+    """Splits a byte stream into frames, each prefixed by its big-endian length."""
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -35,8 +35,8 @@
     def feed(self, data: bytes) -> list[bytes] | Failure:
         """Return the frames that `data` completes.
 
-        A length beyond the bound means that the two ends have lost step; the
-        connection must go, since every later frame would be misread.
+        A length above the limit means that the stream is no longer in sync.  The
+        connection must be closed then, as every later frame would be misread.
         """
         self._data += data
         frames = []
@@ -45,7 +45,9 @@
             head_end = start + LENGTH_SIZE_BYTES
             size = int.from_bytes(self._data[start:head_end], "big")
             if size > FRAME_SIZE_MAX_BYTES:
-                return Failure(Reason.CORRUPT, Step.LINK, detail=f"frame of {size} B")
+                return Failure(
+                    Reason.CORRUPT, Step.LINK, detail=f"frame of {size} B is too long"
+                )
             if len(self._data) - head_end < size:
                 break
             frames.append(bytes(self._data[head_end : head_end + size]))
@@ -56,14 +58,14 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """Messages that become one frame when their turn to be written comes."""
+    """Messages that are encoded as one frame when they are written."""
 
     messages: list[Any] = field(default_factory=list)
     size_bytes: int = 0
 
 
 class FrameConnection:
-    """A connection that coalesces all that is ready in one turn of the loop."""
+    """A connection that combines all frames that are ready into one write."""
 
     def __init__(
         self, stream: ByteStream, encode_batch: Callable[[Sequence[Any]], bytes]
@@ -75,43 +77,47 @@
         self._live_bytes = 0
         self._bulk_bytes = 0
         self._wake = anyio.Event()
-        self._is_lingering = False
-        self._written_s = float("-inf")
+        self._is_batch_delayed = False
+        self._last_write_s = float("-inf")
         self._is_closed = False
 
     @property
     def bulk_backlog_bytes(self) -> int:
-        """Return how much bulk waits to be sent."""
+        """Return the size of the queued bulk frames."""
         return self._bulk_bytes
 
     def send(self, frame: bytes, priority: Priority) -> Failure | None:
-        """Queue a frame; refused if the connection is closed or its queue full."""
+        """Queue a frame; fail if the connection is closed or the queue is full."""
         if self._is_closed:
             return Failure(Reason.UNAVAILABLE, Step.LINK, detail="closed")
         size = len(frame) + LENGTH_SIZE_BYTES
         if priority is Priority.BULK:
             if self._bulk_bytes + size > BULK_BACKLOG_MAX_BYTES:
-                return Failure(Reason.OVERLOADED, Step.LINK, detail="bulk backlog")
+                return Failure(
+                    Reason.OVERLOADED, Step.LINK, detail="bulk backlog is full"
+                )
             self._bulk.append(frame)
             self._bulk_bytes += size
         else:
             if self._live_bytes + size > LIVE_BACKLOG_MAX_BYTES:
-                return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog")
+                return Failure(
+                    Reason.OVERLOADED, Step.LINK, detail="live backlog is full"
+                )
             self._live.append(frame)
             self._live_bytes += size
         self._wake.set()
         return None
 
     def send_in_batch(self, message: Any, size_bytes: int) -> Failure | None:
-        """Queue a live message to share a frame with those queued next to it.
+        """Queue a live message to share a frame with adjacent messages in the queue.
 
-        Messages stay in order: what is queued after another frame waits in a
-        batch of its own.
+        The order of messages is preserved: a message that follows a frame of another
+        kind starts a new batch.
         """
         if self._is_closed:
             return Failure(Reason.UNAVAILABLE, Step.LINK, detail="closed")
         if self._live_bytes + size_bytes > LIVE_BACKLOG_MAX_BYTES:
-            return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog")
+            return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog is full")
         batch = self._live[-1] if self._live else None
         if (
             not isinstance(batch, _Batch)
@@ -122,12 +128,12 @@
         batch.messages.append(message)
         batch.size_bytes += size_bytes
         self._live_bytes += size_bytes
-        if not self._is_lingering:
+        if not self._is_batch_delayed:
             self._wake.set()
         return None
 
     async def read_frames(self, handle: Callable[[bytes], bool]) -> None:
-        """Call `handle` with each frame until it returns False or the end."""
+        """Pass frames to `handle` until it returns False or the connection ends."""
         buffer = FrameBuffer()
         while not self._is_closed:
             try:
@@ -149,18 +155,18 @@
             if not self._live and not self._bulk:
                 self._wake = anyio.Event()
                 await self._wake.wait()
-            await self._linger()
-            data = self._take()
+            await self._delay_batch()
+            data = self._dequeue()
             if not data:
                 continue
-            self._written_s = anyio.current_time()
+            self._last_write_s = anyio.current_time()
             try:
                 await self._stream.send(data)
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
 
     async def close(self) -> None:
-        """End the connection; a later call does nothing."""
+        """Close the connection; further calls have no effect."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -168,20 +174,20 @@
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self._stream)
 
-    async def _linger(self) -> None:
-        """Wait a moment for more tokens, unless something else is queued."""
-        remaining_s = self._written_s + LINGER_S - anyio.current_time()
+    async def _delay_batch(self) -> None:
+        """Delay the write for more tokens, unless another kind of frame is queued."""
+        remaining_s = self._last_write_s + BATCH_WRITE_INTERVAL_S - anyio.current_time()
         if remaining_s <= 0 or self._bulk or self._is_closed:
             return
         if len(self._live) != 1 or not isinstance(self._live[0], _Batch):
             return
         self._wake = anyio.Event()
-        self._is_lingering = True
+        self._is_batch_delayed = True
         with anyio.move_on_after(remaining_s):
             await self._wake.wait()
-        self._is_lingering = False
+        self._is_batch_delayed = False
 
-    def _take(self) -> bytes:
+    def _dequeue(self) -> bytes:
         parts: list[bytes] = []
         for item in self._live:
             if isinstance(item, _Batch):
@@ -192,7 +198,7 @@
         self._live.clear()
         self._live_bytes = 0
         taken_bytes = 0
-        while self._bulk and taken_bytes < BULK_SHARE_BYTES:
+        while self._bulk and taken_bytes < MAX_BULK_BYTES_PER_WRITE:
             frame = self._bulk.popleft()
             parts += (len(frame).to_bytes(LENGTH_SIZE_BYTES, "big"), frame)
             taken_bytes += len(frame) + LENGTH_SIZE_BYTES
--- a/reedspar/links/forwarding.py
+++ b/reedspar/links/forwarding.py
@@ -1,4 +1,4 @@
-"""A network in front of another one; subclasses change what they are for."""
+"""A network that forwards to another; base class for wrappers that override parts."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class ForwardingNetwork:
-    """Hand everything on to the network behind."""
+    """Forwards every call to the wrapped network."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
@@ -33,21 +33,21 @@
         self._network.on_link_event(listener)
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
-        """Call `listener` with what each received frame says of its sender."""
+        """Call `listener` with the sender header of each received frame."""
         self._network.on_sender(listener)
 
     def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
-        """Keep links to these peers, until the same owner wants others."""
+        """Keep links to these peers open; replaces the earlier peers of `owner`."""
         self._network.set_desired_peers(owner, peers)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) that a link is open to."""
+        """Return the names of the peers (of a role) with an open link."""
         return self._network.peers(role)
 
     def incarnation_of(self, peer: str) -> int:
-        """Return the incarnation heard last of a peer; 0 if none."""
+        """Return the newest known incarnation of a peer; 0 if unknown."""
         return self._network.incarnation_of(peer)
 
     def bulk_backlog_bytes(self, peer: str) -> int:
-        """Return how much bulk waits to be sent to a peer."""
+        """Return the size of the bulk frames queued for a peer."""
         return self._network.bulk_backlog_bytes(peer)
--- a/reedspar/links/messages.py
+++ b/reedspar/links/messages.py
@@ -1,4 +1,4 @@
-"""The messages that links exchange on their own behalf."""
+"""The messages that links use themselves: introductions and heartbeats."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """What a daemon is for."""
+    """The role of a daemon."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message on a connection, from both ends."""
+    """The first message on a connection, sent by both ends."""
 
     name: str
     role: Role
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Tells that the sender can still be heard; it is not answered.
+    """Shows that the sender can still reach the receiver; it is not answered.
 
-    Both ends send it, so each end judges the direction that it hears.
+    Both ends send heartbeats, so each end monitors the direction that it receives.
     """
 
     nonce: int
--- a/reedspar/links/monitor.py
+++ b/reedspar/links/monitor.py
@@ -1,8 +1,8 @@
-"""Decide when a link to a peer is silent, is replaced, or is down.
+"""Failure detection for the link to a peer, by heartbeats and replacement dials.
 
-A connection can go silent for good while new ones work, because a middlebox
-has lost track of it.  So silence alone never condemns the peer: a second
-connection is dialled first, and only its failure does.
+A connection can fall silent for good while new ones work, when a middlebox has lost
+its state.  Silence alone therefore doesn't mark the peer as down: a second connection
+is dialled first, and the peer is down only if that fails.
 """
 
 import random
@@ -22,38 +22,38 @@
     "SendHeartbeat",
 ]
 
-FIRST_BACKOFF_S = 0.1
+INITIAL_BACKOFF_S = 0.1
 CONNECTIONS_MAX = 2
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTimings:
-    """The bounds that a link is judged by."""
+    """Intervals and timeouts of failure detection."""
 
     heartbeat_s: float
-    """Between heartbeats while the link carries traffic."""
+    """Interval of heartbeats while the link carries traffic."""
     idle_heartbeat_s: float
-    """Between heartbeats while it carries none; both ends must agree on it."""
+    """Interval of heartbeats on an idle link; must be the same at both ends."""
     silence_s: float
-    """Silence after which a busy link is suspect."""
+    """Silence after which a replacement for a busy link is dialled."""
     dial_timeout_s: float
     backoff_max_s: float = 2.0
 
     @property
-    def redial_window_s(self) -> float:
-        """Return the further silence after which the peer is judged."""
+    def redial_timeout_s(self) -> float:
+        """Return the time allowed for replacement dials before the link is down."""
         return 2 * self.dial_timeout_s
 
 
 class LinkChange(Enum):
-    """What subscribers are told of a link."""
+    """A change of a link that subscribers are notified of."""
 
     UP = "up"
     REPLACED = "replaced"
-    """Frames may have been lost; the peer is the same incarnation."""
+    """The incarnation of the peer is the same, but frames may have been lost."""
     DOWN = "down"
     REFUSED = "refused"
-    """The peer's machine refused a dial while no link was up."""
+    """The peer's machine refused a connection while no link was up."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify:
-    """Tell subscribers."""
+    """Notify subscribers of a change."""
 
     change: LinkChange
     reason: Reason | None = None
@@ -94,26 +94,26 @@
     is_up: bool = False
     is_dialling: bool = False
     _connections: list[int] = field(default_factory=list)
-    _last_heard_s: float = 0.0
+    _last_received_s: float = 0.0
     _last_sent_s: float = 0.0
     _last_traffic_s: float = float("-inf")
     _busy_since_s: float = float("-inf")
-    _lost_s: float | None = None
+    _disconnected_s: float | None = None
     _next_dial_s: float = 0.0
-    _backoff_s: float = FIRST_BACKOFF_S
+    _backoff_s: float = INITIAL_BACKOFF_S
 
     @property
     def connections(self) -> tuple[int, ...]:
-        """Return the open connections, oldest first; the last is sent on."""
+        """Return the open connections, oldest first; the last one is used to send."""
         return tuple(self._connections)
 
     def handle_opened(self, connection: int, now_s: float) -> list[LinkAction]:
-        """Take in a connection on which the peer has said hello."""
+        """Add a connection on which the peer has sent its hello."""
         self._connections.append(connection)
-        self._last_heard_s = now_s
+        self._last_received_s = now_s
         self._last_sent_s = now_s
-        self._lost_s = None
-        self._backoff_s = FIRST_BACKOFF_S
+        self._disconnected_s = None
+        self._backoff_s = INITIAL_BACKOFF_S
         change = LinkChange.REPLACED if self.is_up else LinkChange.UP
         self.is_up = True
         actions: list[LinkAction] = [Notify(change)]
@@ -122,110 +122,110 @@
         return actions
 
     def handle_closed(self, connection: int, now_s: float) -> list[LinkAction]:
-        """Take in that a connection has ended, by whichever end."""
+        """Remove a connection that either end has closed."""
         if connection not in self._connections:
             return []
         self._connections.remove(connection)
         if self._connections:
             return [Notify(LinkChange.REPLACED)]
-        self._lost_s = now_s
+        self._disconnected_s = now_s
         self._next_dial_s = now_s
         return []
 
     def record_received(self, now_s: float) -> None:
-        """Take in that a frame came."""
-        self._last_heard_s = now_s
+        """Record that a frame was received."""
+        self._last_received_s = now_s
 
     def record_sent(self, now_s: float, *, is_traffic: bool = True) -> None:
-        """Take in that a frame was sent."""
+        """Record that a frame was sent."""
         self._last_sent_s = now_s
         if is_traffic:
             self.record_traffic(now_s)
 
     def record_traffic(self, now_s: float) -> None:
-        """Take in that the link carries more than heartbeats."""
+        """Record traffic other than heartbeats."""
         if not self._is_busy(now_s):
             self._busy_since_s = now_s
         self._last_traffic_s = now_s
 
     def handle_pause(self, gap_s: float) -> None:
-        """Take in that this process was paused: its peers were not silent.
+        """Exclude a pause of this process from the measured silence of the peer.
 
-        Without this, a daemon that was stopped for ten seconds would judge
-        every peer dead when it wakes, and all its links would drop at once.
+        Otherwise a daemon that was stopped for ten seconds would consider every peer
+        dead when it continues, and drop all its links at once.
         """
-        self._last_heard_s += gap_s
+        self._last_received_s += gap_s
         self._last_traffic_s += gap_s
-        if self._lost_s is not None:
-            self._lost_s += gap_s
+        if self._disconnected_s is not None:
+            self._disconnected_s += gap_s
 
     def handle_dial_failure(self, reason: Reason, now_s: float) -> list[LinkAction]:
-        """Take in that a dial was refused (`UNAVAILABLE`) or timed out."""
+        """Handle a dial that was refused (`UNAVAILABLE`) or timed out."""
         self.is_dialling = False
         self._next_dial_s = now_s + self._backoff_s * self.rng.uniform(0.5, 1.5)
         self._backoff_s = min(2 * self._backoff_s, self.timings.backoff_max_s)
         if reason is not Reason.UNAVAILABLE:
             return []
         if self.is_up:
-            return self._go_down(reason)
+            return self._mark_down(reason)
         return [Notify(LinkChange.REFUSED, reason)]
 
     def tick(self, now_s: float) -> list[LinkAction]:
-        """Return what is due."""
+        """Return the actions that are due."""
         if self._connections:
             return self._tick_connected(now_s)
-        actions = self._judge_lost(now_s)
+        actions = self._check_disconnected(now_s)
         if self._may_dial(now_s):
             actions.append(self._start_dial())
         return actions
 
     def _tick_connected(self, now_s: float) -> list[LinkAction]:
         actions: list[LinkAction] = []
-        if now_s - self._last_sent_s >= self._heartbeat_s(now_s):
+        if now_s - self._last_sent_s >= self._heartbeat_interval_s(now_s):
             actions.append(SendHeartbeat())
-        quiet_s = now_s - self._heard_since_s()
-        limit_s = self._silence_s(now_s)
-        if quiet_s <= limit_s:
+        silent_s = now_s - self._silence_start_s()
+        limit_s = self._silence_limit_s(now_s)
+        if silent_s <= limit_s:
             return actions
         if not self.is_desired:
-            # The other end dials.  Closing tells it, if it can still hear.
+            # Only the other end dials.  It does so at once if the close reaches it.
             return [*actions, *self._close_all()]
-        if quiet_s > limit_s + self.timings.redial_window_s:
-            return [*actions, *self._go_down(Reason.TIMEOUT)]
+        if silent_s > limit_s + self.timings.redial_timeout_s:
+            return [*actions, *self._mark_down(Reason.TIMEOUT)]
         if self._may_dial(now_s):
             actions.append(self._start_dial())
         return actions
 
-    def _judge_lost(self, now_s: float) -> list[LinkAction]:
-        if not self.is_up or self._lost_s is None:
+    def _check_disconnected(self, now_s: float) -> list[LinkAction]:
+        if not self.is_up or self._disconnected_s is None:
             return []
         if (
-            now_s - self._lost_s
-            <= self.timings.silence_s + self.timings.redial_window_s
+            now_s - self._disconnected_s
+            <= self.timings.silence_s + self.timings.redial_timeout_s
         ):
             return []
-        return self._go_down(Reason.TIMEOUT)
+        return self._mark_down(Reason.TIMEOUT)
 
-    def _heard_since_s(self) -> float:
-        """Return from when on the peer's silence counts.
+    def _silence_start_s(self) -> float:
+        """Return the time from which the silence of the peer is measured.
 
-        On an idle link the peer beats slowly.  Counted from its last beat, it would
-        be silent too long at the moment at which traffic starts; both ends dialled
-        again, and what was on its way over the oldest connection was lost.
+        Heartbeats on an idle link are rare.  If silence were measured from the last
+        heartbeat, it would exceed the limit as soon as traffic starts.  Both ends would
+        dial again, and messages in transit on the oldest connection would be lost.
         """
-        return max(self._last_heard_s, self._busy_since_s)
+        return max(self._last_received_s, self._busy_since_s)
 
     def _is_busy(self, now_s: float) -> bool:
         return now_s - self._last_traffic_s < 2 * self.timings.idle_heartbeat_s
 
-    def _heartbeat_s(self, now_s: float) -> float:
+    def _heartbeat_interval_s(self, now_s: float) -> float:
         busy = self._is_busy(now_s)
         return self.timings.heartbeat_s if busy else self.timings.idle_heartbeat_s
 
-    def _silence_s(self, now_s: float) -> float:
-        # The other end may see an idle link where this one sees a busy one,
-        # and so beat slowly: a busy link is suspect early only if something
-        # that expects an answer was sent, which makes both ends busy.
+    def _silence_limit_s(self, now_s: float) -> float:
+        # The other end may consider the link idle, and send heartbeats rarely, while
+        # this end considers it busy.  The short limit applies only after a message
+        # that expects an answer, since that makes the link busy at both ends.
         idle_limit_s = self.timings.idle_heartbeat_s + self.timings.silence_s
         return self.timings.silence_s if self._is_busy(now_s) else idle_limit_s
 
@@ -239,10 +239,10 @@
     def _close_all(self) -> list[LinkAction]:
         return [CloseConnection(connection) for connection in self._connections]
 
-    def _go_down(self, reason: Reason) -> list[LinkAction]:
+    def _mark_down(self, reason: Reason) -> list[LinkAction]:
         actions = self._close_all()
         self._connections.clear()
-        self._lost_s = None
+        self._disconnected_s = None
         if self.is_up:
             self.is_up = False
             actions.append(Notify(LinkChange.DOWN, reason))
--- a/reedspar/links/network.py
+++ b/reedspar/links/network.py
@@ -1,4 +1,4 @@
-"""What controllers see of the links: send to a peer by name, subscribe to messages."""
+"""The interface of links: send messages to peers by name, subscribe to messages."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 
 class Priority(IntEnum):
-    """Which messages go first on a link."""
+    """The order in which messages are sent on a link."""
 
     LIVE = 0
     """Requests, answers and control."""
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a daemon listens for other daemons."""
+    """The address at which a daemon listens for other daemons."""
 
     name: str
     host: str
@@ -44,27 +44,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkEvent:
-    """A change of the link to a peer."""
+    """A change of the state of the link to a peer."""
 
     peer: str
     incarnation: int
     change: LinkChange
     reason: Reason | None = None
-    """Why it is down: `UNAVAILABLE` (refused, so no process) or `TIMEOUT`."""
+    """Why the link is down: `UNAVAILABLE` (dial refused, so no process listens) or
+    `TIMEOUT`."""
 
 
 LinkListener = Callable[[LinkEvent], None]
 
 
 class Network(Protocol):
-    """Messages to and from other daemons by name."""
+    """Sends messages to daemons by name, and dispatches the messages received."""
 
     def send(
         self, peer: str, message: Any, priority: Priority = Priority.LIVE
     ) -> Failure | None:
         """Queue a message; a failure means that nothing was sent.
 
-        None is no proof of arrival: the link may die with the message in it.
+        None does not prove delivery, as the link may fail before the message arrives.
         """
         ...
 
@@ -77,21 +78,21 @@
         ...
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
-        """Call `listener` with what each received frame says of its sender."""
+        """Call `listener` with the sender header of each received frame."""
         ...
 
     def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
-        """Keep links to these peers, until the same owner wants others."""
+        """Keep links to these peers open; replaces the earlier peers of `owner`."""
         ...
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) that a link is open to."""
+        """Return the names of the peers (of a role) with an open link."""
         ...
 
     def incarnation_of(self, peer: str) -> int:
-        """Return the incarnation heard last of a peer; 0 if none."""
+        """Return the newest known incarnation of a peer; 0 if unknown."""
         ...
 
     def bulk_backlog_bytes(self, peer: str) -> int:
-        """Return how much bulk waits to be sent to a peer."""
+        """Return the size of the bulk frames queued for a peer."""
         ...
--- a/reedspar/links/on_demand.py
+++ b/reedspar/links/on_demand.py
@@ -1,8 +1,8 @@
-"""Links that are dialled when something is to be sent, and let go when idle.
+"""Links that are dialled when a message is to be sent, and closed when idle.
 
-Parts whose peers change with each message (the drawing of chunks) can't name
-their links beforehand, and a link to everybody would cost the product of the
-fleets.
+Components whose peers change with each message (such as the transfer of chunks) don't
+know beforehand which links they need.  Links from every daemon to every other would
+grow with the product of the fleets' sizes.
 """
 
 from collections import OrderedDict, deque
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OnDemandLimits:
-    """Bounds on what is dialled and held."""
+    """Limits on links and queued messages."""
 
     max_links: int = 64
     max_queued_messages: int = 32
-    """Messages that wait for one peer's link; beyond, the oldest is dropped."""
+    """Messages that wait for the link to one peer; the oldest are dropped first."""
     queue_timeout_s: float = 2.0
     idle_timeout_s: float = 30.0
 
@@ -41,12 +41,12 @@
 @dataclass(slots=True)
 class _Peer:
     address: PeerAddress
-    used_s: float
-    held: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
+    last_used_s: float
+    queued: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
 
 
 class OnDemandNetwork(ForwardingNetwork):
-    """A network that dials whom it is asked to send to."""
+    """A network that dials peers when a message is to be sent to them."""
 
     def __init__(
         self,
@@ -62,36 +62,36 @@
         self._resolve = resolve
         self._limits = limits or OnDemandLimits()
         self._peers: OrderedDict[str, _Peer] = OrderedDict()
-        network.on_link_event(self._note_link)
+        network.on_link_event(self._handle_link_event)
         timers.call_every(SWEEP_INTERVAL_S, self._sweep)
 
     def send(
         self, peer: str, message: Any, priority: Priority = Priority.LIVE
     ) -> Failure | None:
-        """Send, or hold the message for a moment while the link is dialled."""
+        """Send a message, or queue it for a short time while the link is dialled."""
         failure = self._network.send(peer, message, priority)
         if failure is not None and failure.reason is not Reason.UNAVAILABLE:
             return failure
         if failure is None:
-            self._touch(peer)
+            self._mark_used(peer)
             return None
-        entry = self._dial(peer)
+        entry = self._request_link(peer)
         if entry is None:
             return failure
-        entry.held.append((message, priority, self._timers.now_s()))
-        while len(entry.held) > self._limits.max_queued_messages:
-            entry.held.popleft()
+        entry.queued.append((message, priority, self._timers.now_s()))
+        while len(entry.queued) > self._limits.max_queued_messages:
+            entry.queued.popleft()
         return None
 
-    def _touch(self, peer: str) -> None:
-        """Note that a peer's link is in use."""
+    def _mark_used(self, peer: str) -> None:
+        """Record that the link to a peer is in use."""
         entry = self._peers.get(peer)
         if entry is not None:
-            entry.used_s = self._timers.now_s()
+            entry.last_used_s = self._timers.now_s()
             self._peers.move_to_end(peer)
 
-    def _dial(self, peer: str) -> _Peer | None:
-        """Have a peer dialled where it is now; None if nobody knows where."""
+    def _request_link(self, peer: str) -> _Peer | None:
+        """Request a link to a peer's current address; return None if it is unknown."""
         address = self._resolve(peer)
         if address is None:
             return None
@@ -101,37 +101,38 @@
             if len(self._peers) > self._limits.max_links:
                 self._peers.popitem(last=False)
         entry.address = address
-        self._touch(peer)
-        self._want()
+        self._mark_used(peer)
+        self._update_desired_peers()
         return entry
 
-    def _want(self) -> None:
+    def _update_desired_peers(self) -> None:
         addresses = [entry.address for entry in self._peers.values()]
         self._network.set_desired_peers(self._owner, addresses)
 
-    def _note_link(self, event: LinkEvent) -> None:
+    def _handle_link_event(self, event: LinkEvent) -> None:
         entry = self._peers.get(event.peer)
         if entry is None or event.change is not LinkChange.UP:
             return
-        held = list(entry.held)
-        entry.held.clear()
-        for message, priority, _ in held:
+        queued = list(entry.queued)
+        entry.queued.clear()
+        for message, priority, _ in queued:
             self._network.send(event.peer, message, priority)
 
     def _sweep(self) -> None:
-        """Drop messages held too long, and let go of idle links."""
+        """Drop messages queued for too long, and release idle links."""
         now_s = self._timers.now_s()
         for entry in self._peers.values():
             while (
-                entry.held and now_s - entry.held[0][2] > self._limits.queue_timeout_s
+                entry.queued
+                and now_s - entry.queued[0][2] > self._limits.queue_timeout_s
             ):
-                entry.held.popleft()
+                entry.queued.popleft()
         idle = [
             name
             for name, entry in self._peers.items()
-            if now_s - entry.used_s > self._limits.idle_timeout_s
+            if now_s - entry.last_used_s > self._limits.idle_timeout_s
         ]
         for name in idle:
             del self._peers[name]
         if idle:
-            self._want()
+            self._update_desired_peers()
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -1,4 +1,4 @@
-"""The network over TCP: a listener, and a watched link to each peer."""
+"""The network over TCP: a listener, and a monitored link to each peer."""
 
 import itertools
 import logging
@@ -37,13 +37,13 @@
 
 __all__ = ["LinkTraffic", "TcpNetwork", "create_tcp_network"]
 
-TICK_S = 0.1
+MONITOR_INTERVAL_S = 0.1
 LOGGER = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class LinkTraffic:
-    """Frames of all links, both ways."""
+    """Totals of the frames sent and received on all links."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -52,7 +52,7 @@
 
 @dataclass
 class _Peer:
-    """What is known of one peer, and its link."""
+    """The state of one peer and its link."""
 
     name: str
     monitor: LinkMonitor
@@ -63,7 +63,7 @@
 
 
 class TcpNetwork:
-    """Links to peers over TCP, each watched by a `LinkMonitor`."""
+    """Links to peers over TCP, each monitored by a `LinkMonitor`."""
 
     def __init__(
         self,
@@ -88,11 +88,11 @@
         )
         self._peers: dict[str, _Peer] = {}
         self._incarnations: dict[str, int] = {}
-        self._wanted: dict[str, dict[str, PeerAddress]] = {}
+        self._desired_by_owner: dict[str, dict[str, PeerAddress]] = {}
         self._handlers: dict[type, list[Handler]] = defaultdict(list)
         self._link_listeners: list[LinkListener] = []
         self._sender_listeners: list[Callable[[Sender], None]] = []
-        self._ids = itertools.count(1)
+        self._connection_ids = itertools.count(1)
         self._nonces = itertools.count(1)
         self._tasks: TaskGroup | None = None
         self.traffic = LinkTraffic()
@@ -106,11 +106,11 @@
         self._link_listeners.append(listener)
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
-        """Call `listener` with what each received frame says of its sender."""
+        """Call `listener` with the sender header of each received frame."""
         self._sender_listeners.append(listener)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) that a link is open to."""
+        """Return the names of the peers (of a role) with an open link."""
         return tuple(
             peer.name
             for peer in self._peers.values()
@@ -118,27 +118,29 @@
         )
 
     def incarnation_of(self, peer: str) -> int:
-        """Return the incarnation heard last of a peer; 0 if none."""
+        """Return the newest known incarnation of a peer; 0 if unknown."""
         return self._incarnations.get(peer, 0)
 
     def bulk_backlog_bytes(self, peer: str) -> int:
-        """Return how much bulk waits to be sent to a peer."""
+        """Return the size of the bulk frames queued for a peer."""
         connection = self._connection_to(peer)
         return connection.bulk_backlog_bytes if connection else 0
 
     def set_desired_peers(self, owner: str, peers: Iterable[PeerAddress]) -> None:
-        """Keep links to these peers, until the same owner wants others."""
-        own_name = self._hello.name
-        self._wanted[owner] = {p.name: p for p in peers if p.name != own_name}
-        wanted: dict[str, PeerAddress] = {}
-        for addresses in self._wanted.values():
-            wanted |= addresses
-        for name, address in wanted.items():
-            peer = self._peer(name)
+        """Keep links to these peers open; replaces the earlier peers of `owner`."""
+        local_name = self._hello.name
+        self._desired_by_owner[owner] = {
+            p.name: p for p in peers if p.name != local_name
+        }
+        desired: dict[str, PeerAddress] = {}
+        for addresses in self._desired_by_owner.values():
+            desired |= addresses
+        for name, address in desired.items():
+            peer = self._get_or_create_peer(name)
             peer.address = address
             peer.monitor.is_desired = True
         for name, peer in self._peers.items():
-            if name not in wanted:
+            if name not in desired:
                 peer.monitor.is_desired = False
 
     def send(
@@ -147,7 +149,7 @@
         """Queue a message; a failure means that nothing was sent."""
         connection = self._connection_to(peer)
         if connection is None:
-            return Failure(Reason.UNAVAILABLE, Step.LINK, peer, "no link")
+            return Failure(Reason.UNAVAILABLE, Step.LINK, peer, "no open link")
         batch = self._registry.batch_for(type(message))
         if batch is not None and priority is Priority.LIVE:
             failure = connection.send_in_batch(message, batch.measure(message))
@@ -163,12 +165,12 @@
         return None
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
-        """Listen, dial and watch until cancelled; started once it listens."""
+        """Listen, dial and monitor links until cancelled; started once it listens."""
         listener = await anyio.create_tcp_listener(
             local_host=self._hello.host, local_port=self._hello.port, backlog=1024
         )
-        self._timers.on_pause(self._note_pause)
-        ticks = self._timers.call_every(TICK_S, self._tick)
+        self._timers.on_pause(self._handle_pause)
+        ticks = self._timers.call_every(MONITOR_INTERVAL_S, self._tick)
         try:
             async with anyio.create_task_group() as tasks, listener:
                 self._tasks = tasks
@@ -177,7 +179,7 @@
         finally:
             ticks.cancel()
 
-    def _peer(self, name: str) -> _Peer:
+    def _get_or_create_peer(self, name: str) -> _Peer:
         if name not in self._peers:
             self._peers[name] = _Peer(name, LinkMonitor(self._timings, self._rng))
         return self._peers[name]
@@ -188,32 +190,32 @@
             return None
         return peer.connections.get(peer.monitor.connections[-1])
 
-    def _note_pause(self, gap_s: float) -> None:
+    def _handle_pause(self, gap_s: float) -> None:
         for peer in self._peers.values():
             peer.monitor.handle_pause(gap_s)
 
     def _tick(self) -> None:
         now_s = self._timers.now_s()
         for peer in list(self._peers.values()):
-            self._carry_out(peer, peer.monitor.tick(now_s))
+            self._execute(peer, peer.monitor.tick(now_s))
             monitor = peer.monitor
             if not (peer.connections or monitor.is_desired or monitor.is_up):
                 del self._peers[peer.name]
 
-    def _carry_out(self, peer: _Peer, actions: list[LinkAction]) -> None:
+    def _execute(self, peer: _Peer, actions: list[LinkAction]) -> None:
         for action in actions:
             if isinstance(action, Notify):
                 self._notify(peer, action)
             elif isinstance(action, Dial):
-                self._start(self._dial, peer)
+                self._start_task(self._dial, peer)
             elif isinstance(action, CloseConnection):
                 connection = peer.connections.get(action.connection)
                 if connection is not None:
-                    self._start(connection.close)
+                    self._start_task(connection.close)
             else:
                 self.send(peer.name, Heartbeat(next(self._nonces)))
 
-    def _start(self, function: Callable[..., Any], *args: Any) -> None:
+    def _start_task(self, function: Callable[..., Any], *args: Any) -> None:
         if self._tasks is not None:
             self._tasks.start_soon(function, *args)
 
@@ -232,7 +234,7 @@
             listener(event)
 
     async def _accept(self, stream: ByteStream) -> None:
-        await self._serve(stream, expected=None)
+        await self._run_connection(stream, expected=None)
 
     async def _dial(self, peer: _Peer) -> None:
         address = peer.address
@@ -246,13 +248,13 @@
         except OSError:
             reason = Reason.UNAVAILABLE
         else:
-            if await self._serve(stream, expected=peer.name):
+            if await self._run_connection(stream, expected=peer.name):
                 return
         actions = peer.monitor.handle_dial_failure(reason, self._timers.now_s())
-        self._carry_out(peer, actions)
+        self._execute(peer, actions)
 
-    async def _serve(self, stream: ByteStream, expected: str | None) -> bool:
-        """Run a connection to its end; tell whether the peer said hello."""
+    async def _run_connection(self, stream: ByteStream, expected: str | None) -> bool:
+        """Run a connection until it ends; return whether the peer sent its hello."""
         connection = FrameConnection(stream, self._encode_batch)
         session = _Session(self, connection, expected)
         try:
@@ -264,7 +266,7 @@
                 tasks.cancel_scope.cancel()
         finally:
             await session.connection.close()
-            self._note_closed(session)
+            self._handle_closed(session)
         return session.peer is not None
 
     def _encode(self, message: Any) -> bytes:
@@ -279,13 +281,13 @@
         self.traffic.sent_bytes += len(frame)
         return frame
 
-    def _greet(self, session: "_Session", sender: Sender, hello: Hello) -> bool:
-        """Take in a peer's hello; False if the connection must go."""
+    def _handle_hello(self, session: "_Session", sender: Sender, hello: Hello) -> bool:
+        """Handle a peer's hello; return False if the connection must be closed."""
         if session.expected is not None and hello.name != session.expected:
             return False
-        peer = self._peer(hello.name)
+        peer = self._get_or_create_peer(hello.name)
         if sender.incarnation < self.incarnation_of(hello.name):
-            # A predecessor that was paused speaks up; its successor is known.
+            # The peer was paused and then replaced; its successor is already known.
             return False
         if sender.incarnation > peer.incarnation:
             self._replace_incarnation(peer, sender.incarnation)
@@ -298,7 +300,7 @@
         if session.expected is not None:
             peer.monitor.is_dialling = False
         now_s = self._timers.now_s()
-        self._carry_out(peer, peer.monitor.handle_opened(session.id, now_s))
+        self._execute(peer, peer.monitor.handle_opened(session.id, now_s))
         return True
 
     def _replace_incarnation(self, peer: _Peer, incarnation: int) -> None:
@@ -306,20 +308,20 @@
         if old.is_up:
             self._notify(peer, Notify(LinkChange.DOWN, Reason.UNAVAILABLE))
         for connection in peer.connections.values():
-            self._start(connection.close)
+            self._start_task(connection.close)
         peer.connections.clear()
         peer.monitor = LinkMonitor(self._timings, self._rng, is_desired=old.is_desired)
         peer.monitor.is_dialling = old.is_dialling
         peer.incarnation = incarnation
 
-    def _note_closed(self, session: "_Session") -> None:
+    def _handle_closed(self, session: "_Session") -> None:
         peer = session.peer
         if peer is None or peer.connections.pop(session.id, None) is None:
             return
         now_s = self._timers.now_s()
-        self._carry_out(peer, peer.monitor.handle_closed(session.id, now_s))
+        self._execute(peer, peer.monitor.handle_closed(session.id, now_s))
 
-    def _receive(self, session: "_Session", frame: bytes) -> bool:
+    def _handle_frame(self, session: "_Session", frame: bytes) -> bool:
         self.traffic.received_bytes += len(frame)
         envelope = decode_frame(self._registry, frame)
         if isinstance(envelope, Failure):
@@ -327,7 +329,7 @@
             return envelope.reason is not Reason.CORRUPT
         first = envelope.messages[0]
         if isinstance(first, Hello):
-            return self._greet(session, envelope.sender, first)
+            return self._handle_hello(session, envelope.sender, first)
         if session.peer is None:
             return False
         self._dispatch(session.peer, envelope)
@@ -349,25 +351,25 @@
 
 
 class _Session:
-    """One connection's passage from accept or dial to its end."""
+    """The state of one connection from accept or dial until it ends."""
 
     def __init__(
         self, network: TcpNetwork, connection: FrameConnection, expected: str | None
     ) -> None:
-        self.id = next(network._ids)
+        self.id = next(network._connection_ids)
         self.connection = connection
         self.expected = expected
         self.peer: _Peer | None = None
         self._network = network
 
     def handle(self, frame: bytes) -> bool:
-        """Take in a frame; False ends the connection."""
-        return self._network._receive(self, frame)
+        """Handle a frame; return False to end the connection."""
+        return self._network._handle_frame(self, frame)
 
     async def close_without_hello(self) -> None:
-        """End the connection if the peer does not say hello in time.
+        """Close the connection if the peer does not send its hello in time.
 
-        A frozen process still accepts connections: its kernel does.
+        The kernel still accepts connections for a frozen process.
         """
         await anyio.sleep(self._network._settings.dial_timeout_s)
         if self.peer is None:
@@ -382,7 +384,7 @@
     describe_sender: Callable[[], Sender],
     rng: random.Random | None = None,
 ) -> TcpNetwork:
-    """Make the network of a daemon that introduces itself by `hello`."""
+    """Create the network of a daemon that introduces itself with `hello`."""
     return TcpNetwork(
         hello, registry, timers, settings, describe_sender, rng or random.Random()
     )
--- a/reedspar/links/tests/test_connection.py
+++ b/reedspar/links/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of when a connection writes what is queued."""
+"""Tests of when a connection writes its queued frames."""
 
 import unittest
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 class RecordingStream:
-    """A stream that keeps what is written, write by write."""
+    """A stream that records the frames of each write."""
 
     def __init__(self) -> None:
         self.writes: list[list[bytes]] = []
@@ -29,10 +29,10 @@
 
 
 class WriteTest(unittest.TestCase):
-    def test_tokens_wait_for_others_but_nothing_else_waits_for_them(self) -> None:
-        # Tokens of many answers come faster than they are worth a write each.
-        # An answer's end behind them must not wait, nor go out before them; the
-        # first token after a quiet moment must not wait either.
+    def test_only_writes_of_a_lone_batch_are_delayed(self) -> None:
+        # Tokens of many answers arrive too fast for a write each, so they are delayed
+        # and batched.  The end of an answer must neither be delayed behind them nor
+        # overtake them, and the first token after an idle time must not be delayed.
         stream = RecordingStream()
 
         async def main() -> None:
@@ -53,11 +53,12 @@
                 self.assertEqual(stream.writes[1:], [[b"b+c", b"end", b"d"]])
                 tasks.cancel_scope.cancel()
 
-        with patch("reedspar.links.connection.LINGER_S", 3600.0):
+        with patch("reedspar.links.connection.BATCH_WRITE_INTERVAL_S", 3600.0):
             anyio.run(main)
 
-    def test_tokens_that_wait_go_out_after_a_moment(self) -> None:
-        # No other frame comes.  The caller would wait for its token for good.
+    def test_delayed_tokens_are_written_without_further_frames(self) -> None:
+        # If only another frame could end the delay, a caller might never receive its
+        # last token.
         stream = RecordingStream()
 
         async def main() -> None:
--- a/reedspar/links/tests/test_monitor.py
+++ b/reedspar/links/tests/test_monitor.py
@@ -1,4 +1,4 @@
-"""Tests of the decision when a link is silent, replaced or down."""
+"""Tests of the detection of silent, replaced and failed links."""
 
 import random
 import unittest
@@ -35,9 +35,9 @@
 
 
 class LinkMonitorTest(unittest.TestCase):
-    def test_silent_connection_is_replaced_before_the_peer_is_judged(self) -> None:
-        # A middlebox forgets the connection: nothing comes any more, though
-        # the peer is well.  A caller must not see its target reported as gone.
+    def test_silent_connection_is_replaced_before_the_peer_is_down(self) -> None:
+        # A middlebox loses the state of a connection: no frame arrives any more,
+        # although the peer works.  It must not be reported as down.
         monitor = create_monitor()
         self.assertEqual(monitor.handle_opened(1, 0.0), [Notify(LinkChange.UP)])
         monitor.record_traffic(0.0)
@@ -48,10 +48,10 @@
         self.assertEqual(replaced, [Notify(LinkChange.REPLACED)])
         self.assertEqual(monitor.connections[-1], 2)
 
-    def test_idle_link_is_not_silent_the_moment_traffic_starts(self) -> None:
-        # A link was idle, with a beat every two seconds.  Work starts just before
-        # the next beat.  Taken for silent, it was dialled again by both ends, and
-        # the first requests for a new version were lost for three seconds.
+    def test_idle_link_is_not_silent_when_traffic_starts(self) -> None:
+        # An idle link has a heartbeat every two seconds, and traffic starts just before
+        # the next one.  If the link counted as silent then, both ends would dial again,
+        # and the first requests for a new version would be lost for three seconds.
         monitor = create_monitor()
         monitor.handle_opened(1, 0.0)
         monitor.record_received(8.0)
@@ -59,8 +59,8 @@
         self.assertNotIn(Dial(), run(monitor, 9.8, 11.2))
         self.assertIn(Dial(), run(monitor, 11.3, 11.7))
 
-    def test_frozen_peer_goes_down_only_after_the_second_dial_failed(self) -> None:
-        # The peer is stopped: its kernel accepts, but no hello comes.
+    def test_frozen_peer_is_down_only_after_the_second_dial_failed(self) -> None:
+        # The peer is stopped: its kernel accepts the connection, but sends no hello.
         monitor = create_monitor()
         monitor.handle_opened(1, 0.0)
         monitor.record_traffic(0.0)
@@ -70,8 +70,8 @@
         self.assertIn(Notify(LinkChange.DOWN, Reason.TIMEOUT), actions)
         self.assertIn(CloseConnection(1), actions)
 
-    def test_refused_dial_is_proof_at_once(self) -> None:
-        # The process was killed: its host refuses the dial.
+    def test_refused_dial_marks_the_peer_as_down_at_once(self) -> None:
+        # The process was killed, so its host refuses the connection.
         monitor = create_monitor()
         monitor.handle_opened(1, 0.0)
         monitor.handle_closed(1, 0.5)
@@ -79,9 +79,9 @@
         down = monitor.handle_dial_failure(Reason.UNAVAILABLE, 0.6)
         self.assertEqual(down, [Notify(LinkChange.DOWN, Reason.UNAVAILABLE)])
 
-    def test_own_pause_condemns_nobody(self) -> None:
+    def test_pause_of_this_process_marks_no_peer_as_down(self) -> None:
         # This process is stopped for ten seconds and continued.  Without the
-        # correction it would find every peer silent, and drop all its links.
+        # correction, every peer would seem silent, and all links would be dropped.
         monitor = create_monitor()
         monitor.handle_opened(1, 0.0)
         monitor.record_traffic(0.0)
@@ -89,9 +89,9 @@
         actions = monitor.tick(10.1)
         self.assertEqual(actions, [SendHeartbeat()])
 
-    def test_unwanted_silent_link_is_closed_for_the_dialling_end(self) -> None:
-        # The path from the dialling end to here is lost, the way back is not.
-        # The close tells the other end, which hears this one well, to dial.
+    def test_silent_link_is_closed_by_the_end_that_does_not_dial(self) -> None:
+        # The path from the dialling end to this one fails, but the way back works.
+        # The dialling end receives every heartbeat, and dials only after the close.
         monitor = create_monitor(is_desired=False)
         monitor.handle_opened(1, 0.0)
         monitor.record_traffic(0.0)
@@ -101,7 +101,9 @@
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 4), st.floats(0.0, 3.0)), max_size=40))
-    def test_notices_alternate(self, steps: list[tuple[int, float]]) -> None:
+    def test_up_and_down_notifications_alternate(
+        self, steps: list[tuple[int, float]]
+    ) -> None:
         history = LinkHistory(self)
         for kind, gap_s in steps:
             history.take_step(kind, gap_s)
@@ -114,7 +116,7 @@
 
 
 class LinkHistory:
-    """A random history of one link, with the dials that it asks for."""
+    """A random history of one link, including the dials that it requests."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case = case
@@ -126,27 +128,29 @@
 
     def take_step(self, kind: int, gap_s: float) -> None:
         self.now_s += gap_s
-        self.take(self.monitor.tick(self.now_s))
+        self.apply_actions(self.monitor.tick(self.now_s))
         if kind == 0 and self.is_dialling:
             self.is_dialling = self.monitor.is_dialling = False
             self.last_connection += 1
-            self.take(self.monitor.handle_opened(self.last_connection, self.now_s))
+            self.apply_actions(
+                self.monitor.handle_opened(self.last_connection, self.now_s)
+            )
         elif kind in (1, 2) and self.is_dialling:
             self.is_dialling = False
             reason = Reason.TIMEOUT if kind == 1 else Reason.UNAVAILABLE
-            self.take(self.monitor.handle_dial_failure(reason, self.now_s))
+            self.apply_actions(self.monitor.handle_dial_failure(reason, self.now_s))
         elif kind == 3 and self.monitor.connections:
             oldest = self.monitor.connections[0]
-            self.take(self.monitor.handle_closed(oldest, self.now_s))
+            self.apply_actions(self.monitor.handle_closed(oldest, self.now_s))
         elif kind == 4:
             self.monitor.record_received(self.now_s)
 
-    def take(self, actions: list) -> None:
+    def apply_actions(self, actions: list) -> None:
         for action in actions:
             if isinstance(action, Notify):
                 self.notices.append(action.change)
             elif isinstance(action, Dial):
-                self.case.assertFalse(self.is_dialling, "one dial at a time")
+                self.case.assertFalse(self.is_dialling, "two dials at a time")
                 self.is_dialling = True
 
 
--- a/reedspar/links/tests/test_on_demand.py
+++ b/reedspar/links/tests/test_on_demand.py
@@ -1,4 +1,4 @@
-"""Tests of links that are dialled when something is to be sent."""
+"""Tests of links that are dialled when a message is to be sent."""
 
 import unittest
 
@@ -58,21 +58,21 @@
         self.clock.advance(by_s)
         self.timers.run_due()
 
-    def test_message_waits_for_the_link_that_it_dials(self) -> None:
+    def test_message_is_queued_until_its_link_is_open(self) -> None:
         self.assertIsNone(self.network.send("a", "m1"))
         self.assertEqual(self.inner.wanted, {"a"})
         self.inner.open_link("a")
         self.assertEqual(self.inner.sent, [("a", "m1")])
 
-    def test_late_link_gets_no_old_messages(self) -> None:
-        # The peer is frozen for a while.  What was asked of it then has been
-        # asked of others since; sent now, it would only be answered twice.
+    def test_expired_messages_are_not_sent_on_a_late_link(self) -> None:
+        # The peer is frozen for a while.  The request was sent to other peers in the
+        # meantime, so sending it late would only produce a second answer.
         self.network.send("a", "m1")
         self.advance(3.0)
         self.inner.open_link("a")
         self.assertEqual(self.inner.sent, [])
 
-    def test_links_and_held_messages_are_bounded(self) -> None:
+    def test_links_and_queued_messages_are_bounded(self) -> None:
         for message in ("m1", "m2", "m3"):
             self.network.send("a", message)
         self.network.send("b", "m")
@@ -83,9 +83,9 @@
         self.advance(31.0)
         self.assertEqual(self.inner.wanted, set())
 
-    def test_peer_that_was_replaced_elsewhere_is_dialled_there(self) -> None:
-        # An instance is replaced under its name by one at another address.
-        # Its old address would refuse until the link is forgotten as idle.
+    def test_replaced_peer_is_dialled_at_its_new_address(self) -> None:
+        # An instance is replaced by one with the same name at another address.  The old
+        # address would refuse connections until the link is removed as idle.
         self.network.send("a", "m1")
         self.port = 2
         self.network.send("a", "m2")
--- a/reedspar/links/tests/test_tcp_network.py
+++ b/reedspar/links/tests/test_tcp_network.py
@@ -25,7 +25,7 @@
 from reedspar.timers import create_timer_service
 
 SETTINGS = LinkSettings(heartbeat_s=0.05, silence_s=0.3, dial_timeout_s=0.3)
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def find_port() -> int:
@@ -34,7 +34,7 @@
 
 
 class Node:
-    """A network with its timers, started on its own task group."""
+    """A network and its timers, to be started in a task group."""
 
     def __init__(self, name: str, incarnation: int = 1) -> None:
         self.port = find_port()
@@ -62,7 +62,7 @@
 
 
 async def wait_until(condition) -> None:
-    with anyio.fail_after(PATIENCE_S):
+    with anyio.fail_after(WAIT_TIMEOUT_S):
         while not condition():
             await anyio.sleep(0.01)
 
@@ -96,9 +96,9 @@
         self.run_nodes(scenario, first, second)
 
     def test_messages_that_share_a_frame_keep_their_order(self) -> None:
-        # Tokens of many answers share a frame, while an acknowledgement or an
-        # answer's end goes between them.  Were it to overtake them, the entry
-        # would see a gap in each answer and ask for its rest again.
+        # Tokens of many answers share a frame, with acknowledgements and ends of
+        # answers in between.  If one of these overtook the tokens, the entry would see
+        # a gap in the answers and request the rest again.
         first, second = Node("agent-1"), Node("agent-2")
         got: list[AttemptData | AttemptAck] = []
         sent: list[AttemptData | AttemptAck] = []
@@ -122,7 +122,7 @@
 
         self.run_nodes(scenario, first, second)
 
-    def test_without_link_nothing_is_sent(self) -> None:
+    def test_send_without_link_fails(self) -> None:
         node = Node("agent-1")
 
         async def scenario() -> None:
@@ -133,8 +133,8 @@
         self.run_nodes(scenario, node)
 
     def test_lost_connection_is_replaced(self) -> None:
-        # Something between the two ends resets the connection.  The caller's
-        # attempt goes on over a new one; the peer is not reported as down.
+        # The connection is reset on the path between the two ends.  The caller's
+        # attempt continues on a new one, and the peer is not reported as down.
         first, second = Node("agent-1"), Node("agent-2")
 
         async def scenario() -> None:
@@ -150,7 +150,7 @@
         self.run_nodes(scenario, first, second)
 
     def test_peer_that_never_says_hello_is_not_up(self) -> None:
-        # A frozen process: its kernel accepts the connection, and that is all.
+        # The process is frozen: its kernel accepts connections, but sends no hello.
         node = Node("agent-1")
 
         async def scenario() -> None:
@@ -166,8 +166,8 @@
         self.run_nodes(scenario, node)
 
     def test_older_incarnation_is_refused(self) -> None:
-        # A daemon was paused, replaced under its name, and continued.  Its
-        # late messages must not be taken for its successor's.
+        # A daemon is paused, replaced by one with the same name, and continued.  Its
+        # late messages must not be attributed to its successor.
         node = Node("agent-1")
         newer, older = Node("agent-2", 5), Node("agent-2", 4)
 
@@ -186,7 +186,7 @@
 
 
 class FrameBufferTest(unittest.TestCase):
-    def test_frames_survive_any_cut(self) -> None:
+    def test_frames_are_restored_from_pieces_of_any_size(self) -> None:
         frames = [b"", b"a", b"bc" * 500]
         data = b"".join(len(f).to_bytes(4, "big") + f for f in frames)
         for size in (1, 3, 4, 5, 700, len(data)):
@@ -195,9 +195,9 @@
                 got += buffer.feed(data[i : i + size])
             self.assertEqual(got, frames)
 
-    def test_absurd_length_ends_the_connection(self) -> None:
-        # The two ends have lost step, say by a corrupted length.  Reading on
-        # would wait for gigabytes and misread all that follows.
+    def test_length_above_the_limit_is_corrupt(self) -> None:
+        # The stream is out of sync, for example after a corrupted length.  Reading on
+        # would wait for gigabytes and misread every later frame.
         failure = FrameBuffer().feed((FRAME_SIZE_MAX_BYTES + 1).to_bytes(4, "big"))
         self.assertIs(failure.reason, Reason.CORRUPT)
 
