--- a/reedspar/daemon/__init__.py
+++ b/reedspar/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: build an entry or an agent out of its parts, run it, stop it."""
+"""The daemon: builds an entry or an agent from its components, and runs it."""
 
 from typing import TYPE_CHECKING
 
--- a/reedspar/daemon/agent.py
+++ b/reedspar/daemon/agent.py
@@ -1,4 +1,4 @@
-"""The agent role: stand before one target, with its weights if it is an engine."""
+"""The agent role: controls one target, and its weights if it is a model engine."""
 
 from typing import Any
 
@@ -34,31 +34,34 @@
 )
 
 from .node import Node
-from .offers import PlainOffers, WeightOffers
+from .offers import ModelEngineOffers, PlainServiceOffers
 from .views import WeightConfiguration, WeightPeers
 
 __all__ = ["AgentRole", "create_agent_role"]
 
 
-class _LateGate:
-    """The switch gate of a controller that is built after the weights."""
+class _DeferredSwitchGate:
+    """A switch gate whose target controller is set later.
+
+    The weight controller needs the gate before the target controller can be built.
+    """
 
     def __init__(self) -> None:
         self.controller: TargetController | None = None
 
     async def begin_switch(self, model: str) -> None:
-        """Admit no more, and return once none in flight uses the model."""
+        """Stop admitting requests; return when none in flight uses the model."""
         if self.controller is not None:
             await self.controller.begin_switch(model)
 
     def end_switch(self, model: str) -> None:
-        """Admit again whatever is offered."""
+        """Resume admitting requests for the offered models."""
         if self.controller is not None:
             self.controller.end_switch(model)
 
 
 class AgentRole:
-    """An agent's part of the node."""
+    """The components of an agent on its node."""
 
     def __init__(
         self,
@@ -85,14 +88,14 @@
         return self._application
 
     def start(self) -> None:
-        """Start on the weights, if the target needs any."""
+        """Start the weight controller, if the target needs weights."""
         if self._weights is None:
             return
         self._weights.on_offer_change(self._controller.note_offers_changed)
         self._weights.start()
 
     def describe(self) -> AgentStatus:
-        """Return the role's part of the status."""
+        """Return the agent's part of the daemon status."""
         target = self._node.settings.target
         offered = self._weights.offered() if self._weights else ()
         return AgentStatus(
@@ -106,24 +109,24 @@
         )
 
     async def drain(self) -> None:
-        """Leave: refuse new work, finish what runs, hand over every answer."""
+        """Refuse new work, finish running requests, and deliver every answer."""
         self._node.membership.announce_leaving()
         await self._controller.drain(self._node.settings.requests.drain_timeout_s)
 
     async def close(self) -> None:
-        """Let go of target and origin."""
+        """Close the clients of the target and the origin."""
         await self._target.aclose()
         await self._origin.aclose()
 
 
 def create_agent_role(node: Node, admin_routes: list[BaseRoute]) -> AgentRole:
-    """Build the agent role on the node."""
+    """Create the agent role on the node."""
     settings = node.settings
     assert settings.target is not None
-    gate = _LateGate()
+    gate = _DeferredSwitchGate()
     origin = create_http_weight_source(settings.platform.origin_url)
     weights: WeightController | None = None
-    offers: OfferSource = PlainOffers()
+    offers: OfferSource = PlainServiceOffers()
     ledger = TransferLedger()
     client: HttpPlainService
     target: Target
@@ -131,7 +134,7 @@
         client = engine = create_http_model_engine(settings.target.url)
         target = ObservedEngine(engine, node.metrics, node.recorder, ledger)
         weights = _create_weights(node, target, origin, gate)
-        offers = WeightOffers(settings.target.pool, weights, node.configuration)
+        offers = ModelEngineOffers(settings.target.pool, weights, node.configuration)
     else:
         client = create_http_plain_service(settings.target.url)
         target = ObservedTarget(client, node.recorder)
@@ -151,7 +154,7 @@
 
 
 def _create_weights(
-    node: Node, engine: ModelEngine, origin: WeightSource, gate: _LateGate
+    node: Node, engine: ModelEngine, origin: WeightSource, gate: _DeferredSwitchGate
 ) -> WeightController:
     settings = node.settings
 
--- a/reedspar/daemon/entry.py
+++ b/reedspar/daemon/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: answer callers, and leave without cutting one off."""
+"""The entry role: serves callers, and finishes their requests before it stops."""
 
 import random
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class EntryRole:
-    """An entry daemon's part of the node."""
+    """The components of an entry on its node."""
 
     def __init__(self, node: Node, service: RequestService) -> None:
         self._node = node
@@ -32,23 +32,23 @@
         return self._service.application
 
     def start(self) -> None:
-        """Start the service's own tasks."""
+        """Start the background tasks of the request service."""
         self._node.tasks.start_soon(self._service.run)
 
     def describe(self) -> EntryStatus:
-        """Return the role's part of the status."""
+        """Return the entry's part of the daemon status."""
         return EntryStatus(
             in_flight=self._service.application.in_flight,
             target_count=self._service.directory.usable_count(),
         )
 
     async def drain(self) -> None:
-        """Leave: be named no more, outlast kept addresses, finish, stop."""
+        """Withdraw the address, serve until its cached copies expire, and finish."""
         self._node.membership.announce_leaving()
         await self._service.drain()
 
     def _read_faults(self) -> list[tuple[float, dict[str, str]]]:
-        """Return what the attempt client met, for the metrics."""
+        """Return the counts of the attempt client's faults, for the metrics."""
         counts = asdict(self._service.client.counts)
         return [(count, {"fault": name}) for name, count in counts.items()]
 
@@ -58,7 +58,7 @@
     admin_routes: list[BaseRoute],
     unix_time: Callable[[], float],
 ) -> EntryRole:
-    """Build the entry role on the node."""
+    """Create the entry role on the node."""
     settings = node.settings
     configuration = RequestConfiguration(node.configuration, settings.zone)
     observer = RequestObserver(
--- a/reedspar/daemon/incarnation.py
+++ b/reedspar/daemon/incarnation.py
@@ -1,4 +1,4 @@
-"""Number a daemon's start, so that it is told from its predecessor."""
+"""Incarnation numbers, which distinguish successive daemons of the same name."""
 
 import time
 
@@ -8,11 +8,12 @@
 
 
 def choose_incarnation() -> int:
-    """Return a number above that of any earlier start of the same name.
+    """Return a number greater than that of any earlier start of the same daemon.
 
-    It is the wall clock in milliseconds.  An instance has no disk, and a write
-    to the key-value service would keep a daemon from starting while that is
-    down.  A replacement whose clock is behind its predecessor's is refused by
-    the peers until it has caught up, which delays it but misleads nobody.
+    The number is the wall clock time in milliseconds.  It can't be stored, as an
+    instance has no disk, and a daemon that had to write to the key-value service could
+    not start while that is down.  If the clock of a replacement is behind that of its
+    predecessor, peers refuse the replacement until its clock has caught up.  This
+    delays its start, but no peer mistakes one for the other.
     """
     return int(time.time() * MILLISECONDS_PER_S)
--- a/reedspar/daemon/load_news.py
+++ b/reedspar/daemon/load_news.py
@@ -1,4 +1,4 @@
-"""Telling the entries of the load of the target beside this agent."""
+"""Reports of the load of this agent's target to the entries."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,15 @@
 from reedspar.links import Network, Role
 from reedspar.platform import EngineState
 
-__all__ = ["LoadNews"]
+__all__ = ["LoadReporter"]
 
-REPEAT_S = 1.0
-"""Between two reports of an unchanged load, so that entries don't take it for gone."""
+UNCHANGED_REPORT_INTERVAL_S = 1.0
+"""Interval of reports of an unchanged load; without them, entries would consider the
+target gone."""
 
 
-class LoadNews:
-    """Sends a report to each entry when the load has changed."""
+class LoadReporter:
+    """Sends a report to every entry when the load has changed, and periodically."""
 
     def __init__(
         self,
@@ -30,15 +31,15 @@
         self._network = network
         self._now_s = now_s
         self._is_taking = is_taking
-        self._last: TargetLoadNews | None = None
-        self._sent_s = float("-inf")
+        self._last_report: TargetLoadNews | None = None
+        self._last_sent_s = float("-inf")
 
-    def note_state(self, state: EngineState) -> None:
-        """Take the engine's own report."""
+    def report_state(self, state: EngineState) -> None:
+        """Report the engine's state if it has changed or a report is due."""
         target = self._view.find_target(self._host, self._port)
         if target is None:
             return
-        news = TargetLoadNews(
+        report = TargetLoadNews(
             self._host,
             self._port,
             state.in_flight,
@@ -47,10 +48,10 @@
             self._is_taking() and state.is_taking,
             state.pace,
         )
-        is_due = self._now_s() - self._sent_s >= REPEAT_S
-        if news == self._last and not is_due:
+        is_due = self._now_s() - self._last_sent_s >= UNCHANGED_REPORT_INTERVAL_S
+        if report == self._last_report and not is_due:
             return
-        self._last = news
-        self._sent_s = self._now_s()
+        self._last_report = report
+        self._last_sent_s = self._now_s()
         for entry in self._view.daemons(Role.ENTRY.value):
-            self._network.send(entry.name, news)
+            self._network.send(entry.name, report)
--- a/reedspar/daemon/main.py
+++ b/reedspar/daemon/main.py
@@ -1,4 +1,4 @@
-"""The command `reedspard`: run one daemon from its settings file."""
+"""The command `reedspard`, which runs one daemon with a settings file."""
 
 import logging
 import sys
@@ -35,7 +35,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run the command; exit with 2 on bad settings, 1 if e.g. a port is taken."""
+    """Run the command; exit with 2 on invalid settings, 1 e.g. if a port is in use."""
     command = cappa.parse(Reedspard, argv=argv)
     try:
         settings = load_settings(command.settings)
@@ -50,7 +50,7 @@
         anyio.run(run_daemon, settings)
     except* OSError as group:
         for cause in group.exceptions:
-            LOGGER.critical("the daemon can not go on: %s", cause)
+            LOGGER.critical("daemon failed: %s", cause)
         sys.exit(EXIT_FAILED)
 
 
--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -1,4 +1,4 @@
-"""What both roles of the daemon are built on."""
+"""The node: the components of a daemon that both roles share."""
 
 import time
 from collections.abc import Callable
@@ -43,13 +43,13 @@
 
 __all__ = ["Node", "create_node"]
 
-WANT_INTERVAL_S = 0.5
-FRESHNESS_INTERVAL_S = 0.25
+LINK_UPDATE_INTERVAL_S = 0.5
+FRESHNESS_CHECK_INTERVAL_S = 0.25
 
 
 @dataclass
 class Node:
-    """The shared parts of one daemon."""
+    """The components of one daemon that don't depend on its role."""
 
     settings: DaemonSettings
     incarnation: int
@@ -70,27 +70,27 @@
     describe_role: Callable[[], AgentStatus | EntryStatus | None] = lambda: None
 
     async def start(self) -> None:
-        """Listen for peers, and begin to learn members and configuration."""
+        """Listen for peers, and start membership and configuration."""
         self.tasks.start_soon(self.timers.run)
         await self.tasks.start(self.transport.run)
-        self.network.on_link_event(self._note_link)
+        self.network.on_link_event(self._handle_link_event)
         self.network.on_sender(self.membership.note_sender)
         self.network.on_sender(self.configuration.handle_sender)
-        self.timers.on_pause(self._note_pause)
-        self.timers.call_every(WANT_INTERVAL_S, self._want_links)
+        self.timers.on_pause(self._handle_pause)
+        self.timers.call_every(LINK_UPDATE_INTERVAL_S, self._update_desired_peers)
         self.configuration.on_change(self.history.add)
-        self._observe()
+        self._connect_observers()
         self.membership.start()
         self.configuration.start()
         self.recorder.record(EventKind.DAEMON_STARTED)
 
     async def close(self) -> None:
-        """Let go of the platform's services."""
+        """Close the clients of the platform's services."""
         self.recorder.record(EventKind.DAEMON_STOPPED)
         await self.key_value_client.aclose()
         await self.instance_list.aclose()
 
-    def _note_link(self, event: LinkEvent) -> None:
+    def _handle_link_event(self, event: LinkEvent) -> None:
         if event.change is LinkChange.DOWN:
             self.membership.note_link_down(event.peer)
         if event.reason is Reason.UNAVAILABLE:
@@ -99,14 +99,14 @@
             return
         self.membership.note_link_up(event.peer, event.incarnation)
 
-    def _observe(self) -> None:
-        """Turn what the node learns into events and metrics."""
+    def _connect_observers(self) -> None:
+        """Connect the node's components to events and metrics."""
         zone = self.settings.zone
         documents = ConfigurationObserver(
             self.recorder, lambda: self.configuration.check_work_allowed(zone)
         )
         self.configuration.on_change(documents.note_document)
-        self.timers.call_every(FRESHNESS_INTERVAL_S, documents.check_freshness)
+        self.timers.call_every(FRESHNESS_CHECK_INTERVAL_S, documents.check_freshness)
         members = MemberObserver(self.recorder, self.membership.members)
         self.membership.on_change(members.note_change)
         AttemptObserver(self.network, self.metrics, self.recorder)
@@ -121,20 +121,20 @@
         self.metrics.config_version.observe(lambda: self.configuration.version)
         self.metrics.freshness_age.observe(lambda: self.configuration.age_s)
 
-    def _note_pause(self, gap_s: float) -> None:
+    def _handle_pause(self, gap_s: float) -> None:
         self.metrics.pauses.add(1)
         self.recorder.record(EventKind.DAEMON_PAUSED, detail=f"{gap_s:.1f} s")
 
-    def _want_links(self) -> None:
-        wanted = self.membership.desired_links()
+    def _update_desired_peers(self) -> None:
+        desired = self.membership.desired_links()
         self.network.set_desired_peers(
             "membership",
-            [PeerAddress(record.name, record.host, record.port) for record in wanted],
+            [PeerAddress(record.name, record.host, record.port) for record in desired],
         )
 
 
 def create_registry() -> MessageRegistry:
-    """Return a registry of every message type between daemons."""
+    """Return a registry of all message types between daemons."""
     registry = MessageRegistry()
     for package in (
         links,
@@ -149,7 +149,7 @@
 
 
 def create_node(settings: DaemonSettings, incarnation: int, tasks: TaskGroup) -> Node:
-    """Build the shared parts; nothing runs before `Node.start`."""
+    """Create the node; nothing runs before `Node.start`."""
     timers = create_timer_service()
     recorder = create_event_recorder(settings.name, incarnation)
     metrics = create_metrics(settings.name, settings.zone, settings.role.value)
--- a/reedspar/daemon/offers.py
+++ b/reedspar/daemon/offers.py
@@ -1,30 +1,30 @@
-"""What the target's controller learns of weights, for each kind of target."""
+"""Offer sources: the confirmed weights of each kind of target."""
 
 from reedspar.attempts import LoadedWeights
 from reedspar.configuration import ConfigurationController
 from reedspar.platform import EngineState
 from reedspar.weights import WeightController
 
-__all__ = ["PlainOffers", "WeightOffers"]
+__all__ = ["ModelEngineOffers", "PlainServiceOffers"]
 
 
-class PlainOffers:
-    """A plain service needs no weights."""
+class PlainServiceOffers:
+    """The offer source of a plain service, which needs no weights."""
 
     def offered(self) -> tuple[LoadedWeights, ...]:
-        """Return none."""
+        """Return no weights."""
         return ()
 
     def is_offering(self) -> bool:
-        """Tell that nothing is lacking."""
+        """Return True, as no weights are needed."""
         return True
 
     def note_engine_state(self, state: EngineState | None) -> None:
-        """Take in the target's report; it says nothing of weights."""
+        """Ignore the target's state, which contains no weights."""
 
 
-class WeightOffers:
-    """A model engine is offered once every model of its pool is confirmed."""
+class ModelEngineOffers:
+    """The offer source of a model engine, which needs every model of its pool."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         return self._weights.offered()
 
     def is_offering(self) -> bool:
-        """Tell whether all that the pool needs is confirmed."""
+        """Return whether the weights of every model of the pool are confirmed."""
         document = self._configuration.current()
         pool = document.pools.get(self._pool) if document else None
         if pool is None:
@@ -50,7 +50,7 @@
         return bool(pool.models) and offered.issuperset(pool.models)
 
     def note_engine_state(self, state: EngineState | None) -> None:
-        """Take in the target's report, or None if it can't be reached."""
+        """Record the engine's state, or None if the engine is unreachable."""
         if state is None:
             self._weights.record_engine_lost()
         else:
--- a/reedspar/daemon/run.py
+++ b/reedspar/daemon/run.py
@@ -1,4 +1,4 @@
-"""Run a daemon from its settings until it is told to stop."""
+"""Run a daemon until it receives a signal to stop."""
 
 import logging
 import signal
@@ -51,10 +51,10 @@
 
 
 async def _wait_for_signal(stop: anyio.Event, *, task_status: TaskStatus) -> None:
-    """Set `stop` at the first signal, and take further ones without effect.
+    """Set `stop` at the first signal, and ignore further ones.
 
-    Supervisors ask more than once.  Left to its default, the second signal
-    would end the process in mid-drain and cut its callers off.
+    Supervisors may send several signals.  The default action of the second one would
+    end the process while it drains, and break off the answers to its callers.
     """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
@@ -64,7 +64,7 @@
 
 
 async def run_daemon(settings: DaemonSettings) -> None:
-    """Run until SIGTERM or SIGINT, then leave gracefully."""
+    """Run until SIGTERM or SIGINT, then drain and stop."""
     stop = anyio.Event()
     stop_serving = anyio.Event()
     served = anyio.Event()
--- a/reedspar/daemon/serving.py
+++ b/reedspar/daemon/serving.py
@@ -1,4 +1,4 @@
-"""Serve ASGI applications by hypercorn until told to stop."""
+"""Serving of ASGI applications with hypercorn."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -14,19 +14,19 @@
 
 BACKLOG = 2048
 KEEP_ALIVE_S = 75.0
-GRACE_S = 2.0
-"""For the last bytes of answers; the drain before it has waited for the rest."""
+SHUTDOWN_TIMEOUT_S = 2.0
+"""Time for the last bytes of answers; the drain has already waited for the others."""
 
 
 class PortDispatcher:
-    """One application for several ports, each with an application of its own."""
+    """An ASGI application that serves each port with a different application."""
 
     def __init__(self, by_port: Mapping[int, ASGIApp]) -> None:
         self._by_port = dict(by_port)
         self._lifespan = Starlette()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Hand the connection to the application of the port it came to."""
+        """Pass the connection to the application of its port."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
             return
@@ -40,7 +40,7 @@
     ports: int | Sequence[int],
     stop: anyio.Event,
     keep_alive_s: float = KEEP_ALIVE_S,
-    grace_s: float = GRACE_S,
+    grace_s: float = SHUTDOWN_TIMEOUT_S,
 ) -> None:
     """Serve on `host` and one or more ports until `stop` is set."""
     config = Config()
@@ -52,7 +52,7 @@
     config.include_server_header = False
     config.accesslog = None
     config.errorlog = logging.getLogger("hypercorn.error")
-    # A caller's connection is not closed for its size of use: the entry is
-    # chosen anew by the caller when its addresses expire.
+    # Connections need not be closed after a number of requests for load balancing:
+    # callers choose an entry anew whenever their addresses expire.
     config.keep_alive_max_requests = 1_000_000
     await serve(application, config, shutdown_trigger=stop.wait, mode="asgi")
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -1,4 +1,4 @@
-"""A target agent on a site: weights and orders; requests go past it."""
+"""A target agent on a site: distributes and loads weights, but handles no requests."""
 
 import logging
 import random
@@ -24,58 +24,58 @@
     create_weight_controller,
 )
 
-from .load_news import LoadNews
+from .load_news import LoadReporter
 from .serving import PortDispatcher, serve_http
 from .site_parts import SiteBase, StoreAccess, create_site_base
 from .site_weights import (
     SitePeers,
+    add_origin_region,
     create_origin_with_exchange,
-    find_origin_region,
-    list_named,
-    wait_routes,
+    list_named_models,
+    wait_for_routes,
 )
 
 __all__ = ["AgentAdapters", "SiteAgent", "create_site_agent"]
 
-POLL_S = 0.2
-"""Between two reads of the engine's state; on its own machine they cost nothing but
-two milliseconds of the processor.  Entries hear of the load as often."""
-LOST_AFTER = 3
-"""Reads in a row that must fail before the engine counts as gone."""
-LISTEN_GRACE_S = 0.3
-OLDER_MARGIN_S = 0.4
-"""Before the bound, an older version gets nothing new from the entries."""
+ENGINE_POLL_INTERVAL_S = 0.2
+"""Interval of reads of the engine's state, and so of load reports to the entries.  A
+read on the local machine costs two milliseconds of processor time."""
+ENGINE_LOST_FAILURE_COUNT = 3
+"""Consecutive failed reads after which the engine counts as lost."""
+METRICS_SHUTDOWN_TIMEOUT_S = 0.3
+OLDER_VERSION_MARGIN_S = 0.4
+"""Entries send nothing new to an older version from this long before the bound."""
 
 _logger = logging.getLogger(__name__)
 
 
 class SiteEngine(ModelEngine, StagedReader, Protocol):
-    """An engine that also tells what lies staged beside it."""
+    """An engine that can also list its staged weights."""
 
 
 @dataclass(frozen=True, slots=True)
 class AgentAdapters:
-    """What the site's wire brings for an agent."""
+    """Adapters to the site's interfaces that an agent needs."""
 
     create_origin: Callable[[FleetView], VersionedOrigin]
     create_engine: Callable[[VersionCatalog], SiteEngine]
     metrics: ASGIApp
 
 
-class _EngineDrains:
-    """The switch gate of an engine that lets what runs end before it loads."""
+class _EngineDrainGate:
+    """The switch gate of an engine that finishes running requests before it loads."""
 
     async def begin_switch(self, model: str) -> Failure | None:
-        """Do nothing: the engine takes no new work once it is ordered to load."""
+        """Do nothing: the engine accepts no new requests once it is ordered to load."""
         return None
 
     def end_switch(self, model: str) -> None:
-        """Do nothing: the engine takes new work again by itself."""
+        """Do nothing: the engine resumes accepting requests by itself."""
 
 
 @dataclass
 class SiteAgent:
-    """The parts of a running agent."""
+    """The components of a running agent."""
 
     settings: SiteSettings
     base: SiteBase
@@ -88,12 +88,12 @@
     _stop_serving: anyio.Event = field(default_factory=anyio.Event)
 
     async def run(self, stop: anyio.Event, application: ASGIApp) -> None:
-        """Run until `stop` is set."""
+        """Run until `stop` is set, then withdraw the registration."""
         self.tasks.start_soon(self.timers.run)
         await self.tasks.start(self.base.links.transport.run)
         self.tasks.start_soon(self.base.feed.run)
         self.tasks.start_soon(self._serve, application)
-        self.tasks.start_soon(self._start_weights)
+        self.tasks.start_soon(self._run_weights)
         await stop.wait()
         await self.base.registration.withdraw()
         self._stop_serving.set()
@@ -104,21 +104,21 @@
             self.settings.host,
             self.settings.listen.metrics_port,
             self._stop_serving,
-            grace_s=LISTEN_GRACE_S,
+            grace_s=METRICS_SHUTDOWN_TIMEOUT_S,
         )
 
-    async def _start_weights(self) -> None:
+    async def _run_weights(self) -> None:
         self.tasks.start_soon(self._register)
-        await wait_routes(self.base)
-        settings = find_origin_region(self.base.view, self.settings)
+        await wait_for_routes(self.base)
+        settings = add_origin_region(self.base.view, self.settings)
         controller = self.create_weights(settings)
         self._weights = controller
         self.catalog.set_callbacks(
             controller.add_object, controller.left_s, controller.prefetch
         )
         controller.start()
-        self.base.view.on_change(lambda change: self._name_versions())
-        self._name_versions()
+        self.base.view.on_change(lambda change: self._update_named_versions())
+        self._update_named_versions()
         self.tasks.start_soon(self.catalog.run)
         await self._poll_engine(controller)
 
@@ -126,9 +126,9 @@
         await self.base.feed.wait_initialized()
         await self.base.registration.run()
 
-    def _name_versions(self) -> None:
-        """Take the versions that this agent's engine is to serve."""
-        for named in list_named(self.base.view, self.settings.pool):
+    def _update_named_versions(self) -> None:
+        """Update the versions that this agent's engine is to serve."""
+        for named in list_named_models(self.base.view, self.settings.pool):
             self.catalog.set_named_version(named.model, named.version)
             for known in self.base.view.versions_of(named.model):
                 self.catalog.record_naming_time(
@@ -138,7 +138,7 @@
     async def _poll_engine(self, controller: WeightController) -> None:
         address = self.settings.target_address
         assert address is not None
-        news = LoadNews(
+        load_reporter = LoadReporter(
             address.host,
             address.port,
             self.base.view,
@@ -148,21 +148,21 @@
         )
         failures = 0
         while True:
-            # Peers go on telling when a version was named.
-            self._name_versions()
+            # Peers may still report when a version was named.
+            self._update_named_versions()
             state = await self.engine.read_state()
             if isinstance(state, Failure):
                 failures += 1
-                if failures == LOST_AFTER:
+                if failures == ENGINE_LOST_FAILURE_COUNT:
                     _logger.warning("engine lost", extra={"failure": str(state)})
                     controller.record_engine_lost()
             else:
-                if failures >= LOST_AFTER:
+                if failures >= ENGINE_LOST_FAILURE_COUNT:
                     _logger.info("engine regained", extra={"boot": state.boot_id})
                 failures = 0
                 controller.record_engine_state(state)
-                news.note_state(state)
-            await anyio.sleep(POLL_S)
+                load_reporter.report_state(state)
+            await anyio.sleep(ENGINE_POLL_INTERVAL_S)
 
 
 def create_site_agent(
@@ -174,7 +174,7 @@
     tasks: TaskGroup,
     rng: random.Random,
 ) -> tuple[SiteAgent, ASGIApp]:
-    """Build an agent, and the application of its port for metrics."""
+    """Create an agent, and the application for its metrics port."""
     base = create_site_base(settings, incarnation, store_access, timers, rng)
     view = base.view
     network = base.links.on_demand("weights")
@@ -186,23 +186,23 @@
         origin,
         timers,
         rng,
-        settings.bounds.version_ms / 1000 - OLDER_MARGIN_S,
+        settings.bounds.version_ms / 1000 - OLDER_VERSION_MARGIN_S,
         settings.links.machine_bytes_per_s,
     )
     engine = adapters.create_engine(catalog)
 
-    def create_weights(own: SiteSettings) -> WeightController:
+    def create_weights(settings_with_origin: SiteSettings) -> WeightController:
         return create_weight_controller(
-            own,
+            settings_with_origin,
             network=network,
             timers=timers,
             tasks=tasks,
             origin=origin,
             engine=engine,
-            peers=SitePeers(view, own),
+            peers=SitePeers(view, settings_with_origin),
             configuration=catalog,
             fencing=LocalFencing(),
-            gate=_EngineDrains(),
+            gate=_EngineDrainGate(),
             staged_reader=engine,
             deadlines=catalog,
         )
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -1,4 +1,4 @@
-"""An entry on a site: requests straight to targets, state from the store alone."""
+"""An entry on a site: sends requests directly to targets, with state from the store."""
 
 import logging
 import random
@@ -31,29 +31,29 @@
 from .site_parts import SiteBase, StoreAccess, create_site_base
 from .site_weights import (
     SitePeers,
+    add_origin_region,
     create_origin_with_exchange,
-    find_origin_region,
-    list_named,
-    wait_routes,
+    list_named_models,
+    wait_for_routes,
 )
 
 __all__ = ["EntryAdapters", "SiteEntry", "create_site_entry"]
 
-STOP_MARGIN_S = 1.0
-"""Before the end by force, for the last bytes of answers and the sockets."""
-FINISH_PART = 0.4
-"""Part of a graceful stop in which requests are still taken.
+FORCED_STOP_MARGIN_S = 1.0
+"""Time before the forced end for the last bytes of answers and closing sockets."""
+ACCEPTING_FRACTION = 0.4
+"""Fraction of a graceful stop in which new requests are still accepted.
 
-Callers keep an address for its time to live, a few for three times as long; the
-longest usual answer takes the rest."""
-LISTEN_GRACE_S = 0.3
+Callers cache an address for its time to live, a few for three times as long.  The
+remaining time is needed for the longest answers that usually occur."""
+SHUTDOWN_TIMEOUT_S = 0.3
 
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class EntryAdapters:
-    """What the site's wire brings for an entry."""
+    """Adapters to the site's interfaces that an entry needs."""
 
     adapter: CallerAdapter
     create_dialer: Callable[[FleetView], TargetDialer]
@@ -65,7 +65,7 @@
 
 @dataclass
 class SiteEntry:
-    """The parts of a running entry."""
+    """The components of a running entry."""
 
     settings: SiteSettings
     base: SiteBase
@@ -79,25 +79,25 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
-        is_known = self.base.feed.is_initialized and self.base.view.routes is not None
-        return is_known and not self.is_leaving
+        """Return whether callers may be directed to this entry."""
+        has_state = self.base.feed.is_initialized and self.base.view.routes is not None
+        return has_state and not self.is_leaving
 
     def list_addresses(self, host: str, zone: str, region: str) -> list[DaemonRecord]:
-        """Return the entries that a caller may use for a host."""
+        """Return the entries to which a caller is directed for a host."""
         entries = self.base.view.daemons(self.settings.role.value)
-        own = self.settings.name
-        usable = [e for e in entries if e.name != own or not self.is_leaving]
-        homes = list_allowed_regions(self.base.view.routes, host)
-        return choose_entries(usable, zone, region, homes)
+        local_name = self.settings.name
+        usable = [e for e in entries if e.name != local_name or not self.is_leaving]
+        allowed_regions = list_allowed_regions(self.base.view.routes, host)
+        return choose_entries(usable, zone, region, allowed_regions)
 
     def apply_settings(self, settings: SiteSettings) -> None:
-        """Take settings that were reloaded; addresses stay until the next start."""
+        """Apply the bounds of reloaded settings; other changes need a restart."""
         self.settings = self.settings.model_copy(update={"bounds": settings.bounds})
         self.service.apply_bounds(settings.bounds)
 
     async def run(self, stop: anyio.Event, application: ASGIApp) -> None:
-        """Serve until `stop` is set, then leave gracefully."""
+        """Serve until `stop` is set, then drain and stop."""
         self.tasks.start_soon(self.timers.run)
         await self.tasks.start(self.base.links.transport.run)
         self.tasks.start_soon(self.base.feed.run)
@@ -114,17 +114,17 @@
         await self.base.registration.run()
 
     async def _cache_weights(self) -> None:
-        await wait_routes(self.base)
+        await wait_for_routes(self.base)
         view = self.base.view
-        cache = self.create_cache(find_origin_region(view, self.settings))
+        cache = self.create_cache(add_origin_region(view, self.settings))
         cache.start()
 
-        def name_versions() -> None:
-            for named in list_named(view):
+        def update_named_versions() -> None:
+            for named in list_named_models(view):
                 cache.set_named_version(named.model, named.version)
 
-        view.on_change(lambda change: name_versions())
-        name_versions()
+        view.on_change(lambda change: update_named_versions())
+        update_named_versions()
         await cache.run()
 
     async def _serve(self, application: ASGIApp) -> None:
@@ -135,7 +135,7 @@
             self._ports(),
             self._stop_serving,
             keep_alive_s=idle_s,
-            grace_s=LISTEN_GRACE_S,
+            grace_s=SHUTDOWN_TIMEOUT_S,
         )
         self._served.set()
 
@@ -145,14 +145,14 @@
     async def _leave(self) -> None:
         """Be named no more, outlast kept addresses, finish, stop."""
         self.is_leaving = True
-        grace_s = self.settings.bounds.grace_ms / 1000 - STOP_MARGIN_S
+        grace_s = self.settings.bounds.grace_ms / 1000 - FORCED_STOP_MARGIN_S
         self.tasks.start_soon(self.base.registration.withdraw)
         application = self.service.application
         application.close_connections()
-        terms = DrainOptions(FINISH_PART * grace_s, grace_s)
-        await run_drain(application, terms, self.timers.now_s)
+        options = DrainOptions(ACCEPTING_FRACTION * grace_s, grace_s)
+        await run_drain(application, options, self.timers.now_s)
         self._stop_serving.set()
-        with anyio.move_on_after(STOP_MARGIN_S / 2):
+        with anyio.move_on_after(FORCED_STOP_MARGIN_S / 2):
             await self._served.wait()
 
 
@@ -172,7 +172,7 @@
     tasks: TaskGroup,
     rng: random.Random,
 ) -> tuple[SiteEntry, ASGIApp]:
-    """Build an entry, and the application that serves all its ports."""
+    """Create an entry, and the application that serves all its ports."""
     listen = settings.listen
     assert listen.callers is not None
     base = create_site_base(settings, incarnation, store_access, timers, rng)
@@ -199,14 +199,14 @@
         adapters.create_origin(view), settings, view, weights_network
     )
 
-    def create_cache(own: SiteSettings) -> WeightCache:
+    def create_cache(settings_with_origin: SiteSettings) -> WeightCache:
         return create_weight_cache(
-            own,
+            settings_with_origin,
             network=weights_network,
             timers=timers,
             tasks=tasks,
             origin=origin,
-            peers=SitePeers(view, own),
+            peers=SitePeers(view, settings_with_origin),
             rng=rng,
         )
 
--- a/reedspar/daemon/site_links.py
+++ b/reedspar/daemon/site_links.py
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteLinks:
-    """The listener, and the network that dials whom it is asked to send to."""
+    """The TCP transport, and on-demand networks that share it."""
 
     transport: TcpNetwork
     on_demand: Callable[[str], OnDemandNetwork]
-    """Makes a network for one part of the daemon, by that part's name."""
+    """Creates the network of one component of the daemon, given its name."""
 
 
 def create_site_links(
@@ -31,7 +31,7 @@
     timers: TimerService,
     rng: random.Random,
 ) -> SiteLinks:
-    """Make the links of a daemon; peers are found in the view of the fleet."""
+    """Create the links of a daemon, which looks up peers in its view of the fleet."""
     registry = MessageRegistry()
     for package in (links, weights, fleet, requests):
         package.register_messages(registry)
--- a/reedspar/daemon/site_parts.py
+++ b/reedspar/daemon/site_parts.py
@@ -1,4 +1,4 @@
-"""What a site's platform brings for every role, and what every role makes of it."""
+"""The components of a site's daemons that both roles share."""
 
 import random
 from collections.abc import Sequence
@@ -27,11 +27,11 @@
 
 
 class SiteStore(LeasingStore, WatchableStore, Protocol):
-    """The platform's store: keys with leases, listed and watched by prefix."""
+    """The platform's store: a key-value store with leases, and watches by prefix."""
 
 
 class SiteCodec(FleetCodec, Protocol):
-    """Reads the store's entries, and writes the system's own."""
+    """Decodes the entries of the store, and encodes registrations of daemons."""
 
     def encode_daemon(self, record: DaemonRecord) -> tuple[str, bytes]:
         """Return the key and the value of a daemon's registration."""
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAccess:
-    """The store, and how its entries are read."""
+    """The store, the codec of its entries, and the prefixes to follow."""
 
     store: SiteStore
     codec: SiteCodec
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteBase:
-    """What a daemon of either role has."""
+    """The components that a daemon of either role has."""
 
     view: FleetView
     feed: FleetFeed
@@ -68,7 +68,7 @@
     timers: TimerService,
     rng: random.Random,
 ) -> SiteBase:
-    """Connect a daemon with the store and with its peers."""
+    """Create the components that connect a daemon to the store and to its peers."""
     view = FleetView(timers)
     feed = create_fleet_feed(
         store_access.store, view, store_access.codec, timers, store_access.prefixes, rng
@@ -99,7 +99,7 @@
 
 
 def _describe(settings: SiteSettings) -> DaemonRecord:
-    """Return what the other daemons learn of this one."""
+    """Return the registration of this daemon, which the other daemons read."""
     listen = settings.listen
     return DaemonRecord(
         settings.name,
--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -1,4 +1,4 @@
-"""What both roles on a site need to take part in the distribution of weights."""
+"""Weight distribution on a site: peers, named versions and the origin."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -21,17 +21,18 @@
 __all__ = [
     "NamedModel",
     "SitePeers",
+    "add_origin_region",
     "create_origin_with_exchange",
-    "find_origin_region",
-    "list_named",
-    "wait_routes",
+    "list_named_models",
+    "wait_for_routes",
 ]
 
-CACHE_KEY = "weights cache"
+CACHE_RANKING_KEY = "weights cache"
 CACHES_PER_REGION = 4
-"""Entries that hold a part of a version each; more would make parts of few chunks."""
+"""Entries that each cache a part of a version; with more, each part would consist of
+only a few chunks."""
 FIRST_VERSION = 1
-"""What targets serve before any version was named."""
+"""The version that targets serve until one is named."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,14 +44,14 @@
 
 
 class SitePeers:
-    """The other daemons that hold a model's weights (see `PeerView`)."""
+    """The other daemons that may have a model's weights (see `PeerView`)."""
 
     def __init__(self, view: FleetView, settings: SiteSettings) -> None:
         self._view = view
         self._settings = settings
 
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
-        """Return the live agents whose targets serve a model, and the caches."""
+        """Return the other live agents whose targets serve a model, and the caches."""
         routes = self._view.routes
         pools = routes.services_for_model(model) if routes is not None else ()
         agents = [
@@ -65,14 +66,14 @@
         )
 
     def is_cache(self) -> bool:
-        """Tell whether this entry is to hold copies for the agents of its region."""
+        """Return whether this entry caches weights for the agents of its region."""
         return any(r.name == self._settings.name for r in self._list_caches())
 
     def _list_caches(self) -> Iterator[DaemonRecord]:
-        """Yield the entries that hold copies: the first few of each region."""
+        """Yield the entries that cache weights: the first ranked of each region."""
         entries = {e.name: e for e in self._view.daemons(Role.ENTRY.value)}
         counts: Counter[str] = Counter()
-        for name in rank_by_rendezvous(CACHE_KEY, entries):
+        for name in rank_by_rendezvous(CACHE_RANKING_KEY, entries):
             entry = entries[name]
             counts[entry.region] += 1
             if counts[entry.region] <= CACHES_PER_REGION:
@@ -89,19 +90,19 @@
     )
 
 
-def list_named(view: FleetView, pool: str | None = None) -> Iterator[NamedModel]:
-    """Yield the models of a pool, or of all, with the versions to serve."""
+def list_named_models(view: FleetView, pool: str | None = None) -> Iterator[NamedModel]:
+    """Yield the models of one pool, or of all pools, with the versions to serve."""
     routes = view.routes
-    for name, terms in routes.services.items() if routes is not None else ():
-        if terms.engine is None or pool not in (None, name):
+    for name, service in routes.services.items() if routes is not None else ():
+        if service.engine is None or pool not in (None, name):
             continue
-        for model in terms.engine.models:
+        for model in service.engine.models:
             named = view.version_of(model)
             yield NamedModel(model, named.version if named else FIRST_VERSION)
 
 
-async def wait_routes(base: SiteBase) -> None:
-    """Return once the configuration is known: it says where the origin is."""
+async def wait_for_routes(base: SiteBase) -> None:
+    """Wait until the routes are known, which contain the location of the origin."""
     await base.feed.wait_initialized()
     known = anyio.Event()
     base.view.on_change(lambda change: known.set())
@@ -110,12 +111,12 @@
         known = anyio.Event()
 
 
-def find_origin_region(view: FleetView, settings: SiteSettings) -> SiteSettings:
-    """Return the settings with the region of the origin that is configured."""
-    terms = view.routes.origin if view.routes is not None else None
-    if terms is None or terms.origin is None:
+def add_origin_region(view: FleetView, settings: SiteSettings) -> SiteSettings:
+    """Return the settings, with the region of the configured origin filled in."""
+    origin_service = view.routes.origin if view.routes is not None else None
+    if origin_service is None or origin_service.origin is None:
         return settings
-    region = settings.zones.get(terms.origin.zone, "")
+    region = settings.zones.get(origin_service.origin.zone, "")
     changed = settings.weights.model_copy(update={"origin_region": region})
     return settings.model_copy(update={"weights": changed})
 
@@ -132,5 +133,5 @@
         origin,
         SitePeers(view, settings),
         network,
-        lambda: find_origin_region(view, settings).weights.origin_region,
+        lambda: add_origin_region(view, settings).weights.origin_region,
     )
--- a/reedspar/daemon/tests/test_main.py
+++ b/reedspar/daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests that the command refuses bad settings before anything is opened."""
+"""Tests that the command rejects invalid settings, and of message registration."""
 
 import contextlib
 import io
@@ -29,15 +29,15 @@
             run.assert_not_called()
         return caught.exception.code, errors.getvalue()
 
-    def test_bad_settings_end_with_key_value_and_rule(self) -> None:
+    def test_invalid_settings_are_reported_with_key_value_and_rule(self) -> None:
         code, errors = self.run_command('name = "Entry One"\nrole = "entry"\n')
         self.assertEqual(code, command.EXIT_SETTINGS)
         self.assertIn("name = 'Entry One'", errors)
         self.assertIn("zone: Field required", errors)
 
-    def test_every_package_has_its_messages_registered(self) -> None:
-        # A package whose messages are left out would only show when the first
-        # of them is to be sent.
+    def test_messages_of_every_package_are_registered(self) -> None:
+        # Without this, a missing registration would only fail when the first message
+        # of the package is sent.
         registry = create_registry()
         for message_class in (Hello, ClaimRequest, ChunkRequest):
             self.assertIsNotNone(registry.for_class(message_class))
--- a/reedspar/daemon/views.py
+++ b/reedspar/daemon/views.py
@@ -1,4 +1,4 @@
-"""What each part sees of the others: small adapters, and no decisions."""
+"""Adapters that give each component of a daemon a view of the others."""
 
 import time
 
@@ -29,7 +29,7 @@
 
 
 class RequestConfiguration:
-    """The configuration as requests see it."""
+    """View of the configuration for request handling."""
 
     def __init__(self, controller: ConfigurationController, zone: str) -> None:
         self._controller = controller
@@ -41,26 +41,26 @@
         return self._controller.current()
 
     def has_pool(self, name: str) -> bool:
-        """Tell whether the document in force has a pool of that name."""
+        """Return whether the document in force has a pool with this name."""
         document = self.document
         return document is not None and name in document.pools
 
     def is_fresh(self) -> bool:
-        """Tell whether a recent confirmation allows new work to start."""
+        """Return whether the last confirmation is recent enough to start new work."""
         failure = self._controller.check_work_allowed(self._zone)
-        # An entry in a zone that was taken out still serves the callers that
-        # kept its address; the work goes to targets in other zones.
+        # An entry in a zone that was taken out still serves callers that cached its
+        # address, since their requests go to targets in other zones.
         return failure is None or failure.reason is Reason.ZONE_OUT
 
 
 class EntryView:
-    """The entries as callers may use them."""
+    """View of the entries that callers may use."""
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
 
     def entries(self) -> tuple[EntryAddress, ...]:
-        """Return the entries, leaving ones marked."""
+        """Return the addresses of the entries."""
         return tuple(
             EntryAddress(record.name, record.zone, record.host, record.http_port)
             for record in self._membership.entries()
@@ -68,7 +68,7 @@
 
 
 class WeightConfiguration:
-    """The configuration as weights see it."""
+    """View of the configuration for weight distribution."""
 
     def __init__(self, controller: ConfigurationController) -> None:
         self._controller = controller
@@ -81,7 +81,7 @@
 
 
 class WeightPeers:
-    """The other agents that may hold chunks of a model."""
+    """View of the other agents that may have chunks of a model."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self._configuration = configuration
 
     def agents_of(self, model: str) -> tuple[WeightPeer, ...]:
-        """Return the live agents, without this one, whose pools serve a model."""
+        """Return the other live agents whose pools serve a model."""
         document = self._configuration.current()
         if document is None:
             return ()
@@ -107,13 +107,13 @@
 
 
 class StatusReader:
-    """The daemon's own state for operators."""
+    """The state of this daemon for operators."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def read_status(self) -> DaemonStatus:
-        """Return the state as it is now."""
+        """Return the current state."""
         node = self._node
         settings = node.settings
         age_s = node.configuration.age_s
@@ -138,13 +138,13 @@
 
 
 class MemberReader:
-    """The daemons that this one knows of, for operators."""
+    """The daemons that this daemon knows, for operators."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def list_members(self) -> tuple[MemberStatus, ...]:
-        """Return every daemon known, this one included."""
+        """Return all known daemons, including this one."""
         return tuple(
             MemberStatus(
                 name=member.record.name,
