--- a/reedspar/daemon/serving.py
+++ b/reedspar/daemon/serving.py
@@ -12,7 +12,7 @@
 
 __all__ = ["PortDispatcher", "serve_http"]
 
-BACKLOG = 2048
+LISTEN_BACKLOG = 2048
 KEEP_ALIVE_S = 75.0
 SHUTDOWN_TIMEOUT_S = 2.0
 """Time for the last bytes of answers; the drain has already waited for the others."""
@@ -46,13 +46,13 @@
     config = Config()
     all_ports = [ports] if isinstance(ports, int) else ports
     config.bind = [f"{host}:{port}" for port in all_ports]
-    config.backlog = BACKLOG
+    config.backlog = LISTEN_BACKLOG
     config.keep_alive_timeout = keep_alive_s
     config.graceful_timeout = grace_s
     config.include_server_header = False
     config.accesslog = None
     config.errorlog = logging.getLogger("hypercorn.error")
     # Connections need not be closed after a number of requests for load balancing:
-    # callers choose an entry anew whenever their addresses expire.
+    # callers choose an entry again whenever their addresses expire.
     config.keep_alive_max_requests = 1_000_000
     await serve(application, config, shutdown_trigger=stop.wait, mode="asgi")
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -55,7 +55,7 @@
 class EntryAdapters:
     """Adapters to the site's interfaces that an entry needs."""
 
-    adapter: CallerAdapter
+    caller_adapter: CallerAdapter
     create_dialer: Callable[[FleetView], TargetDialer]
     create_directory: Callable[["SiteEntry"], ASGIApp]
     create_origin: Callable[[FleetView], VersionedOrigin]
@@ -105,7 +105,7 @@
         self.tasks.start_soon(self._register)
         self.tasks.start_soon(self._cache_weights)
         await stop.wait()
-        await self._leave()
+        await self._drain()
 
     async def _register(self) -> None:
         await self.base.feed.wait_initialized()
@@ -142,8 +142,8 @@
     def _ports(self) -> Sequence[int]:
         return sorted(set(_list_ports(self.settings)))
 
-    async def _leave(self) -> None:
-        """Be named no more, outlast kept addresses, finish, stop."""
+    async def _drain(self) -> None:
+        """Withdraw the registration, serve until cached addresses expire, and stop."""
         self.is_leaving = True
         grace_s = self.settings.bounds.grace_ms / 1000 - FORCED_STOP_MARGIN_S
         self.tasks.start_soon(self.base.registration.withdraw)
@@ -186,7 +186,7 @@
         tasks=tasks,
         network=links.on_demand("crashes"),
         dialer=adapters.create_dialer(view),
-        adapter=adapters.adapter,
+        adapter=adapters.caller_adapter,
         others=adapters.metrics_app,
         is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
--- a/reedspar/links/forwarding.py
+++ b/reedspar/links/forwarding.py
@@ -25,7 +25,7 @@
         return self._network.send(peer, message, priority)
 
     def subscribe(self, message_class: type, handler: Handler) -> None:
-        """Call `handler` with each such message; it must not block."""
+        """Call `handler` with each message of this class; it must not block."""
         self._network.subscribe(message_class, handler)
 
     def on_link_event(self, listener: LinkListener) -> None:
--- a/reedspar/links/network.py
+++ b/reedspar/links/network.py
@@ -70,7 +70,7 @@
         ...
 
     def subscribe(self, message_class: type[MessageT], handler: Handler) -> None:
-        """Call `handler` with each such message; it must not block."""
+        """Call `handler` with each message of this class; it must not block."""
         ...
 
     def on_link_event(self, listener: LinkListener) -> None:
--- a/reedspar/links/on_demand.py
+++ b/reedspar/links/on_demand.py
@@ -42,7 +42,7 @@
 class _Peer:
     address: PeerAddress
     last_used_s: float
-    queued: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
+    held: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
 
 
 class OnDemandNetwork(ForwardingNetwork):
@@ -78,9 +78,9 @@
         entry = self._request_link(peer)
         if entry is None:
             return failure
-        entry.queued.append((message, priority, self._timers.now_s()))
-        while len(entry.queued) > self._limits.max_queued_messages:
-            entry.queued.popleft()
+        entry.held.append((message, priority, self._timers.now_s()))
+        while len(entry.held) > self._limits.max_queued_messages:
+            entry.held.popleft()
         return None
 
     def _mark_used(self, peer: str) -> None:
@@ -113,9 +113,9 @@
         entry = self._peers.get(event.peer)
         if entry is None or event.change is not LinkChange.UP:
             return
-        queued = list(entry.queued)
-        entry.queued.clear()
-        for message, priority, _ in queued:
+        held = list(entry.held)
+        entry.held.clear()
+        for message, priority, _ in held:
             self._network.send(event.peer, message, priority)
 
     def _sweep(self) -> None:
@@ -123,10 +123,9 @@
         now_s = self._timers.now_s()
         for entry in self._peers.values():
             while (
-                entry.queued
-                and now_s - entry.queued[0][2] > self._limits.queue_timeout_s
+                entry.held and now_s - entry.held[0][2] > self._limits.queue_timeout_s
             ):
-                entry.queued.popleft()
+                entry.held.popleft()
         idle = [
             name
             for name, entry in self._peers.items()
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -98,7 +98,7 @@
         self.traffic = LinkTraffic()
 
     def subscribe(self, message_class: type, handler: Handler) -> None:
-        """Call `handler` with each such message."""
+        """Call `handler` with each message of this class; it must not block."""
         self._handlers[message_class].append(handler)
 
     def on_link_event(self, listener: LinkListener) -> None:
--- a/reedspar/timers/service.py
+++ b/reedspar/timers/service.py
@@ -33,7 +33,7 @@
 
 
 class TimerService:
-    """Call subscribers when they are due, after the listeners for pauses.
+    """Calls subscribers when they are due, after the listeners for pauses.
 
     A process that was stopped and continued (by SIGSTOP or a hypervisor) must not act
     on leases and freshness claims that expired in the meantime.  A pause is detected
