--- a/reedspar/platform/http_body.py
+++ b/reedspar/platform/http_body.py
@@ -41,6 +41,7 @@
 
     @property
     def _is_framed(self) -> bool:
+        """Whether HTTP framing distinguishes a complete body from a truncated one."""
         headers = self._response.headers
         is_bodiless = self.status in (
             httpx.codes.NO_CONTENT,
--- a/reedspar/platform/http_client.py
+++ b/reedspar/platform/http_client.py
@@ -18,7 +18,7 @@
     "failure_of_write",
 ]
 
-KEEPALIVE_EXPIRY_S = 2.0
+IDLE_EXPIRY_S = 2.0
 """Shorter than the idle timeout of common servers.
 
 If a server closes an idle connection just as a request is sent on it, the
@@ -76,7 +76,7 @@
     return httpx.Limits(
         max_connections=max_connections,
         max_keepalive_connections=max_connections,
-        keepalive_expiry=KEEPALIVE_EXPIRY_S,
+        keepalive_expiry=IDLE_EXPIRY_S,
     )
 
 
