--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform for trials and tests; not the product."""
+"""Simulated platform services for trials, tests and benchmarks; not for production."""
--- a/stand_ins/caller.py
+++ b/stand_ins/caller.py
@@ -1,6 +1,6 @@
-"""A caller as the brief has it: asks for addresses, keeps them, connects itself.
+"""A caller that looks up entry addresses, caches them and connects to them directly.
 
-Each call is checked: the whole answer to its own request, or a clear ending.
+Checks that each call gets the complete answer to its own request or a defined outcome.
 """
 
 import hashlib
@@ -18,14 +18,14 @@
 
 __all__ = ["Call", "CallKind", "Caller", "Ending"]
 
-DIAL_TIMEOUT_S = 1.0
-ADDRESS_TIMEOUT_S = 2.0
-SLACK_S = 5.0
-"""Beyond the deadline, after which a caller gives up on an entry."""
+CONNECT_TIMEOUT_S = 1.0
+ADDRESS_LOOKUP_TIMEOUT_S = 2.0
+RESPONSE_GRACE_S = 5.0
+"""Added to the deadline before a caller gives up on an entry that stays silent."""
 
 
 class CallKind(Enum):
-    """What is called."""
+    """Kind of a call."""
 
     QUOTE = "quote"
     STREAM = "stream"
@@ -40,14 +40,14 @@
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
     CUT = "cut"
-    """The connection to the entry broke, or stayed silent past the deadline."""
+    """The connection to the entry broke or stayed silent past the deadline."""
     NO_ENTRY = "no-entry"
-    """No address took the connection: nothing was handed over."""
+    """No address accepted the connection, so no request was sent."""
 
 
 @dataclass
 class Call:
-    """One call, and what came of it."""
+    """One call and its outcome."""
 
     kind: CallKind
     key: str
@@ -60,15 +60,15 @@
     digest: str = ""
     detail: str = ""
     problem: str = ""
-    """The promise that the answer broke; empty if none."""
+    """How the answer is wrong; empty if it is correct."""
 
     @property
     def latency_s(self) -> float:
-        """Return the time from start to end."""
+        """Return the duration of the call."""
         return self.ended_at - self.started_at
 
     def describe(self) -> str:
-        """Return one line."""
+        """Return a one-line summary."""
         return (
             f"{self.started_at:.3f} {self.kind.value} {self.key} at {self.entry}: "
             f"{self.ending.value} {self.status} after {self.latency_s:.3f} s "
@@ -77,7 +77,7 @@
 
 
 class Caller:
-    """Calls through the entries that it is told to use."""
+    """Sends calls of one workspace through addresses that the given entries return."""
 
     def __init__(
         self, entry_urls: Iterable[str], workspace: str, seed: int, deadline_s: float
@@ -87,9 +87,9 @@
         self._rng = random.Random(seed)
         self._deadline_s = deadline_s
         self._addresses: list[str] = []
-        self._expires_s = 0.0
+        self._addresses_expire_s = 0.0
         self._client = create_trial_client(
-            httpx.Timeout(deadline_s + SLACK_S, connect=DIAL_TIMEOUT_S)
+            httpx.Timeout(deadline_s + RESPONSE_GRACE_S, connect=CONNECT_TIMEOUT_S)
         )
 
     async def aclose(self) -> None:
@@ -99,7 +99,7 @@
     async def quote(
         self, pool: str, model: str, prompt: str, max_tokens: int, *, stream: bool
     ) -> Call:
-        """Ask the model for text, and check it against its weights."""
+        """Request a completion and check its text against the weights it names."""
         call = Call(CallKind.STREAM if stream else CallKind.QUOTE, prompt)
         body = {
             "model": model,
@@ -116,7 +116,7 @@
     async def order(
         self, pool: str, order_id: str, body: bytes, *, has_key: bool
     ) -> Call:
-        """Place an order; `has_key` sends its id as an idempotency key."""
+        """Place an order; `has_key` sends its id as the idempotency key."""
         call = Call(CallKind.ORDER, order_id)
         name = "idempotency-key" if has_key else "x-order-id"
         headers = {name: order_id}
@@ -128,7 +128,7 @@
         return call
 
     async def read_status(self, pool: str, order_id: str) -> Call:
-        """Ask for the status of an order, which is idempotent."""
+        """Read the status of an order, an idempotent call."""
         key = f"status-{order_id}"
         call = Call(CallKind.STATUS, key)
         headers = {"x-order-id": key}
@@ -141,7 +141,7 @@
     async def _call(
         self, call: Call, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> bytes:
-        """Try addresses in order until one takes the connection."""
+        """Try addresses in order until one accepts the connection."""
         sent = {
             "x-workspace": self._workspace,
             "x-deadline-s": str(self._deadline_s),
@@ -149,7 +149,7 @@
             **headers,
         }
         answer = b""
-        for address in await self._find_addresses():
+        for address in await self._get_addresses():
             call.entry = address
             request = self._client.build_request(
                 method, address + path, content=body, headers=sent
@@ -158,7 +158,7 @@
                 answer = await self._exchange(call, request)
             except (httpx.ConnectError, httpx.ConnectTimeout) as error:
                 call.detail = repr(error)
-                self._expires_s = 0.0
+                self._addresses_expire_s = 0.0
                 continue
             except httpx.HTTPError as error:
                 call.ending = Ending.CUT
@@ -191,16 +191,16 @@
             call.problem = f"no outcome with status {call.status}: {outcome!r}"
         return answer
 
-    async def _find_addresses(self) -> list[str]:
-        """Return the addresses to use, asked anew once the answer has expired."""
-        if time.monotonic() < self._expires_s:
+    async def _get_addresses(self) -> list[str]:
+        """Return the cached addresses, looked up again once they have expired."""
+        if time.monotonic() < self._addresses_expire_s:
             return self._addresses
         for url in self._rng.sample(self._entry_urls, len(self._entry_urls)):
             try:
                 response = await self._client.get(
                     f"{url}/v1/addresses",
                     headers={"x-workspace": self._workspace},
-                    timeout=ADDRESS_TIMEOUT_S,
+                    timeout=ADDRESS_LOOKUP_TIMEOUT_S,
                 )
                 answer = response.json()
                 addresses = answer["addresses"]
@@ -208,7 +208,7 @@
                 continue
             if addresses:
                 self._addresses = addresses
-                self._expires_s = time.monotonic() + answer["ttl_s"]
+                self._addresses_expire_s = time.monotonic() + answer["ttl_s"]
                 break
         return self._addresses
 
@@ -216,24 +216,24 @@
 def check_text(
     call: Call, answer: bytes, prompt: str, max_tokens: int, *, stream: bool
 ) -> str:
-    """Return how the answer differs from the whole one of its weights, or nothing."""
+    """Return how the text differs from the named weights' text; empty if it doesn't."""
     if not call.digest:
         return "the answer does not name its weights"
     try:
-        text = read_stream(answer) if stream else read_plain(answer)
+        text = parse_stream(answer) if stream else parse_plain_answer(answer)
     except (ValueError, KeyError, IndexError) as error:
-        return f"the answer can't be read: {error!r}: {answer[-80:]!r}"
+        return f"the answer can't be parsed: {error!r}: {answer[-80:]!r}"
     if text != expect_text(prompt, call.digest, max_tokens):
-        return f"not the whole text of {call.digest[:12]}: {text[:60]!r} ..."
+        return f"not the complete text of {call.digest[:12]}: {text[:60]!r} ..."
     return ""
 
 
-def read_plain(answer: bytes) -> str:
-    """Return the text of a plain answer."""
+def parse_plain_answer(answer: bytes) -> str:
+    """Return the text of an answer that is not streamed."""
     return str(json.loads(answer)["choices"][0]["text"])
 
 
-def read_stream(answer: bytes) -> str:
+def parse_stream(answer: bytes) -> str:
     """Return the text of a stream; raise `ValueError` if it has no end marker."""
     events = [line.removeprefix(b"data: ") for line in answer.split(b"\n\n") if line]
     if not events or events[-1] != b"[DONE]":
@@ -243,11 +243,11 @@
 
 
 def check_confirmation(answer: bytes, order_id: str, body: bytes) -> str:
-    """Return how the confirmation differs from that of this order, or nothing."""
+    """Return how the confirmation differs from this order's; empty if it doesn't."""
     try:
         confirmation = json.loads(answer)
     except ValueError:
-        return f"the confirmation can't be read: {answer[:80]!r}"
+        return f"the confirmation can't be parsed: {answer[:80]!r}"
     expected = (order_id, hashlib.sha256(body).hexdigest())
     got = (confirmation.get("order_key"), confirmation.get("body_digest"))
-    return "" if got == expected else f"another order's confirmation: {got}"
+    return "" if got == expected else f"confirmation of another order: {got}"
--- a/stand_ins/clients.py
+++ b/stand_ins/clients.py
@@ -1,4 +1,4 @@
-"""The HTTP client of callers in trials: many requests at once to any address."""
+"""HTTP client for callers in trials: many concurrent requests to any address."""
 
 import httpx
 
@@ -10,26 +10,28 @@
 
 
 def create_trial_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
-    """Return a client whose cost a request does not grow with those in flight."""
-    stacks: dict[str, StackedTransport] = {}
+    """Return a client whose cost per request is independent of the number in flight."""
+    transports: dict[str, StackedTransport] = {}
 
-    class ByAddress(httpx.AsyncBaseTransport):
-        """One stack of connections for each address."""
+    class TransportByAddress(httpx.AsyncBaseTransport):
+        """Keeps a pooled transport for each address."""
 
         async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
             address = str(request.url.netloc, "ascii")
-            if address not in stacks:
-                stacks[address] = StackedTransport(create_transport)
-            return await stacks[address].handle_async_request(request)
+            if address not in transports:
+                transports[address] = StackedTransport(create_transport)
+            return await transports[address].handle_async_request(request)
 
         async def aclose(self) -> None:
-            for stack in stacks.values():
-                await stack.aclose()
+            for transport in transports.values():
+                await transport.aclose()
 
-    return httpx.AsyncClient(trust_env=False, timeout=timeout, transport=ByAddress())
+    return httpx.AsyncClient(
+        trust_env=False, timeout=timeout, transport=TransportByAddress()
+    )
 
 
 def create_transport() -> httpx.AsyncHTTPTransport:
-    """Return a transport of one connection."""
+    """Return a transport that holds one connection."""
     limits = httpx.Limits(max_connections=1, keepalive_expiry=KEEPALIVE_EXPIRY_S)
     return httpx.AsyncHTTPTransport(verify=False, limits=limits)
--- a/stand_ins/deployments.py
+++ b/stand_ins/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of today, as data."""
+"""Descriptions of the two existing deployments."""
 
 from dataclasses import dataclass, replace
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """An availability zone and the region that it lies in."""
+    """An availability zone and its region."""
 
     name: str
     region: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool of targets, spread over the zones in turn."""
+    """A pool of targets, assigned to the zones in turn."""
 
     name: str
     kind: TargetKind
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a launcher starts."""
+    """Zones, pools and entries that a launcher starts."""
 
     name: str
     zones: tuple[Zone, ...]
@@ -41,7 +41,7 @@
 
     @property
     def origin_region(self) -> str:
-        """Return the region in which the origin lies: the first zone's."""
+        """Return the region of the origin, which is that of the first zone."""
         return self.zones[0].region
 
     @property
@@ -79,5 +79,5 @@
 
 
 def shrink(deployment: Deployment, entry_count: int) -> Deployment:
-    """Return the deployment with fewer entries, for small trials."""
+    """Return the deployment with `entry_count` entries, for small trials."""
     return replace(deployment, entry_count=entry_count)
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -1,4 +1,4 @@
-"""The model engine: cold start, batching, prefix cache, late reports, loads."""
+"""Simulated model engine: cold start, batching, prefix cache, lagged reports, loads."""
 
 import argparse
 import json
@@ -20,10 +20,10 @@
 from .engine_model import EngineModel
 from .engine_settings import EngineControl, EngineOptions
 from .engine_weights import LoadOutcome
-from .faults import Silence, read_control, refuse
+from .faults import ResponseGate, read_control, refuse
 from .serving import (
-    CutResponse,
-    CuttableStream,
+    TruncatableStream,
+    TruncatedResponse,
     add_port_argument,
     serve_ports,
     wait_for_disconnect,
@@ -41,7 +41,7 @@
 
 
 class CompletionRequest(BaseModel):
-    """What the engine reads of a completion request."""
+    """Fields of a completion request that the engine uses."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -52,14 +52,14 @@
 
 
 class Engine:
-    """The HTTP side of an engine."""
+    """HTTP interface of an engine."""
 
     def __init__(self, options: EngineOptions) -> None:
         self._model = EngineModel(options)
-        self._silence = Silence()
+        self._response_gate = ResponseGate()
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of the engine and of its control."""
+        """Return the routes of the engine and its control interface."""
         return [
             Route("/v1/completions", self._complete, methods=["POST"]),
             Route("/v1/cancel/{request_id:path}", self._cancel, methods=["POST"]),
@@ -67,9 +67,9 @@
             Route("/events", self._events, methods=["GET"]),
             Route("/stage/{root}/{index:int}", self._stage, methods=["POST"]),
             Route("/stage/{root}", self._drop, methods=["DELETE"]),
-            Route("/load", self._load_order, methods=["POST"]),
+            Route("/load", self._handle_load_order, methods=["POST"]),
             Route("/control/settings", self._set_control, methods=["PUT"]),
-            Route("/control/cold", self._turn_cold, methods=["POST"]),
+            Route("/control/cold", self._force_cold_start, methods=["POST"]),
             Route("/control/crash", self._crash_now, methods=["POST"]),
             Route("/control/counts", self._describe, methods=["GET"]),
             Route("/control/ready", self._describe, methods=["GET"]),
@@ -78,14 +78,14 @@
 
     @asynccontextmanager
     async def lifespan(self, app: Starlette) -> AsyncIterator[None]:
-        """Run the batch beside the server."""
+        """Run the batch while the server runs."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._model.batch.run)
             yield
             tasks.cancel_scope.cancel()
 
     async def _refuse_if_down(self) -> Response | None:
-        await self._silence.wait()
+        await self._response_gate.wait()
         return refuse("restarting") if self._model.is_down else None
 
     async def _complete(self, request: Request) -> Response:
@@ -113,10 +113,10 @@
         headers = {"x-weights-digest": digest}
         if asked.stream:
             pieces = self._stream(job)
-            return CuttableStream(pieces, headers, "text/event-stream")
-        return await self._answer_whole(job, request, headers)
+            return TruncatableStream(pieces, headers, "text/event-stream")
+        return await self._answer_complete(job, request, headers)
 
-    async def _answer_whole(
+    async def _answer_complete(
         self, job: Job, request: Request, headers: dict[str, str]
     ) -> Response:
         text = ""
@@ -131,15 +131,15 @@
                 async for token in job.receiver:
                     text += token
             tasks.cancel_scope.cancel()
-        await self._silence.wait()
+        await self._response_gate.wait()
         if job.end is not JobEnd.COMPLETED:
-            return CutResponse()
+            return TruncatedResponse()
         return JSONResponse(make_answer(job, text, "length"), headers=headers)
 
     async def _stream(self, job: Job) -> AsyncIterator[bytes | None]:
         try:
             async for token in job.receiver:
-                await self._silence.wait()
+                await self._response_gate.wait()
                 yield make_event(make_answer(job, token, None))
             if job.end is not JobEnd.COMPLETED:
                 yield None
@@ -192,7 +192,7 @@
         self._model.weights.drop(request.path_params["root"])
         return Response(status_code=204)
 
-    async def _load_order(self, request: Request) -> Response:
+    async def _handle_load_order(self, request: Request) -> Response:
         body = await request.body()
         refusal = await self._refuse_if_down()
         if refusal is not None:
@@ -213,11 +213,11 @@
         if isinstance(control, Response):
             return control
         self._model.batch.control = control
-        self._silence.set(is_silent=control.silent)
+        self._response_gate.set(is_blocked=control.silent)
         return Response(status_code=204)
 
-    async def _turn_cold(self, request: Request) -> Response:
-        self._model.turn_cold()
+    async def _force_cold_start(self, request: Request) -> Response:
+        self._model.force_cold_start()
         return Response(status_code=204)
 
     async def _crash_now(self, request: Request) -> Response:
@@ -243,7 +243,7 @@
 
 
 def make_answer(job: Job, text: str, finish_reason: str | None) -> dict[str, object]:
-    """Return an answer, or one event of a streamed one."""
+    """Return the body of an answer, or of one event of a streamed answer."""
     choice = {"index": 0, "text": text, "finish_reason": finish_reason}
     return {
         "id": job.request_id,
@@ -254,18 +254,18 @@
 
 
 def make_event(answer: dict[str, object]) -> bytes:
-    """Return a server-sent event."""
+    """Return the answer encoded as a server-sent event."""
     return b"data: " + json.dumps(answer, separators=(",", ":")).encode() + b"\n\n"
 
 
 def create_app(options: EngineOptions | None = None) -> Starlette:
-    """Make the app."""
+    """Create the ASGI app."""
     engine = Engine(options or EngineOptions.model_validate({}))
     return Starlette(routes=engine.make_routes(), lifespan=engine.lifespan)
 
 
 def main() -> None:
-    """Serve the stand-in."""
+    """Run the server."""
     parser = argparse.ArgumentParser(description=__doc__)
     add_port_argument(parser)
     for name, field in EngineOptions.model_fields.items():
--- a/stand_ins/engine_batch.py
+++ b/stand_ins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: each step gives each running sequence one token."""
+"""Continuous batching: each step produces one token for each running sequence."""
 
 import heapq
 import itertools
@@ -18,11 +18,11 @@
 
 __all__ = ["Batch", "Job", "JobEnd"]
 
-TRACE_LENGTH = 100_000
+MAX_TRACE_JOBS = 100_000
 
 
 class JobEnd(Enum):
-    """How a job ended."""
+    """State of a job: running, or how it ended."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One attempt at a completion, and what the trace tells of it."""
+    """One attempt at a completion, with the data that the trace reports."""
 
     request_id: str
     prompt: str
@@ -53,7 +53,7 @@
     end: JobEnd = JobEnd.RUNNING
 
     def describe(self) -> dict[str, object]:
-        """Return the line of the trace."""
+        """Return the trace record."""
         return {
             "request_id": self.request_id,
             "prompt": self.prompt,
@@ -74,13 +74,13 @@
 def create_job(
     request_id: str, prompt: str, model: str, max_tokens: int, priority: int
 ) -> Job:
-    """Make a job with its own stream of tokens."""
+    """Create a job with a token stream of its own."""
     sender, receiver = anyio.create_memory_object_stream[str](math.inf)
     return Job(request_id, prompt, model, max_tokens, priority, sender, receiver)
 
 
 class Batch:
-    """The queue by priority, and the sequences that run."""
+    """The priority queue of jobs and the running sequences."""
 
     def __init__(
         self,
@@ -97,29 +97,29 @@
         self._on_start = on_start
         self._queue: list[tuple[int, int, Job]] = []
         self._running: list[Job] = []
-        self._arrivals = itertools.count()
-        self._starts = itertools.count(1)
-        self._work = anyio.Event()
-        self.trace: deque[Job] = deque(maxlen=TRACE_LENGTH)
+        self._arrival_numbers = itertools.count()
+        self._start_numbers = itertools.count(1)
+        self._work_available = anyio.Event()
+        self.trace: deque[Job] = deque(maxlen=MAX_TRACE_JOBS)
         self.control = EngineControl.model_validate({})
 
     @property
     def queued(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of queued jobs."""
         return len(self._queue)
 
     @property
     def in_flight(self) -> int:
-        """Return how many jobs wait or run."""
+        """Return the number of queued and running jobs."""
         return len(self._queue) + len(self._running)
 
     def submit(self, job: Job) -> None:
-        """Queue a job; 9 goes first."""
-        heapq.heappush(self._queue, (-job.priority, next(self._arrivals), job))
-        self._work.set()
+        """Queue a job; the highest priority is 9."""
+        heapq.heappush(self._queue, (-job.priority, next(self._arrival_numbers), job))
+        self._work_available.set()
 
     def end_all(self, end: JobEnd) -> None:
-        """End every job."""
+        """End every queued and running job."""
         jobs = [*self._running, *(job for _, _, job in self._queue)]
         self._running.clear()
         self._queue.clear()
@@ -127,7 +127,7 @@
             self._finish(job, end)
 
     def cancel(self, job: Job) -> None:
-        """Stop working on a job, if it has not ended."""
+        """Cancel a job unless it has ended."""
         if job.end is not JobEnd.RUNNING:
             return
         self._running = [other for other in self._running if other is not job]
@@ -136,28 +136,28 @@
         self._finish(job, JobEnd.CANCELLED)
 
     async def run(self) -> None:
-        """Step until cancelled."""
+        """Run batch steps until cancelled."""
         while True:
             if self.control.frozen or not self.in_flight:
-                self._work = anyio.Event()
+                self._work_available = anyio.Event()
                 with anyio.move_on_after(0.1 if self.control.frozen else None):
-                    await self._work.wait()
+                    await self._work_available.wait()
                 continue
             self._start_jobs()
-            await anyio.sleep(self._step_s())
+            await anyio.sleep(self._compute_step_s())
             if not self.control.frozen:
-                self._produce()
+                self._produce_tokens()
 
-    def _step_s(self) -> float:
-        further = max(0, len(self._running) - 1)
-        step_s = self._options.token_s + self._options.sequence_s * further
+    def _compute_step_s(self) -> float:
+        additional_sequences = max(0, len(self._running) - 1)
+        step_s = self._options.token_s + self._options.sequence_s * additional_sequences
         return step_s * self.control.slow_factor
 
     def _start_jobs(self) -> None:
         while self._queue and len(self._running) < self._options.max_batch:
             _, _, job = heapq.heappop(self._queue)
             self._running.append(job)
-            job.order = next(self._starts)
+            job.order = next(self._start_numbers)
             job.started_at = time.time()
             job.in_flight_at_start = self.in_flight
             missing = self._cache.use(job.prompt)
@@ -167,7 +167,7 @@
             if not self._on_start(job):
                 return
 
-    def _produce(self) -> None:
+    def _produce_tokens(self) -> None:
         for job in list(self._running):
             if job.prefill_steps > 0:
                 job.prefill_steps -= 1
--- a/stand_ins/engine_weights.py
+++ b/stand_ins/engine_weights.py
@@ -1,4 +1,4 @@
-"""What the engine holds of weights: staged chunks, loads, fencing numbers."""
+"""Weights of the simulated engine: staged chunks, loads, fencing numbers."""
 
 import hashlib
 import time
@@ -15,7 +15,7 @@
 
 
 class LoadOutcome:
-    """How an order to load ended."""
+    """Outcome of a load order."""
 
     DONE = "done"
     FENCED = "fenced"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRecord:
-    """One order to load, as the engine saw it."""
+    """One load order and its outcome at the engine."""
 
     order_id: str
     model: str
@@ -37,9 +37,9 @@
 
 @dataclass
 class EngineWeights:
-    """Staged chunk digests by root digest and index, and what is loaded.
+    """Digests of staged chunks by root digest and index, and of loaded weights.
 
-    Only digests are kept, as the engine's memory is not what is on trial.
+    Only digests are kept, as trials don't measure the engine's memory.
     """
 
     checks_fencing: bool
@@ -51,23 +51,23 @@
     _generation: int = 0
 
     def stage(self, root_digest: str, index: int, data: bytes) -> None:
-        """Keep a chunk; nothing is checked against the root digest here."""
+        """Record the digest of a chunk without a check against the root digest."""
         digest = hashlib.sha256(data).hexdigest()
         self.staged.setdefault(root_digest, {})[index] = digest
 
     def drop(self, root_digest: str) -> None:
-        """Let go of staged chunks."""
+        """Discard the staged chunks of a version."""
         self.staged.pop(root_digest, None)
 
     def reset(self) -> None:
-        """Forget everything: the process has died."""
+        """Discard all state, as a restart of the process does."""
         self._generation += 1
         self.staged.clear()
         self.loaded.clear()
         self.fencing_number = 0
 
     async def load(self, order: LoadOrder, on_loaded: Callable[[], None]) -> str:
-        """Load what is staged, and return the outcome."""
+        """Load the staged chunks and return the outcome."""
         outcome = await self._load(order)
         if outcome == LoadOutcome.DONE:
             on_loaded()
--- a/stand_ins/faults.py
+++ b/stand_ins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in is told to show, drawn from a seeded generator."""
+"""Fault injection for the stand-ins, from a seeded random generator."""
 
 import random
 from collections.abc import Callable
@@ -20,60 +20,60 @@
 
 
 class Faults(BaseModel):
-    """What goes wrong; a new one replaces the last whole."""
+    """Faults to inject; each update replaces all of them."""
 
     model_config = ConfigDict(extra="forbid")
 
     outage: bool = Field(False, description="Refuse every call.")
     slow_s: float = Field(0.0, ge=0, description="Wait before each call.")
     lost_answer_share: float = Share
-    """Share of writes whose answer is lost after they took effect."""
+    """Share of writes that take effect but whose answer is lost."""
     stale_read_share: float = Share
-    """Share of reads that answer with the previous revision."""
+    """Share of reads that return the previous revision."""
     corrupt_share: float = Share
-    """Share of reads whose body is damaged."""
+    """Share of reads whose body is corrupted."""
 
 
-class Silence:
-    """Holds back answers while a stand-in is silent."""
+class ResponseGate:
+    """Blocks answers while a stand-in is silent."""
 
     def __init__(self) -> None:
-        self._end = anyio.Event()
-        self._end.set()
+        self._opened = anyio.Event()
+        self._opened.set()
 
-    def set(self, *, is_silent: bool) -> None:
-        """Begin or end the silence."""
-        if not is_silent:
-            self._end.set()
-        elif self._end.is_set():
-            self._end = anyio.Event()
+    def set(self, *, is_blocked: bool) -> None:
+        """Block answers, or release those that wait."""
+        if not is_blocked:
+            self._opened.set()
+        elif self._opened.is_set():
+            self._opened = anyio.Event()
 
     async def wait(self) -> None:
-        """Return once the stand-in is not silent."""
-        await self._end.wait()
+        """Wait until answers are not blocked."""
+        await self._opened.wait()
 
 
 class FaultControl:
-    """Holds the faults in force, and draws from them."""
+    """Holds the current faults and decides at random which calls they affect."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
         self.faults = Faults()
 
-    def draw(self, share: float) -> bool:
-        """Return true for about this share of calls."""
+    def should_inject(self, share: float) -> bool:
+        """Return True with probability `share`."""
         return share > 0 and self._rng.random() < share
 
     def flip_byte(self, data: bytes) -> bytes:
-        """Return `data` with one byte changed."""
+        """Return `data` with one random byte inverted."""
         if not data:
             return data
-        damaged = bytearray(data)
-        damaged[self._rng.randrange(len(damaged))] ^= 0xFF
-        return bytes(damaged)
+        corrupted = bytearray(data)
+        corrupted[self._rng.randrange(len(corrupted))] ^= 0xFF
+        return bytes(corrupted)
 
     def make_route(self) -> Route:
-        """Return the route by which faults are set and read."""
+        """Return the route that sets and reads the faults."""
         return Route("/control/faults", self._handle, methods=["GET", "PUT", "POST"])
 
     async def _handle(self, request: Request) -> Response:
@@ -88,7 +88,7 @@
 async def read_control(
     request: Request, validate: Callable[[bytes], ControlT]
 ) -> ControlT | Response:
-    """Return the request's validated body, or the answer that says why not."""
+    """Return the validated body, or an error response if it is invalid."""
     try:
         return validate(await request.body())
     except ValidationError as error:
@@ -96,5 +96,5 @@
 
 
 def refuse(detail: str = "outage") -> Response:
-    """Return the answer of a service that did nothing."""
+    """Return a 503 response for a call that had no effect."""
     return JSONResponse({"error": detail}, status_code=REFUSED_STATUS)
--- a/stand_ins/generation.py
+++ b/stand_ins/generation.py
@@ -1,4 +1,4 @@
-"""Text that follows from prompt and weights alone, so that answers can be checked."""
+"""Text generated from prompt and weights alone, so that answers can be verified."""
 
 import hashlib
 from collections.abc import Iterable
@@ -15,10 +15,10 @@
 
 
 def expect_text(prompt: str, weights_digest: str, token_count: int) -> str:
-    """Return the whole answer."""
+    """Return the complete answer."""
     return "".join(make_token(prompt, weights_digest, i) for i in range(token_count))
 
 
 def make_root_digest(chunk_digests: Iterable[str]) -> str:
-    """Return the digest over the hexadecimal digests of the ordered chunks."""
+    """Return the digest of the concatenated hexadecimal digests of ordered chunks."""
     return hashlib.sha256("".join(chunk_digests).encode("ascii")).hexdigest()
--- a/stand_ins/instance_list.py
+++ b/stand_ins/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's instance list, which lags."""
+"""Simulated instance list of the platform, whose changes show after a lag."""
 
 import argparse
 import time
@@ -23,17 +23,17 @@
 
 
 class InstanceListService:
-    """Changes come by control and show after the lag."""
+    """Instance list that shows changes made by control calls after a lag."""
 
     def __init__(self, lag_s: float) -> None:
         self._lag_s = lag_s
-        self._shown: dict[str, InstanceRecord] = {}
+        self._visible: dict[str, InstanceRecord] = {}
         self._pending: deque[tuple[float, str, InstanceRecord | None]] = deque()
         self._control = FaultControl(0)
         self._fetches = 0
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of the list and of its control."""
+        """Return the routes of the list and its control interface."""
         return [
             Route("/v1/instances", self._fetch, methods=["GET"]),
             Route("/control/instances/{name}", self._put, methods=["PUT"]),
@@ -50,19 +50,19 @@
             return refuse()
         if self._control.faults.slow_s:
             await anyio.sleep(self._control.faults.slow_s)
-        self._show_due()
-        body = _RECORDS.dump_json(tuple(self._shown.values()))
+        self._apply_due_changes()
+        body = _RECORDS.dump_json(tuple(self._visible.values()))
         return Response(body, media_type="application/json")
 
     async def _put(self, request: Request) -> Response:
         record = await read_control(request, _RECORD.validate_json)
         if isinstance(record, Response):
             return record
-        self._change(request.path_params["name"], record)
+        self._schedule_change(request.path_params["name"], record)
         return Response(status_code=204)
 
     async def _delete(self, request: Request) -> Response:
-        self._change(request.path_params["name"], None)
+        self._schedule_change(request.path_params["name"], None)
         return Response(status_code=204)
 
     async def _set_lag(self, request: Request) -> Response:
@@ -70,29 +70,29 @@
         return Response(status_code=204)
 
     async def _counts(self, request: Request) -> Response:
-        return JSONResponse({"fetches": self._fetches, "shown": len(self._shown)})
+        return JSONResponse({"fetches": self._fetches, "shown": len(self._visible)})
 
-    def _change(self, name: str, record: InstanceRecord | None) -> None:
+    def _schedule_change(self, name: str, record: InstanceRecord | None) -> None:
         self._pending.append((time.monotonic(), name, record))
-        self._show_due()
+        self._apply_due_changes()
 
-    def _show_due(self) -> None:
-        due_s = time.monotonic() - self._lag_s
-        while self._pending and self._pending[0][0] <= due_s:
+    def _apply_due_changes(self) -> None:
+        latest_change_s = time.monotonic() - self._lag_s
+        while self._pending and self._pending[0][0] <= latest_change_s:
             _, name, record = self._pending.popleft()
             if record is None:
-                self._shown.pop(name, None)
+                self._visible.pop(name, None)
             else:
-                self._shown[name] = record
+                self._visible[name] = record
 
 
 def create_app(lag_s: float = 0.0) -> Starlette:
-    """Make the app."""
+    """Create the ASGI app."""
     return Starlette(routes=InstanceListService(lag_s).make_routes())
 
 
 def main() -> None:
-    """Serve the stand-in."""
+    """Run the server."""
     parser = argparse.ArgumentParser(description=__doc__)
     add_port_argument(parser)
     parser.add_argument("--lag-s", type=float, default=0.0)
--- a/stand_ins/key_value.py
+++ b/stand_ins/key_value.py
@@ -1,4 +1,4 @@
-"""The key-value service: compare-and-swap, leases, watches, call counting."""
+"""Simulated key-value service: compare-and-swap, leases, watches, call counts."""
 
 import argparse
 import time
@@ -12,16 +12,16 @@
 from .counters import CallCounter
 from .faults import FaultControl, refuse
 from .key_value_state import Entry, KeyValueState
-from .serving import CutResponse, add_port_argument, serve_ports
+from .serving import TruncatedResponse, add_port_argument, serve_ports
 
 __all__ = ["KeyValueService", "create_app"]
 
-VALUE_LIMIT_BYTES = 1024 * 1024
-WATCH_LIMIT_S = 300.0
+MAX_VALUE_BYTES = 1024 * 1024
+MAX_WATCH_S = 300.0
 
 
 class KeyValueService:
-    """The HTTP side of the key-value stand-in."""
+    """HTTP interface of the key-value stand-in."""
 
     def __init__(self, seed: int = 0, reads_per_s: int = 0, writes_per_s: int = 0):
         self._state = KeyValueState()
@@ -29,11 +29,11 @@
         self._counter = CallCounter()
         self._reads_per_s = reads_per_s
         self._writes_per_s = writes_per_s
-        self._changed: dict[str, anyio.Event] = {}
+        self._change_events: dict[str, anyio.Event] = {}
         self._watches_waiting = 0
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of the service and of its control."""
+        """Return the routes of the service and its control interface."""
         return [
             Route("/v1/entry", self._get, methods=["GET"]),
             Route("/v1/entry", self._put, methods=["PUT"]),
@@ -45,8 +45,8 @@
             self._control.make_route(),
         ]
 
-    async def _enter(self, kind: str, limit_per_s: int) -> Response | None:
-        """Count a call and show the faults; return a refusal if there is one."""
+    async def _admit_call(self, kind: str, limit_per_s: int) -> Response | None:
+        """Count a call and inject faults; return an error response if it is refused."""
         self._counter.add(kind)
         if self._control.faults.outage:
             return refuse()
@@ -59,21 +59,21 @@
         return None
 
     async def _get(self, request: Request) -> Response:
-        refusal = await self._enter("gets", self._reads_per_s)
+        refusal = await self._admit_call("gets", self._reads_per_s)
         if refusal is not None:
             return refusal
         key = request.query_params["key"]
         entry = self._state.get(key)
-        if self._control.draw(self._control.faults.stale_read_share):
+        if self._control.should_inject(self._control.faults.stale_read_share):
             entry = self._state.get_previous(key) or entry
         return make_entry_answer(entry) if entry else Response(status_code=404)
 
     async def _put(self, request: Request) -> Response:
         value = await request.body()
-        refusal = await self._enter("writes", self._writes_per_s)
+        refusal = await self._admit_call("writes", self._writes_per_s)
         if refusal is not None:
             return refusal
-        if len(value) > VALUE_LIMIT_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return JSONResponse({"error": "value larger than 1 MiB"}, status_code=413)
         params = request.query_params
         lease_id = params.get("lease", "")
@@ -85,16 +85,16 @@
         if revision is None:
             self._counter.add("conflicts")
             return JSONResponse({"error": "stale revision"}, status_code=409)
-        self._changed.pop(key, anyio.Event()).set()
+        self._change_events.pop(key, anyio.Event()).set()
         return self._answer_write({"revision": revision})
 
     async def _watch(self, request: Request) -> Response:
-        refusal = await self._enter("watches", self._reads_per_s)
+        refusal = await self._admit_call("watches", self._reads_per_s)
         if refusal is not None:
             return refusal
         params = request.query_params
         after = int(params["after"])
-        timeout_s = min(float(params["timeout_s"]), WATCH_LIMIT_S)
+        timeout_s = min(float(params["timeout_s"]), MAX_WATCH_S)
         self._watches_waiting += 1
         try:
             entry = await self._wait_for_newer(params["key"], after, timeout_s)
@@ -112,18 +112,18 @@
                 entry = self._state.get(key)
                 if entry is not None and entry.revision > after:
                     return entry
-                await self._changed.setdefault(key, anyio.Event()).wait()
+                await self._change_events.setdefault(key, anyio.Event()).wait()
         return None
 
     async def _grant(self, request: Request) -> Response:
-        refusal = await self._enter("writes", self._writes_per_s)
+        refusal = await self._admit_call("writes", self._writes_per_s)
         if refusal is not None:
             return refusal
         ttl_s = float(request.query_params["ttl_s"])
         return self._answer_write({"lease": self._state.grant(ttl_s, time.monotonic())})
 
     async def _renew(self, request: Request) -> Response:
-        refusal = await self._enter("writes", self._writes_per_s)
+        refusal = await self._admit_call("writes", self._writes_per_s)
         if refusal is not None:
             return refusal
         lease_id = request.query_params["lease"]
@@ -132,9 +132,9 @@
         return self._answer_write({"lease": lease_id})
 
     def _answer_write(self, answer: dict[str, object]) -> Response:
-        if self._control.draw(self._control.faults.lost_answer_share):
+        if self._control.should_inject(self._control.faults.lost_answer_share):
             self._counter.add("lost_answers")
-            return CutResponse()
+            return TruncatedResponse()
         return JSONResponse(answer)
 
     async def _counts(self, request: Request) -> Response:
@@ -143,7 +143,7 @@
 
 
 def make_entry_answer(entry: Entry) -> Response:
-    """Return the answer that carries an entry."""
+    """Return the response with an entry's value and revision."""
     return Response(
         entry.value,
         headers={"x-revision": str(entry.revision)},
@@ -154,13 +154,13 @@
 def create_app(
     seed: int = 0, *, reads_per_s: int = 0, writes_per_s: int = 0
 ) -> Starlette:
-    """Make the app; a rate of 0 sets no limit."""
+    """Create the ASGI app; a rate of 0 sets no limit."""
     service = KeyValueService(seed, reads_per_s, writes_per_s)
     return Starlette(routes=service.make_routes())
 
 
 def main() -> None:
-    """Serve the stand-in."""
+    """Run the server."""
     parser = argparse.ArgumentParser(description=__doc__)
     add_port_argument(parser)
     parser.add_argument("--seed", type=int, default=0)
--- a/stand_ins/key_value_state.py
+++ b/stand_ins/key_value_state.py
@@ -1,4 +1,4 @@
-"""The state of the key-value stand-in: entries, revisions and leases."""
+"""State of the simulated key-value service: entries, revisions and leases."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A value at a revision; revisions are never used twice."""
+    """A value and its revision; no revision is used twice, even for different keys."""
 
     value: bytes
     revision: int
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A time to live, and the keys that end with it."""
+    """A lease, and the keys that are deleted when it expires."""
 
     ttl_s: float
     expires_s: float
@@ -23,7 +23,7 @@
 
 
 class KeyValueState:
-    """Entries under compare-and-swap; callers pass the time."""
+    """Entries changed by compare-and-swap; callers pass the current time."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
@@ -33,17 +33,17 @@
         self._last_lease = 0
 
     def get(self, key: str) -> Entry | None:
-        """Return the entry."""
+        """Return the current entry, or None."""
         return self._entries.get(key)
 
     def get_previous(self, key: str) -> Entry | None:
-        """Return the entry as it was before the last write, if there was one."""
+        """Return the entry before the last write, or None."""
         return self._previous.get(key)
 
     def compare_and_swap(
         self, key: str, value: bytes, expected: int, lease_id: str
     ) -> int | None:
-        """Return the new revision, or None where the expected one is stale."""
+        """Return the new revision, or None if `expected` is not the current one."""
         current = self._entries.get(key)
         if expected != (current.revision if current else 0):
             return None
@@ -58,14 +58,14 @@
         return self._last_revision
 
     def grant(self, ttl_s: float, now_s: float) -> str:
-        """Return the id of a new lease."""
+        """Create a lease and return its id."""
         self._last_lease += 1
         lease_id = f"lease-{self._last_lease}"
         self._leases[lease_id] = Lease(ttl_s, now_s + ttl_s)
         return lease_id
 
     def renew(self, lease_id: str, now_s: float) -> bool:
-        """Start the time to live again; false once the lease has ended."""
+        """Restart the lease's time to live; return False if it has expired."""
         lease = self._leases.get(lease_id)
         if lease is None:
             return False
@@ -73,12 +73,12 @@
         return True
 
     def has_lease(self, lease_id: str) -> bool:
-        """Tell whether the lease still runs."""
+        """Return whether the lease exists."""
         return lease_id in self._leases
 
     def expire(self, now_s: float) -> None:
-        """Delete ended leases and their keys."""
-        ended = [i for i, lease in self._leases.items() if lease.expires_s <= now_s]
-        for lease_id in ended:
+        """Delete expired leases and their keys."""
+        expired = [i for i, lease in self._leases.items() if lease.expires_s <= now_s]
+        for lease_id in expired:
             for key in self._leases.pop(lease_id).keys:
                 self._entries.pop(key, None)
--- a/stand_ins/keys.py
+++ b/stand_ins/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that carry their date: UUIDs of version 7 (RFC 9562)."""
+"""Idempotency keys that contain a timestamp: version 7 UUIDs (RFC 9562)."""
 
 import random
 import time
@@ -10,7 +10,7 @@
 
 
 def make_dated_key(rng: random.Random) -> str:
-    """Return a key of now."""
+    """Return a key with the current time."""
     bits = rng.getrandbits(RANDOM_BITS)
     high, low = bits >> 62, bits & ((1 << 62) - 1)
     number = (int(time.time() * 1000) << 80) | (7 << 76) | (high << 64)
--- a/stand_ins/lagged.py
+++ b/stand_ins/lagged.py
@@ -1,4 +1,4 @@
-"""A figure that is reported late."""
+"""A value that is reported with a lag."""
 
 import time
 from collections import deque
@@ -10,15 +10,15 @@
 
 
 class LaggedValue(Generic[ValueT]):
-    """Report the value as it was a while ago."""
+    """Reports a value as it was `lag_s` ago."""
 
     def __init__(self, initial: ValueT, lag_s: float) -> None:
         self.lag_s = lag_s
-        self._shown = initial
+        self._visible = initial
         self._pending: deque[tuple[float, ValueT]] = deque()
 
     def set(self, value: ValueT) -> None:
-        """Record the value of now."""
+        """Record the current value."""
         self._pending.append((time.monotonic() + self.lag_s, value))
         self.get()
 
@@ -26,5 +26,5 @@
         """Return the value as it was `lag_s` ago."""
         now_s = time.monotonic()
         while self._pending and self._pending[0][0] <= now_s:
-            self._shown = self._pending.popleft()[1]
-        return self._shown
+            self._visible = self._pending.popleft()[1]
+        return self._visible
--- a/stand_ins/launcher.py
+++ b/stand_ins/launcher.py
@@ -1,4 +1,4 @@
-"""Start and stop a whole deployment: the platform, its targets, and the daemons."""
+"""Start and stop a deployment: platform stand-ins, targets and daemons."""
 
 import os
 import re
@@ -34,44 +34,44 @@
 
 @dataclass(frozen=True)
 class LauncherOptions:
-    """What a trial varies."""
+    """Options of a launch that trials vary."""
 
     targets_per_process: int = 1
-    """Stand-ins of one kind that share a process, to save memory."""
+    """Target stand-ins of a pool that share a process, to save memory."""
     key_value_arguments: tuple[str, ...] = ()
     origin_arguments: tuple[str, ...] = ()
     engine_arguments: tuple[str, ...] = ()
     plain_arguments: tuple[str, ...] = ()
     instance_lag_s: float = 1.0
     daemon_settings: dict[str, Any] = field(default_factory=dict)
-    """Merged into each daemon's settings, table by table."""
+    """Settings merged into those of each daemon, table by table."""
     has_daemons: bool = True
     has_relays: bool = False
-    """Put a relay before the key-value service and before each target."""
+    """Place a relay in front of the key-value service and of each target."""
 
 
 @dataclass(frozen=True)
 class Daemon:
-    """A daemon as it was started."""
+    """A daemon of the deployment."""
 
     record: InstanceRecord
     settings_path: Path
     target_url: str = ""
-    """The target itself, past any relay."""
+    """Direct URL of an agent's target, not through a relay."""
 
     @property
     def name(self) -> str:
-        """Return the daemon's name, which its process bears, too."""
+        """Return the daemon's name, which is also its process's name."""
         return self.record.name
 
     @property
     def http_url(self) -> str:
-        """Return where callers and operators reach it."""
+        """Return the URL for callers and operators."""
         return f"http://{HOST}:{self.record.http_port}"
 
 
 class Launcher:
-    """One running deployment."""
+    """Starts and stops the processes of one deployment."""
 
     def __init__(
         self, deployment: Deployment, options: LauncherOptions, folder: Path
@@ -86,14 +86,14 @@
         self.origin_url = ""
         self.instance_list_url = ""
         self.relay_urls: dict[str, str] = {}
-        """Where the relay before an URL is controlled."""
-        self._relayed: dict[str, str] = {}
+        """Control URL of each relay, by the URL of the server behind it."""
+        self._relay_urls_by_server: dict[str, str] = {}
         self._ports = PortAllocator()
         self._http = httpx.Client(trust_env=False, verify=False, timeout=5.0)
 
     @property
     def daemons(self) -> list[Daemon]:
-        """Return entries and agents."""
+        """Return all entries and agents."""
         return [*self.entries, *self.agents]
 
     def agents_of(self, pool: str) -> list[Daemon]:
@@ -101,13 +101,13 @@
         return [agent for agent in self.agents if agent.record.pool == pool]
 
     def start(self) -> None:
-        """Start everything and wait until it answers."""
+        """Start all processes and wait until they answer."""
         self._start_platform()
         target_urls = self._start_targets()
         if self.options.has_relays:
             urls = [url for pool_urls in target_urls.values() for url in pool_urls]
             self._start_relays([self.key_value_url, *urls])
-        self._wait(self.processes.names)
+        self._wait_until_ready(self.processes.names)
         if not self.options.has_daemons:
             return
         self._make_entries()
@@ -115,7 +115,7 @@
         for daemon in self.daemons:
             self.start_daemon(daemon)
             self.set_instance(daemon, InstanceState.LIVE)
-        self._wait(tuple(daemon.name for daemon in self.daemons))
+        self._wait_until_ready(tuple(daemon.name for daemon in self.daemons))
 
     def start_daemon(self, daemon: Daemon) -> None:
         """Start a daemon's process."""
@@ -128,20 +128,20 @@
         )
 
     def set_instance(self, daemon: Daemon, state: InstanceState) -> None:
-        """Have the instance list show a daemon's instance, after its lag."""
+        """Set the state of a daemon's instance, which the list shows after its lag."""
         body = {**asdict(daemon.record), "state": state.value}
         url = f"{self.instance_list_url}/control/instances/{daemon.name}"
         self._http.put(url, json=body).raise_for_status()
 
     def close(self) -> list[str]:
-        """Stop the daemons, then the rest; return the names that had to be killed."""
+        """Stop the daemons, then the rest; return the names of processes killed."""
         self._http.close()
         started = self.processes.names
         daemons = [d.name for d in self.daemons if d.name in started]
         killed = self.processes.stop_all(daemons) if daemons else []
         return killed + self.processes.stop_all()
 
-    def _wait(self, names: tuple[str, ...]) -> None:
+    def _wait_until_ready(self, names: tuple[str, ...]) -> None:
         self.processes.wait_ready(list(names), READY_TIMEOUT_S)
 
     def _start_platform(self) -> None:
@@ -160,7 +160,7 @@
     def _start_stand_in(
         self, name: str, module: str, count: int, arguments: tuple[str, ...]
     ) -> list[str]:
-        """Start one process that holds `count` stand-ins; return their URLs."""
+        """Start one process that runs `count` stand-ins; return their URLs."""
         ports = [self._ports.allocate() for _ in range(count)]
         options = [part for port in ports for part in ("--port", str(port))]
         urls = [f"http://{HOST}:{port}" for port in ports]
@@ -170,14 +170,14 @@
         return urls
 
     def _start_relays(self, urls: list[str]) -> None:
-        """Start one process with a relay before each URL."""
+        """Start one process with a relay in front of each URL."""
         arguments: list[str] = []
         for url in urls:
             port, control_port = self._ports.allocate(), self._ports.allocate()
             server_port = url.rpartition(":")[2]
             arguments += ["--port", str(port), "--server-port", server_port]
             arguments += ["--control-port", str(control_port)]
-            self._relayed[url] = f"http://{HOST}:{port}"
+            self._relay_urls_by_server[url] = f"http://{HOST}:{port}"
             self.relay_urls[url] = f"http://{HOST}:{control_port}"
         ready_url = f"{self.relay_urls[urls[-1]]}/control/ready"
         self.processes.start(
@@ -213,12 +213,12 @@
                 zone = zones[i % len(zones)]
                 name = f"{pool.name}-{i}"
                 record = self._make_record(name, "agent", zone, pool.name)
-                fencing = "--ignore-fencing" not in self.options.engine_arguments
+                checks_fencing = "--ignore-fencing" not in self.options.engine_arguments
                 target = {
                     "kind": pool.kind.value,
                     "pool": pool.name,
-                    "url": self._relayed.get(url, url),
-                    "checks_fencing": fencing,
+                    "url": self._relay_urls_by_server.get(url, url),
+                    "checks_fencing": checks_fencing,
                 }
                 self.agents.append(self._make_daemon(record, {"target": target}, url))
 
@@ -248,7 +248,7 @@
             "port": record.port,
             "http_port": record.http_port,
             "platform": {
-                "key_value_url": self._relayed.get(
+                "key_value_url": self._relay_urls_by_server.get(
                     self.key_value_url, self.key_value_url
                 ),
                 "instance_list_url": self.instance_list_url,
@@ -265,7 +265,7 @@
 
 
 def merge_tables(document: dict[str, Any], extra: dict[str, Any]) -> None:
-    """Add keys to the document's tables; those of a role it lacks are left out."""
+    """Merge `extra` into the document; skip `target` if the document has none."""
     for key, value in extra.items():
         if not isinstance(value, dict):
             document[key] = value
@@ -274,7 +274,7 @@
 
 
 def remove_stale_folders() -> None:
-    """Remove the logs of launchers that were killed and couldn't do it."""
+    """Remove the folders of launchers that were killed before they could."""
     for path in Path(tempfile.gettempdir()).glob("reedspar-*"):
         match = _FOLDER_NAME.fullmatch(path.name)
         if match is not None and not Path(f"/proc/{match.group(1)}").exists():
@@ -285,7 +285,7 @@
 def launch(
     deployment: Deployment, options: LauncherOptions | None = None
 ) -> Iterator[Launcher]:
-    """Run a deployment for the time of the block, and leave nothing behind."""
+    """Run a deployment for the `with` block, then stop it and delete its folder."""
     remove_stale_folders()
     prefix = f"reedspar-{deployment.name}-{os.getpid()}-"
     folder = Path(tempfile.mkdtemp(prefix=prefix))
--- a/stand_ins/load.py
+++ b/stand_ins/load.py
@@ -1,4 +1,4 @@
-"""A steady load of quotes, streams, orders and questions for their status."""
+"""Load generator: quotes, streams, orders and status reads at fixed mean rates."""
 
 import json
 import random
@@ -19,15 +19,15 @@
 
 __all__ = ["Load", "LoadPlan"]
 
-REPEAT_DELAY_S = 0.6
-PROMPT_FAMILIES = 12
+MAX_REPEAT_DELAY_S = 0.6
+PROMPT_FAMILY_COUNT = 12
 """Prompts of one family share a long prefix."""
 PREFIX_CHARACTERS = 256
 
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """Calls started each second, and their sizes."""
+    """Mean call rates and call parameters of a load."""
 
     quotes_per_s: float = 20.0
     streams_per_s: float = 8.0
@@ -37,14 +37,14 @@
     repeat_share: float = 0.3
     """Share of keyed orders that are sent twice."""
     keyless_share: float = 0.2
-    """Share of orders without an idempotency key, never sent twice."""
+    """Share of orders without an idempotency key, which are never sent twice."""
     undated_share: float = 0.1
-    """Share of orders whose key does not carry its date."""
+    """Share of orders whose key contains no timestamp."""
     deadline_s: float = 10.0
 
 
 class Load:
-    """Starts calls at the plan's rates; `stop` lets those in flight end."""
+    """Starts calls at the plan's rates until `stop`, then waits for those in flight."""
 
     def __init__(
         self, launcher: Launcher, ledger: Ledger, plan: LoadPlan, seed: int
@@ -74,11 +74,11 @@
             await caller.aclose()
 
     def stop(self) -> None:
-        """Start no more calls."""
+        """Start no more calls; those in flight continue."""
         self._is_stopped = True
 
     async def run(self) -> None:
-        """Call until stopped, and until the last call has ended."""
+        """Start calls until stopped, then wait for the last one to end."""
         plan = self._plan
         async with anyio.create_task_group() as tasks:
             for rate, make_call in (
@@ -88,9 +88,9 @@
                 (plan.statuses_per_s, self._status),
             ):
                 if rate > 0:
-                    tasks.start_soon(self._repeat, tasks, rate, make_call)
+                    tasks.start_soon(self._start_calls, tasks, rate, make_call)
 
-    async def _repeat(
+    async def _start_calls(
         self,
         tasks: TaskGroup,
         rate: float,
@@ -102,7 +102,7 @@
             due_s += self._rng.expovariate(rate)
             await anyio.sleep_until(due_s)
 
-    async def _count(self, call: Awaitable[Call]) -> Call:
+    async def _record(self, call: Awaitable[Call]) -> Call:
         self.in_flight += 1
         try:
             ended = await call
@@ -112,25 +112,25 @@
         return ended
 
     def _pick_caller(self) -> Caller:
-        """Return a caller; the first few workspaces are large."""
+        """Return a random caller; the first two workspaces get most calls."""
         weights = [8 if i < 2 else 1 for i in range(len(self._callers))]
         return self._rng.choices(self._callers, weights)[0]
 
     def _make_prompt(self) -> str:
         self._call_count += 1
-        family = f"moulding {self._rng.randrange(PROMPT_FAMILIES)}; "
+        family = f"moulding {self._rng.randrange(PROMPT_FAMILY_COUNT)}; "
         prefix = (family * PREFIX_CHARACTERS)[:PREFIX_CHARACTERS]
         return f"{prefix}quote {self._call_count}"
 
     async def _quote(self) -> None:
-        await self._ask(stream=False)
+        await self._request_completion(stream=False)
 
     async def _stream(self) -> None:
-        await self._ask(stream=True)
+        await self._request_completion(stream=True)
 
-    async def _ask(self, *, stream: bool) -> None:
+    async def _request_completion(self, *, stream: bool) -> None:
         pool = self._model_pool
-        await self._count(
+        await self._record(
             self._pick_caller().quote(
                 pool.name,
                 pool.models[0],
@@ -153,11 +153,11 @@
 
             async def send() -> None:
                 pool = self._order_pool.name
-                await self._count(caller.order(pool, order_id, body, has_key=has_key))
+                await self._record(caller.order(pool, order_id, body, has_key=has_key))
 
             tasks.start_soon(send)
             if is_repeated:
-                await anyio.sleep(self._rng.random() * REPEAT_DELAY_S)
+                await anyio.sleep(self._rng.random() * MAX_REPEAT_DELAY_S)
                 tasks.start_soon(send)
 
     async def _status(self) -> None:
@@ -165,4 +165,4 @@
         self._call_count += 1
         name = f"{order_id}-{self._call_count}"
         pool = self._status_pool.name
-        await self._count(self._pick_caller().read_status(pool, name))
+        await self._record(self._pick_caller().read_status(pool, name))
--- a/stand_ins/operations.py
+++ b/stand_ins/operations.py
@@ -1,4 +1,4 @@
-"""What an operator does in a trial, over the daemons' HTTP interface."""
+"""Operator actions in trials, through the daemons' HTTP interface."""
 
 import time
 import uuid
@@ -16,24 +16,24 @@
 
 __all__ = ["Operator", "OperatorError"]
 
-POLL_S = 0.05
-PATCH_ATTEMPTS = 20
+POLL_INTERVAL_S = 0.05
+MAX_PATCH_ATTEMPTS = 20
 
 
 class OperatorError(Exception):
-    """A step of the operator's was refused; the text says which and why."""
+    """An operator action was refused; the message names it and the reason."""
 
 
 @dataclass
-class Accepted:
-    """An accepted patch."""
+class AcceptedPatch:
+    """Version and time of an accepted patch."""
 
     version: int
     at: float
 
 
 class Operator:
-    """Patches the configuration, publishes versions, watches replicas."""
+    """Patches the configuration, publishes versions and waits for replicas."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
@@ -44,7 +44,7 @@
         await self._client.aclose()
 
     async def read_configuration(self) -> dict[str, Any]:
-        """Return the newest document that an entry knows."""
+        """Return the newest configuration document that any entry has."""
         newest: dict[str, Any] = {"version": 0}
         for daemon in self._launcher.entries:
             try:
@@ -57,11 +57,11 @@
                 newest = answer.json()
         return newest
 
-    async def patch(self, changes: dict[str, Any], summary: str) -> Accepted:
-        """Patch against the current version; on a race, read it again."""
+    async def patch(self, changes: dict[str, Any], summary: str) -> AcceptedPatch:
+        """Patch the current version; after a conflict, read it again and retry."""
         detail = ""
         patch_id = uuid.uuid4().hex
-        for attempt in range(PATCH_ATTEMPTS):
+        for attempt in range(MAX_PATCH_ATTEMPTS):
             document = await self.read_configuration()
             body = {
                 "base_version": document["version"],
@@ -80,13 +80,13 @@
                 detail = repr(error)
                 continue
             if answer.is_success:
-                return Accepted(answer.json()["version"], time.time())
+                return AcceptedPatch(answer.json()["version"], time.time())
             detail = answer.text
-            await anyio.sleep(POLL_S * (attempt + 1))
+            await anyio.sleep(POLL_INTERVAL_S * (attempt + 1))
         raise OperatorError(f"patch {summary!r}: {detail}")
 
-    async def configure(self) -> Accepted:
-        """Write the first configuration: pools and workspaces."""
+    async def configure(self) -> AcceptedPatch:
+        """Write the initial configuration: pools and workspaces."""
         deployment = self._launcher.deployment
         pools = {}
         for pool in deployment.pools:
@@ -103,7 +103,7 @@
     async def publish(
         self, model: str, label: str, sequence: int, weights: bytes, chunk_size: int
     ) -> Publication:
-        """Bring a version to the origin and into the configuration."""
+        """Publish a version to the origin and name it in the configuration."""
         origin = create_http_weight_source(self._launcher.origin_url)
         publication = await publish_weights(
             origin, model, label, sequence, weights, chunk_size
@@ -115,16 +115,16 @@
         await self.patch({"models": {model: version}}, f"publish {model} {label}")
         return publication
 
-    async def set_zone(self, zone: str, state: str) -> Accepted:
-        """Take a zone out or in."""
+    async def set_zone(self, zone: str, state: str) -> AcceptedPatch:
+        """Set the state of a zone, "in" or "out"."""
         return await self.patch({"zones": {zone: state}}, f"zone {zone} {state}")
 
     async def wait_for_replicas(
         self, agents: list[Daemon], model: str, root_digest: str, timeout_s: float
     ) -> dict[str, float]:
-        """Return when each engine had loaded the version, in seconds from now on.
+        """Return how long each engine took to load the version, in seconds from now.
 
-        The engines' own word is taken, not that of the daemons on trial.
+        Reads the engines' own counts, not reports of the daemons under test.
         """
         start_s = time.monotonic()
         loaded: dict[str, float] = {}
@@ -134,7 +134,7 @@
                     continue
                 if await self._read_loaded(agent, model) == root_digest:
                     loaded[agent.name] = time.monotonic() - start_s
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         return loaded
 
     async def _read_loaded(self, agent: Daemon, model: str) -> str:
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -1,4 +1,4 @@
-"""The origin of weights: objects by name, ranged reads, a limited rate."""
+"""Simulated weight origin: objects by name, range reads, a limited rate."""
 
 import argparse
 import re
@@ -17,12 +17,12 @@
 
 __all__ = ["Origin", "create_app"]
 
-PIECE_BYTES = 64 * 1024
+SEND_PIECE_BYTES = 64 * 1024
 _RANGE = re.compile(r"bytes=(\d+)-(\d*)")
 
 
 class Origin:
-    """Objects in memory behind one rate limit."""
+    """In-memory objects whose reads share one rate limit."""
 
     def __init__(self, bytes_per_s: float, seed: int) -> None:
         self._objects: dict[str, bytes] = {}
@@ -32,7 +32,7 @@
         self._control = FaultControl(seed)
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of the origin and of its control."""
+        """Return the routes of the origin and its control interface."""
         return [
             Route("/objects/{name:path}", self._read, methods=["GET", "HEAD"]),
             Route("/objects/{name:path}", self._publish, methods=["PUT"]),
@@ -60,7 +60,7 @@
             return Response(status_code=416, headers=headers)
         start, end = bounds
         body = data[start:end]
-        if self._control.draw(faults.corrupt_share):
+        if self._control.should_inject(faults.corrupt_share):
             body = self._control.flip_byte(body)
         self._reads += 1
         headers = {"content-length": str(len(body))}
@@ -69,13 +69,18 @@
             headers["content-range"] = f"bytes {start}-{end - 1}/{len(data)}"
             status = 206
         return StreamingResponse(
-            self._send_limited(name, body), status, headers, "application/octet-stream"
+            self._send_at_limited_rate(name, body),
+            status,
+            headers,
+            "application/octet-stream",
         )
 
-    async def _send_limited(self, name: str, body: bytes) -> AsyncIterator[bytes]:
-        for start in range(0, len(body), PIECE_BYTES):
-            piece = body[start : start + PIECE_BYTES]
-            await self._limit.take(len(piece))
+    async def _send_at_limited_rate(
+        self, name: str, body: bytes
+    ) -> AsyncIterator[bytes]:
+        for start in range(0, len(body), SEND_PIECE_BYTES):
+            piece = body[start : start + SEND_PIECE_BYTES]
+            await self._limit.acquire(len(piece))
             self._served[name] += len(piece)
             yield piece
 
@@ -101,7 +106,7 @@
 
 
 def parse_range(text: str, size: int) -> tuple[int, int] | None:
-    """Return start and end of a range, or None if it can't be satisfied."""
+    """Return start and end of a range, or None if it is not satisfiable."""
     if not text:
         return 0, size
     match = _RANGE.fullmatch(text)
@@ -113,12 +118,12 @@
 
 
 def create_app(bytes_per_s: float = 0.0, seed: int = 0) -> Starlette:
-    """Make the app; a rate of 0 sets no limit."""
+    """Create the ASGI app; a rate of 0 sets no limit."""
     return Starlette(routes=Origin(bytes_per_s, seed).make_routes())
 
 
 def main() -> None:
-    """Serve the stand-in."""
+    """Run the server."""
     parser = argparse.ArgumentParser(description=__doc__)
     add_port_argument(parser)
     parser.add_argument("--bytes-per-s", type=float, default=0.0)
--- a/stand_ins/plain_service.py
+++ b/stand_ins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts every run of an order."""
+"""Simulated plain service that counts every run of an order."""
 
 import argparse
 import hashlib
@@ -15,9 +15,9 @@
 
 from reedspar.platform import EngineState
 
-from .faults import Silence, read_control, refuse
+from .faults import ResponseGate, read_control, refuse
 from .lagged import LaggedValue
-from .serving import CutResponse, add_port_argument, serve_ports
+from .serving import TruncatedResponse, add_port_argument, serve_ports
 
 __all__ = ["PlainService", "PlainServiceControl", "create_app"]
 
@@ -25,19 +25,21 @@
 
 
 class PlainServiceControl(BaseModel):
-    """How the service behaves; a new one replaces the last whole."""
+    """Run-time behaviour; each update replaces all of it."""
 
     model_config = ConfigDict(extra="forbid")
 
     latency_s: float = Field(0.005, ge=0)
-    crash_next: int = Field(0, ge=0, description="Crash after so many more runs' ends.")
-    restart_s: float = Field(0.3, ge=0, description="How long a crash takes it away.")
-    silent: bool = Field(False, description="Take requests and never answer.")
+    crash_next: int = Field(
+        0, ge=0, description="Crash at the end of each of the next N runs."
+    )
+    restart_s: float = Field(0.3, ge=0, description="Downtime after a crash.")
+    silent: bool = Field(False, description="Accept requests and answer none.")
 
 
 @dataclass
 class Run:
-    """The runs of one order key."""
+    """All runs of one order key."""
 
     count: int = 0
     answered: int = 0
@@ -47,7 +49,7 @@
 
 
 class PlainService:
-    """Run orders, remember each, and answer with a confirmation number."""
+    """Runs orders, records each run, and answers with a confirmation number."""
 
     def __init__(self, load_lag_s: float = 0.2) -> None:
         self._control = PlainServiceControl.model_validate({})
@@ -56,10 +58,10 @@
         self._down_until_s = 0.0
         self._in_flight = 0
         self._load = LaggedValue(0, load_lag_s)
-        self._silence = Silence()
+        self._response_gate = ResponseGate()
 
     def make_routes(self) -> list[Route]:
-        """Return the routes of the service and of its control."""
+        """Return the routes of the service and its control interface."""
         return [
             Route("/state", self._state, methods=["GET"]),
             Route("/control/runs", self._list_runs, methods=["GET"]),
@@ -75,23 +77,23 @@
 
     async def _run(self, request: Request) -> Response:
         body = await request.body()
-        await self._silence.wait()
+        await self._response_gate.wait()
         if self._is_down:
             return refuse("restarting")
         key = find_order_key(request)
         boot_id = self._boot_id
         run = self._record(key, request)
-        self._change_load(1)
+        self._adjust_load(1)
         try:
             await anyio.sleep(self._control.latency_s)
-            await self._silence.wait()
+            await self._response_gate.wait()
         finally:
-            self._change_load(-1)
+            self._adjust_load(-1)
         if self._control.crash_next:
             self._control.crash_next -= 1
             self._crash()
         if boot_id != self._boot_id:
-            return CutResponse()
+            return TruncatedResponse()
         run.answered += 1
         return JSONResponse(make_answer(key, request, body, run.count))
 
@@ -103,8 +105,8 @@
         run.started_at.append(time.time())
         return run
 
-    def _change_load(self, by: int) -> None:
-        self._in_flight += by
+    def _adjust_load(self, delta: int) -> None:
+        self._in_flight += delta
         self._load.set(self._in_flight)
 
     def _crash(self) -> None:
@@ -112,7 +114,7 @@
         self._down_until_s = time.monotonic() + self._control.restart_s
 
     async def _state(self, request: Request) -> Response:
-        await self._silence.wait()
+        await self._response_gate.wait()
         if self._is_down:
             return refuse("restarting")
         state = EngineState(self._boot_id, in_flight=self._load.get())
@@ -129,7 +131,7 @@
         if isinstance(control, Response):
             return control
         self._control = control
-        self._silence.set(is_silent=control.silent)
+        self._response_gate.set(is_blocked=control.silent)
         return Response(status_code=204)
 
     async def _crash_now(self, request: Request) -> Response:
@@ -138,7 +140,7 @@
 
 
 def find_order_key(request: Request) -> str:
-    """Return what names the order: the caller's key or name, or the request's id."""
+    """Return the order's key: the caller's key or order id, or the request id."""
     for name in ("idempotency-key", "x-order-id", "x-request-id"):
         if name in request.headers:
             return request.headers[name]
@@ -148,7 +150,7 @@
 def make_answer(
     key: str, request: Request, body: bytes, run_number: int
 ) -> dict[str, object]:
-    """Return the confirmation; it shows which request it belongs to."""
+    """Return the confirmation, which identifies its request."""
     return {
         "confirmation": f"C-{hashlib.sha256(key.encode()).hexdigest()[:12]}",
         "order_key": key,
@@ -159,12 +161,12 @@
 
 
 def create_app(load_lag_s: float = 0.2) -> Starlette:
-    """Make the app."""
+    """Create the ASGI app."""
     return Starlette(routes=PlainService(load_lag_s).make_routes())
 
 
 def main() -> None:
-    """Serve the stand-in."""
+    """Run the server."""
     parser = argparse.ArgumentParser(description=__doc__)
     add_port_argument(parser)
     parser.add_argument("--load-lag-s", type=float, default=0.2)
--- a/stand_ins/ports.py
+++ b/stand_ins/ports.py
@@ -1,7 +1,7 @@
-"""Free ports below the range that the kernel gives to outgoing connections.
+"""Allocation of free ports below the kernel's ephemeral port range.
 
-A port of that range that is free now may be an outgoing connection's before
-the server binds it; a process of the deployment would then fail to start.
+A free port of the ephemeral range may be given to an outgoing connection
+before the server binds it, and the server would then fail to start.
 """
 
 import os
@@ -15,14 +15,14 @@
 
 
 class PortAllocator:
-    """Hand out ports, none twice."""
+    """Allocates each free port once."""
 
     def __init__(self) -> None:
         rng = random.Random(os.getpid())
         self._next = rng.randrange(FIRST_PORT, LAST_PORT)
 
     def allocate(self) -> int:
-        """Return a port that nobody listens on."""
+        """Return the next port that can be bound."""
         for _ in range(LAST_PORT - FIRST_PORT):
             port = self._next
             self._next = port + 1 if port < LAST_PORT else FIRST_PORT
@@ -32,7 +32,7 @@
 
 
 def is_free(port: int) -> bool:
-    """Tell whether the port can be bound."""
+    """Return whether the port can be bound."""
     with socket.socket() as probe:
         try:
             probe.bind(("127.0.0.1", port))
--- a/stand_ins/prefix_cache.py
+++ b/stand_ins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The engine's prefix cache, whose events come late and with gaps."""
+"""Simulated prefix cache of an engine, whose events are delayed and partly lost."""
 
 import hashlib
 import random
@@ -9,12 +9,12 @@
 __all__ = ["CacheEvent", "PrefixCache"]
 
 BLOCK_CHARACTERS = 64
-EVENTS_KEPT = 4096
+MAX_RETAINED_EVENTS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A block stored or removed; a sequence number that lacks shows a gap."""
+    """A block was stored or removed; a missing sequence number is a lost event."""
 
     sequence: int
     kind: str
@@ -23,7 +23,7 @@
 
 
 class PrefixCache:
-    """A bounded set of prompt prefixes, least recently used out first."""
+    """A bounded LRU set of prompt prefix blocks."""
 
     def __init__(
         self, capacity: int, event_lag_s: float, event_gap_share: float, seed: int
@@ -37,7 +37,7 @@
         self._sequence = 0
 
     def use(self, prompt: str) -> int:
-        """Store the prompt's prefixes; return how many blocks were missing."""
+        """Store the prompt's blocks; return how many were not cached."""
         missing = 0
         for block in make_blocks(prompt):
             if block in self._blocks:
@@ -45,19 +45,19 @@
                 continue
             missing += 1
             self._blocks[block] = None
-            self._report("stored", block)
+            self._record_event("stored", block)
         while len(self._blocks) > self._capacity:
             removed, _ = self._blocks.popitem(last=False)
-            self._report("removed", removed)
+            self._record_event("removed", removed)
         return missing
 
     def clear(self) -> None:
-        """Forget everything, without events: the process has died."""
+        """Discard all blocks and events, as a restart of the process does."""
         self._blocks.clear()
         self._events.clear()
 
     def events_after(self, sequence: int) -> list[CacheEvent]:
-        """Return the events that can be seen by now."""
+        """Return the events after `sequence` that are visible by now."""
         now_s = time.monotonic()
         return [
             event
@@ -65,16 +65,16 @@
             if event.sequence > sequence and event.visible_s <= now_s
         ]
 
-    def _report(self, kind: str, block: str) -> None:
+    def _record_event(self, kind: str, block: str) -> None:
         self._sequence += 1
         if self._rng.random() < self._event_gap_share:
             return
         visible_s = time.monotonic() + self._event_lag_s
         self._events.append(CacheEvent(self._sequence, kind, block, visible_s))
-        del self._events[:-EVENTS_KEPT]
+        del self._events[:-MAX_RETAINED_EVENTS]
 
 
 def make_blocks(prompt: str) -> list[str]:
-    """Return the names of the prompt's prefixes, one for each full block."""
+    """Return a digest of the prompt up to the end of each full block."""
     ends = range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS)
     return [hashlib.sha256(prompt[:end].encode()).hexdigest()[:16] for end in ends]
--- a/stand_ins/processes.py
+++ b/stand_ins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment: started, watched, stopped, none left behind."""
+"""Start, monitor and stop the processes of a deployment."""
 
 import os
 import signal
@@ -15,19 +15,19 @@
 __all__ = ["ManagedProcess", "ProcessGroup", "StartError", "exit_on_signals"]
 
 TOP = Path(__file__).resolve().parent.parent
-POLL_S = 0.02
+READY_POLL_INTERVAL_S = 0.02
 STOP_TIMEOUT_S = 10.0
-"""Longer than an entry waits for the last caller that was told its address."""
+"""Longer than an entry, on shutdown, serves callers that still have its address."""
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
 class StartError(Exception):
-    """A process did not become ready; the text holds the end of its log."""
+    """A process did not become ready; the message has the end of its log."""
 
 
 @dataclass
 class ManagedProcess:
-    """One process, and how to start it again."""
+    """One process and what a restart needs."""
 
     name: str
     arguments: list[str]
@@ -38,7 +38,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Return whether the process is running."""
         return self.popen.poll() is None
 
     def read_log_tail(self, size_bytes: int = 2000) -> str:
@@ -47,10 +47,10 @@
 
 
 class ProcessGroup:
-    """Start processes that die with this one, and stop them all.
+    """Starts processes that the kernel kills when this one dies, and stops them.
 
-    Use it from the main thread: the kernel takes the end of the thread that
-    started a process for the end of its parent.
+    Use it from the main thread: the kernel sends the parent-death signal when
+    the thread that started a process ends.
     """
 
     def __init__(self, log_folder: Path) -> None:
@@ -63,34 +63,34 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Return the names in the order of start."""
+        """Return the process names in start order."""
         return tuple(self._processes)
 
     def start(self, name: str, module: str, *arguments: str, ready_url: str) -> None:
-        """Start ``python -m module`` under a name."""
+        """Start ``python -m module`` as process `name`."""
         command = [sys.executable, "-m", "stand_ins.run", str(os.getpid()), module]
         command.extend(arguments)
         log_path = self._log_folder / f"{name}.log"
-        popen = self._open(command, log_path)
+        popen = self._spawn(command, log_path)
         self._processes[name] = ManagedProcess(
             name, command, log_path, ready_url, popen
         )
 
     def wait_ready(self, names: list[str], timeout_s: float) -> None:
-        """Wait until each answers HTTP at its URL; raise `StartError` otherwise."""
+        """Wait until each answers at its URL; raise `StartError` on exit or timeout."""
         deadline_s = time.monotonic() + timeout_s
         with httpx.Client(trust_env=False, verify=False, timeout=1.0) as client:
             for name in names:
-                self._wait_one(client, self._processes[name], deadline_s)
+                self._wait_until_ready(client, self._processes[name], deadline_s)
 
     def kill(self, name: str, number: signal.Signals = signal.SIGKILL) -> None:
-        """Send a signal."""
+        """Send a signal, SIGKILL by default, to a running process."""
         process = self._processes[name]
         if process.is_running:
             process.popen.send_signal(number)
 
     def stop(self, name: str, timeout_s: float) -> int | None:
-        """Ask for a graceful stop and return the exit code; None if too late."""
+        """Send SIGTERM and return the exit code, or None after `timeout_s`."""
         process = self._processes[name]
         process.should_run = False
         self.kill(name, signal.SIGTERM)
@@ -100,16 +100,16 @@
             return None
 
     def restart(self, name: str) -> None:
-        """Start a process again that has ended."""
+        """Start a process again, after killing it if it still runs."""
         process = self._processes[name]
         if process.is_running:
             self.kill(name)
         process.popen.wait()
         process.should_run = True
-        process.popen = self._open(process.arguments, process.log_path)
+        process.popen = self._spawn(process.arguments, process.log_path)
 
     def find_unexpected_exits(self) -> list[ManagedProcess]:
-        """Return those that ended though nobody asked them to."""
+        """Return the processes that ended without being stopped."""
         return [
             p for p in self._processes.values() if p.should_run and not p.is_running
         ]
@@ -117,7 +117,7 @@
     def stop_all(
         self, names: Iterable[str] = (), timeout_s: float = STOP_TIMEOUT_S
     ) -> list[str]:
-        """Stop those named, or all; return the names that had to be killed."""
+        """Stop the named processes, or all; return the names of those killed."""
         chosen = [self._processes[name] for name in names or self.names]
         running = [process for process in chosen if process.is_running]
         for process in running:
@@ -135,7 +135,7 @@
                 killed.append(process.name)
         return killed
 
-    def _open(self, command: list[str], log_path: Path) -> subprocess.Popen[bytes]:
+    def _spawn(self, command: list[str], log_path: Path) -> subprocess.Popen[bytes]:
         environment = {**os.environ, "PYTHONPATH": str(TOP)}
         with log_path.open("ab") as log:
             return subprocess.Popen(
@@ -148,28 +148,28 @@
                 process_group=0,
             )
 
-    def _wait_one(
+    def _wait_until_ready(
         self, client: httpx.Client, process: ManagedProcess, deadline_s: float
     ) -> None:
         while time.monotonic() < deadline_s:
             if not process.is_running:
                 code = process.popen.returncode
                 tail = process.read_log_tail()
-                raise StartError(f"{process.name} ended with {code}:\n{tail}")
+                raise StartError(f"{process.name} exited with {code}:\n{tail}")
             try:
                 answer = client.get(process.ready_url)
             except httpx.HTTPError:
-                time.sleep(POLL_S)
+                time.sleep(READY_POLL_INTERVAL_S)
                 continue
             if answer.status_code < httpx.codes.INTERNAL_SERVER_ERROR:
                 return
-            time.sleep(POLL_S)
+            time.sleep(READY_POLL_INTERVAL_S)
         tail = process.read_log_tail()
-        raise StartError(f"{process.name} is not ready in time:\n{tail}")
+        raise StartError(f"{process.name} did not become ready in time:\n{tail}")
 
 
 def exit_on_signals(numbers: tuple[signal.Signals, ...] = STOP_SIGNALS) -> None:
-    """Turn stop signals into `SystemExit`, so that all is stopped on the way out."""
+    """Raise `SystemExit` on stop signals, so that cleanup code runs."""
     handler: Callable[[int, FrameType | None], None] = _raise_exit
     for number in numbers:
         signal.signal(number, handler)
--- a/stand_ins/promises.py
+++ b/stand_ins/promises.py
@@ -1,4 +1,4 @@
-"""The brief's promises, checked against what callers saw and targets did."""
+"""Check the system's guarantees against the records of callers and targets."""
 
 import math
 from collections import Counter, defaultdict
@@ -22,15 +22,15 @@
     "compute_percentile",
 ]
 
-ZONE_OUT_LIMIT_S = 3.0
-"""Time after which a zone that was taken out gets no new work."""
+ZONE_OUT_DEADLINE_S = 3.0
+"""Time from accepting a zone's removal after which it may get no new work."""
 STALL_RELEASE_MARGIN_S = 0.5
-"""Time in which a path that has cleared passes on what it held."""
+"""Time for a path to deliver its delayed bytes once it is no longer silent."""
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken promise."""
+    """A broken promise, with its time and details."""
 
     at: float
     promise: str
@@ -39,7 +39,7 @@
 
 @dataclass
 class ZoneOutage:
-    """A time in which a zone was out; `ended_at` is that of the order to return."""
+    """A period in which a zone was out; ends when its return is requested."""
 
     zone: str
     accepted_at: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class StalledPath:
-    """A time in which a relay held back what was on its way to a target."""
+    """A period in which a relay forwarded nothing to a target."""
 
     target: str
     started_at: float
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class TargetRun:
-    """One run at a target, as the target itself counted it."""
+    """One run, as recorded by the target itself."""
 
     target: str
     zone: str
@@ -69,7 +69,7 @@
 
 @dataclass
 class Ledger:
-    """What callers saw, and how it fits what the targets did."""
+    """Records of calls and target runs, and checks that they agree."""
 
     calls: list[Call] = field(default_factory=list)
     outages: list[ZoneOutage] = field(default_factory=list)
@@ -78,15 +78,15 @@
     engine_counts: Counter[str] = field(default_factory=Counter)
 
     def add(self, call: Call) -> None:
-        """Take a call that has ended."""
+        """Add a call that has ended."""
         self.calls.append(call)
 
     def count_endings(self) -> dict[str, int]:
-        """Return the number of calls by their ending."""
+        """Return the number of calls by ending."""
         return dict(Counter(call.ending.value for call in self.calls))
 
     async def read_targets(self, launcher: Launcher) -> None:
-        """Read every target's own records."""
+        """Read the runs and counts that every target recorded."""
         self.runs.clear()
         self.engine_counts.clear()
         kinds = {pool.name: pool.kind for pool in launcher.deployment.pools}
@@ -100,7 +100,7 @@
                     await self._read_plain_service(client, agent)
 
     def check(self) -> list[Violation]:
-        """Return every broken promise, the first one first."""
+        """Return all violations, earliest first."""
         found = [
             *self._check_answers(),
             *self._check_orders(),
@@ -164,7 +164,7 @@
             is_refused = endings <= {Ending.NOT_RUN, Ending.NO_ENTRY}
             last = sends[-1]
             if is_refused and runs.get(key):
-                promise = "what is told not to have run was not run"
+                promise = "an order reported as not run was not run"
                 detail = f"{runs[key]}; {last.describe()}"
                 yield Violation(last.ended_at, promise, detail)
             is_confirmed = any(
@@ -177,31 +177,31 @@
 
     def _check_zones(self) -> Iterable[Violation]:
         for outage in self.outages:
-            limit = outage.accepted_at + ZONE_OUT_LIMIT_S
+            limit = outage.accepted_at + ZONE_OUT_DEADLINE_S
             for run in self.runs:
                 is_inside = limit < run.started_at < outage.ended_at
                 if run.zone != outage.zone or not is_inside:
                     continue
-                if not self._was_on_its_way(run, outage):
+                if not self._was_delayed_by_relay(run, outage):
                     late_s = run.started_at - outage.accepted_at
                     promise = "a zone that was taken out gets no new work"
                     detail = f"{run.target} ran {run.key} {late_s:.3f} s after"
                     yield Violation(run.started_at, promise, detail)
 
-    def _was_on_its_way(self, run: TargetRun, outage: ZoneOutage) -> bool:
-        """Tell whether a run was handed over in time, and held by a relay since.
+    def _was_delayed_by_relay(self, run: TargetRun, outage: ZoneOutage) -> bool:
+        """Return whether a run was sent in time but delayed by a silent relay.
 
-        The target counts a run when its bytes arrive.  Those of a call from
-        before the outage may have stood in a silent path until it cleared;
-        the agent has given the target nothing new.
+        The target counts a run when its bytes arrive.  The bytes of a call from
+        before the outage may be stuck in a silent relay until it forwards again;
+        the agent has then sent the target no new work.
         """
-        is_older = any(
+        started_before_outage = any(
             call.key == run.key and call.started_at < outage.accepted_at
             for call in self.calls
         )
-        return is_older and any(
+        return started_before_outage and any(
             path.target == run.target
-            and path.started_at < outage.accepted_at + ZONE_OUT_LIMIT_S
+            and path.started_at < outage.accepted_at + ZONE_OUT_DEADLINE_S
             and path.ended_at - STALL_RELEASE_MARGIN_S < run.started_at
             and run.started_at < path.ended_at + STALL_RELEASE_MARGIN_S
             for path in self.stalled_paths
@@ -209,13 +209,13 @@
 
     def _check_engines(self) -> Iterable[Violation]:
         if self.engine_counts["cold_excess"]:
-            promise = "a target in cold start never receives more than it can bear"
+            promise = "a target in cold start never receives more than it can handle"
             detail = f"{self.engine_counts['cold_excess']} requests over the limit"
             yield Violation(math.inf, promise, detail)
 
 
 def compute_percentile(values: list[float], share: float) -> float:
-    """Return the value at a share of the sorted ones; 0 if there are none."""
+    """Return the value at `share` (0 to 1) of the sorted values; 0 if empty."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/stand_ins/rate.py
+++ b/stand_ins/rate.py
@@ -1,4 +1,4 @@
-"""A rate limit that waiters share in the order in which they came."""
+"""A rate limiter that serves its waiters in FIFO order."""
 
 import anyio
 
@@ -6,22 +6,22 @@
 
 
 class RateLimit:
-    """Let an amount through each second, without bursts."""
+    """Limits the amount per second and allows no bursts."""
 
     def __init__(self, rate_per_s: float) -> None:
         self.rate_per_s = rate_per_s
-        self._free_at_s = 0.0
+        self._available_at_s = 0.0
 
     def reserve(self, amount: int, now_s: float) -> float:
-        """Take a place in the order; return the wait until it has passed."""
+        """Reserve `amount` behind earlier reservations; return the seconds to wait."""
         if self.rate_per_s <= 0:
             return 0.0
-        start_s = max(now_s, self._free_at_s)
-        self._free_at_s = start_s + amount / self.rate_per_s
-        return self._free_at_s - now_s
+        start_s = max(now_s, self._available_at_s)
+        self._available_at_s = start_s + amount / self.rate_per_s
+        return self._available_at_s - now_s
 
-    async def take(self, amount: int) -> None:
-        """Wait until `amount` has passed; a rate of 0 sets no limit."""
+    async def acquire(self, amount: int) -> None:
+        """Reserve `amount` and wait for it; a rate of 0 sets no limit."""
         wait_s = self.reserve(amount, anyio.current_time())
         if wait_s > 0:
             await anyio.sleep(wait_s)
--- a/stand_ins/reasons.py
+++ b/stand_ins/reasons.py
@@ -1,4 +1,4 @@
-"""Why calls were not answered, counted."""
+"""Summary of the reasons why calls were not answered."""
 
 import json
 from collections import Counter
@@ -8,21 +8,24 @@
 
 __all__ = ["describe_reasons"]
 
-SHOWN_MAX = 12
+MAX_REASONS_SHOWN = 12
 
 
 def describe_reasons(calls: Iterable[Call]) -> list[str]:
-    """Return the reasons of what was not answered, the most frequent first."""
+    """Return counted reasons of unanswered calls, the most frequent first."""
     reasons = Counter(
-        f"{call.kind.value} {call.ending.value}: {read_reason(call)}"
+        f"{call.kind.value} {call.ending.value}: {format_reason(call)}"
         for call in calls
         if call.ending is not Ending.ANSWERED
     )
-    return [f"{count} x {reason}" for reason, count in reasons.most_common(SHOWN_MAX)]
+    return [
+        f"{count} x {reason}"
+        for reason, count in reasons.most_common(MAX_REASONS_SHOWN)
+    ]
 
 
-def read_reason(call: Call) -> str:
-    """Return step, reason and detail of a refusal."""
+def format_reason(call: Call) -> str:
+    """Return step, reason and detail of a refusal, or the detail of another error."""
     try:
         refusal = json.loads(call.detail)
     except ValueError:
--- a/stand_ins/relay.py
+++ b/stand_ins/relay.py
@@ -1,7 +1,7 @@
-"""A TCP relay that spoils connections on command: cut, delay, corrupt, silence.
+"""A TCP relay that injects faults: resets, delays, corruption, silence.
 
-Put it between two processes, and set over HTTP what happens to the bytes of
-either direction, for all connections or for new ones only.
+It runs between two processes.  HTTP control calls set what happens to the bytes
+of each direction, for all connections or only for those open now.
 """
 
 import argparse
@@ -21,56 +21,58 @@
 
 __all__ = ["Direction", "Relay", "RelayRule", "create_control_app"]
 
-PIECE_BYTES = 64 * 1024
-BLOCKED_POLL_S = 0.05
+MAX_RECEIVE_BYTES = 64 * 1024
+SILENCE_POLL_INTERVAL_S = 0.05
 
 
 class Direction(Enum):
-    """Which way bytes go."""
+    """Direction of relayed bytes."""
 
     TO_SERVER = "to_server"
     TO_CLIENT = "to_client"
 
 
 class RelayRule(BaseModel):
-    """What happens to the bytes of one direction."""
+    """Faults for the bytes of one direction."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    delay_s: float = Field(0.0, ge=0, description="Wait before each piece.")
-    corrupt_share: float = Field(0.0, ge=0, le=1, description="Pieces damaged.")
-    silent: bool = Field(False, description="Take bytes and pass none on, for good.")
+    delay_s: float = Field(0.0, ge=0, description="Delay before each piece.")
+    corrupt_share: float = Field(
+        0.0, ge=0, le=1, description="Share of pieces corrupted."
+    )
+    silent: bool = Field(False, description="Forward nothing while set.")
 
 
 class RelayRules(BaseModel):
-    """The rules of both directions."""
+    """Rules of both directions, and for new connections."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     to_server: RelayRule = RelayRule.model_validate({})
     to_client: RelayRule = RelayRule.model_validate({})
     only_open: bool = Field(
-        False, description="Hold for connections open now; new ones work."
+        False, description="Apply to open connections; new ones have no faults."
     )
-    refuse: bool = Field(False, description="Close new connections at once.")
+    refuse: bool = Field(False, description="Reset new connections at once.")
 
 
 class Connection:
-    """One relayed connection, under rules of its own."""
+    """One relayed connection and its current rules."""
 
     def __init__(self, rules: RelayRules) -> None:
         self.rules = rules
         self.cut = anyio.Event()
-        self.bytes_passed = dict.fromkeys(Direction, 0)
+        self.bytes_forwarded = dict.fromkeys(Direction, 0)
 
     def rule(self, direction: Direction) -> RelayRule:
-        """Return the rule of a direction."""
+        """Return the current rule for a direction."""
         to_server = direction is Direction.TO_SERVER
         return self.rules.to_server if to_server else self.rules.to_client
 
 
 class Relay:
-    """Accepts connections on its port and passes them on to the server's."""
+    """Accepts connections on its port and relays them to the server's port."""
 
     def __init__(self, port: int, server_port: int, seed: int = 0) -> None:
         self._port = port
@@ -81,19 +83,19 @@
         self._accepted = 0
 
     def set_rules(self, rules: RelayRules) -> None:
-        """Put rules in force for open connections, and, if so said, new ones."""
+        """Apply rules to open connections and, unless `only_open`, to new ones."""
         for connection in self._connections:
             connection.rules = rules
         self._next_rules = RelayRules() if rules.only_open else rules
 
     def cut_all(self) -> int:
-        """Cut the open connections and return their number."""
+        """Reset the open connections and return their number."""
         for connection in self._connections:
             connection.cut.set()
         return len(self._connections)
 
     def describe(self) -> dict[str, object]:
-        """Return counts."""
+        """Return connection counts and the rules for new connections."""
         return {
             "accepted": self._accepted,
             "open": len(self._connections),
@@ -112,35 +114,47 @@
         self._accepted += 1
         async with client:
             if self._next_rules.refuse:
-                abort(client)
+                set_reset_on_close(client)
                 return
             try:
                 server = await anyio.connect_tcp(HOST, self._server_port)
             except OSError:
-                abort(client)
+                set_reset_on_close(client)
                 return
             async with server:
-                await self._relay_both(client, server)
+                await self._relay_both_directions(client, server)
 
-    async def _relay_both(self, client: SocketStream, server: SocketStream) -> None:
+    async def _relay_both_directions(
+        self, client: SocketStream, server: SocketStream
+    ) -> None:
         connection = Connection(self._next_rules)
         self._connections.add(connection)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(
-                    self._pass, connection, Direction.TO_SERVER, client, server, tasks
+                    self._forward,
+                    connection,
+                    Direction.TO_SERVER,
+                    client,
+                    server,
+                    tasks,
                 )
                 tasks.start_soon(
-                    self._pass, connection, Direction.TO_CLIENT, server, client, tasks
+                    self._forward,
+                    connection,
+                    Direction.TO_CLIENT,
+                    server,
+                    client,
+                    tasks,
                 )
                 await connection.cut.wait()
-                abort(client)
-                abort(server)
+                set_reset_on_close(client)
+                set_reset_on_close(server)
                 tasks.cancel_scope.cancel()
         finally:
             self._connections.discard(connection)
 
-    async def _pass(
+    async def _forward(
         self,
         connection: Connection,
         direction: Direction,
@@ -148,40 +162,40 @@
         sink: SocketStream,
         tasks: TaskGroup,
     ) -> None:
-        """Pass bytes on until an end closes; then close the other one, too."""
+        """Forward bytes until one end closes, then close both."""
         try:
             while True:
-                piece = await source.receive(PIECE_BYTES)
+                piece = await source.receive(MAX_RECEIVE_BYTES)
                 rule = connection.rule(direction)
                 if rule.delay_s:
                     await anyio.sleep(rule.delay_s)
                 while connection.rule(direction).silent:
-                    await anyio.sleep(BLOCKED_POLL_S)
-                await sink.send(self._spoil(piece, rule))
-                connection.bytes_passed[direction] += len(piece)
+                    await anyio.sleep(SILENCE_POLL_INTERVAL_S)
+                await sink.send(self._corrupt(piece, rule))
+                connection.bytes_forwarded[direction] += len(piece)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            # A silent path passes on no end of a connection either.
+            # A silent path doesn't forward the end of a connection either.
             while connection.rule(direction).silent:
-                await anyio.sleep(BLOCKED_POLL_S)
+                await anyio.sleep(SILENCE_POLL_INTERVAL_S)
             tasks.cancel_scope.cancel()
 
-    def _spoil(self, piece: bytes, rule: RelayRule) -> bytes:
+    def _corrupt(self, piece: bytes, rule: RelayRule) -> bytes:
         if self._rng.random() >= rule.corrupt_share:
             return piece
-        damaged = bytearray(piece)
-        damaged[self._rng.randrange(len(damaged))] ^= 0xFF
-        return bytes(damaged)
+        corrupted = bytearray(piece)
+        corrupted[self._rng.randrange(len(corrupted))] ^= 0xFF
+        return bytes(corrupted)
 
 
-def abort(stream: SocketStream) -> None:
-    """Have the close reset the connection instead of ending it in order."""
+def set_reset_on_close(stream: SocketStream) -> None:
+    """Make closing the stream send RST instead of FIN."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     reset = b"\x01\x00\x00\x00\x00\x00\x00\x00"
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
 
 
 def create_control_app(relay: Relay) -> Starlette:
-    """Make the app by which the relay is controlled."""
+    """Create the control app of a relay."""
 
     async def set_rules(request: Request) -> Response:
         try:
@@ -208,7 +222,7 @@
 
 
 async def run_relays(relays: list[tuple[Relay, int]]) -> None:
-    """Relay, and serve each relay's control port, until killed."""
+    """Run the relays and their control ports until killed."""
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         for relay, control_port in relays:
@@ -217,7 +231,7 @@
 
 
 def main() -> None:
-    """Run relays: each port with the server port and control port at its place."""
+    """Run one relay for each triple of port, server port and control port."""
     parser = argparse.ArgumentParser(description=__doc__)
     for option in ("--port", "--server-port", "--control-port"):
         parser.add_argument(option, type=int, action="append", required=True)
--- a/stand_ins/run.py
+++ b/stand_ins/run.py
@@ -1,4 +1,4 @@
-"""Run a module so that it dies with the process that started it.
+"""Run a module in a process that is killed when its parent dies.
 
 ``python -m stand_ins.run PARENT_PID MODULE [ARGUMENT ...]``
 """
@@ -17,9 +17,9 @@
 def die_with_parent(parent_pid: int) -> None:
     """Have the kernel kill this process when its parent dies.
 
-    A parent killed with SIGKILL can't stop its children; they would be left
-    behind and hold their ports.  The signal is asked for after the start, so
-    a parent that died before that is noticed by its changed process id.
+    A parent killed with SIGKILL can't stop its children, which would keep running
+    and hold their ports.  The death signal is requested only after the start, so
+    a changed parent process id shows a parent that died before that.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL) != 0:
--- a/stand_ins/serving.py
+++ b/stand_ins/serving.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in's ASGI app, and cut answers as a dying server would."""
+"""Serve ASGI apps of stand-ins, with responses that end early as in a crash."""
 
 import argparse
 import signal
@@ -16,8 +16,8 @@
 from starlette.types import Receive, Scope, Send
 
 __all__ = [
-    "CutResponse",
-    "CuttableStream",
+    "TruncatableStream",
+    "TruncatedResponse",
     "add_port_argument",
     "make_config",
     "open_server",
@@ -25,28 +25,30 @@
     "wait_for_disconnect",
 ]
 
-START = "http.response.start"
-BODY = "http.response.body"
+RESPONSE_START = "http.response.start"
+RESPONSE_BODY = "http.response.body"
 HOST = "127.0.0.1"
-KEEP_ALIVE_S = 60.0
-GRACE_S = 0.2
-BACKLOG = 1024
-READY_POLL_S = 0.01
+KEEP_ALIVE_TIMEOUT_S = 60.0
+SHUTDOWN_GRACE_S = 0.2
+LISTEN_BACKLOG = 1024
+READY_POLL_INTERVAL_S = 0.01
 READY_ATTEMPTS = 500
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
-class CutResponse(Response):
-    """Begin an answer and close the connection before its end."""
+class TruncatedResponse(Response):
+    """Starts a response and closes the connection before its end."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the head only; the server then closes the connection."""
+        """Send only the headers; the server then closes the connection."""
         headers = [(b"content-length", b"1")]
-        await send({"type": START, "status": self.status_code, "headers": headers})
+        await send(
+            {"type": RESPONSE_START, "status": self.status_code, "headers": headers}
+        )
 
 
-class CuttableStream(Response):
-    """Send pieces as they come; a piece of None cuts the connection."""
+class TruncatableStream(Response):
+    """Streams pieces of a body; a piece of None closes the connection early."""
 
     def __init__(
         self,
@@ -59,7 +61,7 @@
         self._pieces = pieces
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the pieces until they end or the client has gone."""
+        """Send the pieces until they end or the client disconnects."""
         async with anyio.create_task_group() as tasks:
 
             async def watch() -> None:
@@ -72,39 +74,41 @@
 
     async def _send_pieces(self, send: Send) -> None:
         status = self.status_code
-        await send({"type": START, "status": status, "headers": self.raw_headers})
+        await send(
+            {"type": RESPONSE_START, "status": status, "headers": self.raw_headers}
+        )
         async for piece in self._pieces:
             if piece is None:
                 return
-            await send({"type": BODY, "body": piece, "more_body": True})
-        await send({"type": BODY, "body": b"", "more_body": False})
+            await send({"type": RESPONSE_BODY, "body": piece, "more_body": True})
+        await send({"type": RESPONSE_BODY, "body": b"", "more_body": False})
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Return once the client has gone."""
+    """Wait until the client disconnects."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
 def make_config(port: int) -> Config:
-    """Return the server's configuration."""
+    """Return the Hypercorn configuration for a port."""
     config = Config()
     config.bind = [f"{HOST}:{port}"]
-    config.keep_alive_timeout = KEEP_ALIVE_S
+    config.keep_alive_timeout = KEEP_ALIVE_TIMEOUT_S
     config.keep_alive_max_requests = 1_000_000
-    config.graceful_timeout = GRACE_S
-    config.backlog = BACKLOG
+    config.graceful_timeout = SHUTDOWN_GRACE_S
+    config.backlog = LISTEN_BACKLOG
     config.errorlog = None
     return config
 
 
 def add_port_argument(parser: argparse.ArgumentParser) -> None:
-    """Let `--port` be given once for each stand-in that the process holds."""
+    """Add `--port`, which may be repeated to run several stand-ins in one process."""
     parser.add_argument("--port", type=int, action="append", required=True)
 
 
 def serve_ports(create_app: Callable[[int], Starlette], ports: list[int]) -> None:
-    """Serve one app for each port until the process is told to stop."""
+    """Serve one app on each port until SIGINT or SIGTERM."""
 
     async def serve_all() -> None:
         stop = anyio.Event()
@@ -134,20 +138,20 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve_app, app, port, stop)
         url = f"http://{HOST}:{port}"
-        await _wait_until_served(url)
+        await _wait_until_ready(url)
         try:
             yield url
         finally:
             stop.set()
 
 
-async def _wait_until_served(url: str) -> None:
+async def _wait_until_ready(url: str) -> None:
     async with httpx.AsyncClient(trust_env=False, verify=False) as client:
         for _ in range(READY_ATTEMPTS):
             try:
                 await client.get(f"{url}/control/ready")
             except httpx.HTTPError:
-                await anyio.sleep(READY_POLL_S)
+                await anyio.sleep(READY_POLL_INTERVAL_S)
             else:
                 return
-    raise TimeoutError(f"{url} does not answer")
+    raise TimeoutError(f"{url} did not answer in time")
--- a/stand_ins/settings_file.py
+++ b/stand_ins/settings_file.py
@@ -1,4 +1,4 @@
-"""Write settings of a daemon as TOML."""
+"""Write the settings of a daemon as TOML."""
 
 import json
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 
 def write_settings(path: Path, document: dict[str, Any]) -> None:
-    """Write scalars and one level of tables."""
+    """Write a document of scalars and one level of tables."""
     lines = [f"{key} = {format_value(value)}" for key, value in iterate(document)]
     for key, table in document.items():
         if isinstance(table, dict):
@@ -23,5 +23,5 @@
 
 
 def format_value(value: str | bool | int | float) -> str:
-    """Return the value in TOML; its strings, numbers and booleans are JSON's."""
+    """Return the value in TOML, which writes these types as JSON does."""
     return json.dumps(value)
--- a/stand_ins/tests/__init__.py
+++ b/stand_ins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins, and of the adapters against them."""
+"""Tests of the stand-ins."""
--- a/stand_ins/tests/test_faults.py
+++ b/stand_ins/tests/test_faults.py
@@ -1,28 +1,27 @@
-"""Tests of the faults that stand-ins share."""
+"""Tests of the fault injection that stand-ins share."""
 
 import unittest
 
 import anyio
 
-from stand_ins.faults import Silence
+from stand_ins.faults import ResponseGate
 
-PATIENCE_S = 5.0
+GATE_TIMEOUT_S = 5.0
 
 
 class SilenceTest(unittest.TestCase):
     def test_silence_set_twice_ends_for_all_that_wait(self) -> None:
-        # A control sets a silent stand-in silent once more, as any change of
-        # its other settings does.  Requests held from before must not hang for
-        # good once the silence ends.
+        # Changing another setting of a silent stand-in blocks it again.  Requests
+        # that already wait must still be released when the silence ends.
         async def scenario() -> None:
-            silence = Silence()
-            silence.set(is_silent=True)
-            with anyio.fail_after(PATIENCE_S):
+            gate = ResponseGate()
+            gate.set(is_blocked=True)
+            with anyio.fail_after(GATE_TIMEOUT_S):
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(silence.wait)
+                    tasks.start_soon(gate.wait)
                     await anyio.wait_all_tasks_blocked()
-                    silence.set(is_silent=True)
-                    silence.set(is_silent=False)
+                    gate.set(is_blocked=True)
+                    gate.set(is_blocked=False)
 
         anyio.run(scenario)
 
--- a/stand_ins/tests/test_launcher.py
+++ b/stand_ins/tests/test_launcher.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 TOP = Path(__file__).resolve().parents[2]
-WAIT_S = 10.0
+EXIT_TIMEOUT_S = 10.0
 PARENT = """
 import time
 from stand_ins.deployments import MARCOS_CENTRAL
@@ -28,7 +28,7 @@
 
 
 def is_alive(pid: int) -> bool:
-    """Tell whether the process runs; one that waits to be reaped does not."""
+    """Return whether the process runs; a zombie process does not."""
     try:
         status = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -37,7 +37,7 @@
 
 
 def wait_until_gone(pids: list[int]) -> list[int]:
-    deadline_s = time.monotonic() + WAIT_S
+    deadline_s = time.monotonic() + EXIT_TIMEOUT_S
     while any(is_alive(pid) for pid in pids) and time.monotonic() < deadline_s:
         time.sleep(0.02)
     return [pid for pid in pids if is_alive(pid)]
@@ -60,19 +60,19 @@
         return parent, Path(folder), [int(pid) for pid in pids]
 
     def test_nothing_outlives_a_closed_terminal(self) -> None:
-        # Somebody closes the terminal that a trial runs in: the launcher gets
-        # SIGHUP.  Servers left behind would hold ports and memory for good.
+        # Closing the terminal of a trial sends SIGHUP to the launcher.  Servers that
+        # keep running would hold their ports and memory.
         parent, folder, pids = self.start_parent()
         self.assertGreaterEqual(len(pids), 5)
         parent.send_signal(signal.SIGHUP)
-        self.assertEqual(parent.wait(WAIT_S), 128 + signal.SIGHUP)
+        self.assertEqual(parent.wait(EXIT_TIMEOUT_S), 128 + signal.SIGHUP)
         self.assertEqual(wait_until_gone(pids), [])
         self.assertFalse(folder.exists())
 
     def test_nothing_outlives_a_killed_launcher(self) -> None:
-        # The launcher itself is killed and can stop nothing any more.
+        # A launcher killed with SIGKILL can't stop its processes itself.
         parent, folder, pids = self.start_parent()
         self.addCleanup(shutil.rmtree, folder, ignore_errors=True)
         parent.kill()
-        parent.wait(WAIT_S)
+        parent.wait(EXIT_TIMEOUT_S)
         self.assertEqual(wait_until_gone(pids), [])
--- a/stand_ins/tests/test_promises.py
+++ b/stand_ins/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Tests that the checks of promises find what is broken."""
+"""Tests that the checks of promises find violations."""
 
 import json
 import unittest
@@ -37,7 +37,7 @@
         self.assertEqual(self.find(ledger), [])
 
     def test_doubled_order_is_found(self) -> None:
-        # Two targets book the same deposit, though the shop sees one answer.
+        # Two targets run the same order, although the caller gets one answer.
         ledger = Ledger([make_order("k", Ending.ANSWERED)])
         ledger.runs = [make_run("k", 1.0), make_run("k", 2.0)]
         self.assertEqual(
@@ -45,11 +45,11 @@
         )
 
     def test_order_that_ran_though_refused_is_found(self) -> None:
-        # The shop is told that nothing was booked, sells the frame elsewhere,
-        # and finds the deposit taken.
+        # The caller is told that the order did not run and acts on it, but the
+        # order did run.
         ledger = Ledger([make_order("k", Ending.NOT_RUN, 503)], runs=[make_run("k")])
         self.assertEqual(
-            self.find(ledger), ["what is told not to have run was not run"]
+            self.find(ledger), ["an order reported as not run was not run"]
         )
 
     def test_confirmation_without_a_run_is_found(self) -> None:
@@ -57,9 +57,9 @@
         self.assertEqual(self.find(ledger), ["an answered order has run"])
 
     def test_work_held_by_a_silent_path_is_not_taken_for_new(self) -> None:
-        # The agent handed an order to its target; the path between them went
-        # silent, the zone was taken out, and the path passed the order on when
-        # it cleared.  The target counts it late, yet nothing new was started.
+        # The agent sends an order to its target, the path between them goes silent,
+        # and the zone is taken out.  The path delivers the order when it recovers:
+        # the target records a late run, but the agent started no new work.
         call = make_order("k", Ending.ANSWERED)
         call.started_at = 9.0
         ledger = Ledger([call], [ZoneOutage("a", 10.0, 30.0)])
@@ -72,7 +72,7 @@
         self.assertEqual(self.find(ledger), late)
 
     def test_late_work_in_a_zone_taken_out_is_found(self) -> None:
-        # Operators take a zone out to work on it, and it still gets requests.
+        # A zone taken out for maintenance still gets new requests.
         ledger = Ledger(outages=[ZoneOutage("a", 10.0, 20.0)])
         ledger.runs = [make_run("1", 12.9), make_run("2", 14.0, "b")]
         self.assertEqual(self.find(ledger), [])
@@ -92,10 +92,10 @@
         self.assertEqual(self.check(expect_text("oak", "old", 3)), "")
 
     def test_partial_and_mixed_answers_are_found(self) -> None:
-        # The engine changes its weights in the middle of an answer, or the
-        # answer lacks its end: the customer reads a quote that nobody made.
+        # The engine switches weights during an answer, or the answer is truncated:
+        # the caller gets a text that no version generates.
         mixed = expect_text("oak", "old", 2) + make_token("oak", "new", 2)
-        self.assertIn("not the whole text", self.check(mixed))
-        self.assertIn("not the whole text", self.check(expect_text("oak", "old", 2)))
+        self.assertIn("not the complete text", self.check(mixed))
+        self.assertIn("not the complete text", self.check(expect_text("oak", "old", 2)))
         whole = expect_text("oak", "old", 3)
         self.assertIn("does not name", self.check(whole, digest=""))
--- a/stand_ins/tests/test_relay.py
+++ b/stand_ins/tests/test_relay.py
@@ -15,7 +15,7 @@
 
 @asynccontextmanager
 async def open_echo(relay_port: int) -> AsyncIterator[Relay]:
-    """Run a server that sends back what it gets, behind a relay."""
+    """Run an echo server behind a relay."""
 
     async def echo(stream: SocketStream) -> None:
         async with stream:
@@ -51,8 +51,8 @@
                 self.assertEqual(await exchange(stream), b"ping")
 
     async def test_silent_connection_stays_open_while_new_ones_work(self) -> None:
-        # A box between two daemons has lost track of a connection: neither
-        # end sees it close, and only new ones get through.
+        # A device between two daemons drops all packets of a connection: neither
+        # end sees it close, and only new connections work.
         port = PortAllocator().allocate()
         async with open_echo(port) as relay:
             old = await anyio.connect_tcp("127.0.0.1", port)
@@ -71,6 +71,6 @@
         async with open_echo(port) as relay:
             relay.set_rules(RelayRules(to_client=RelayRule(corrupt_share=1.0)))
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
-                spoiled = await exchange(stream)
-        self.assertEqual(len(spoiled), 4)
-        self.assertNotEqual(spoiled, b"ping")
+                corrupted = await exchange(stream)
+        self.assertEqual(len(corrupted), 4)
+        self.assertNotEqual(corrupted, b"ping")
--- a/stand_ins/tests/test_states.py
+++ b/stand_ins/tests/test_states.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins' states under virtual time."""
+"""Tests of the stand-ins' internal state under virtual time."""
 
 import unittest
 
@@ -13,8 +13,8 @@
 
 class KeyValueStateTest(unittest.TestCase):
     def test_ended_lease_takes_its_keys_along(self) -> None:
-        # A daemon dies without a word.  What it held under its lease must go
-        # by itself, or its zone would count it as live for ever.
+        # A daemon dies without deleting its entries.  The entries under its lease
+        # must expire, or its zone would count it as live indefinitely.
         state = KeyValueState()
         lease = state.grant(5.0, now_s=0.0)
         self.assertEqual(state.compare_and_swap("held", b"1", 0, lease), 1)
@@ -29,8 +29,8 @@
         self.assertFalse(state.renew(lease, 9.0))
 
     def test_revisions_are_never_used_twice(self) -> None:
-        # A key goes with its lease and is written anew.  Were its revision to
-        # start again, a writer paused since would overwrite the newer value.
+        # A key is deleted with its lease and written again.  If its revisions started
+        # over, a writer that was paused meanwhile could overwrite the newer value.
         state = KeyValueState()
         lease = state.grant(1.0, now_s=0.0)
         old = state.compare_and_swap("k", b"1", 0, lease)
@@ -42,9 +42,9 @@
 
 class EngineModelTest(unittest.TestCase):
     def test_report_after_the_second_load_can_be_read(self) -> None:
-        # Each load comes under a higher fencing number.  The report gave the number
-        # in another field, where agents could not read 2; an agent that had ordered
-        # its second version waited for a report for ever, and all others for it.
+        # Each load has a higher fencing number.  When the report had the number in
+        # another field, agents could not parse the value 2: an agent that had ordered
+        # its second load waited for a report indefinitely, and all others for it.
         model = EngineModel(EngineOptions())
         model.weights.fencing_number = 2
         adapter = TypeAdapter(EngineState)
--- a/stand_ins/try_it.py
+++ b/stand_ins/try_it.py
@@ -1,7 +1,7 @@
-"""Run a small deployment for less than a minute, and show what it does.
+"""Demonstrate a small deployment in less than a minute.
 
-Nine entries, eighteen daemons in all, over three zones.  Exits with 1 if a
-promise was broken, and leaves nothing behind.
+Starts nine entries and nine agents in three zones.  Exits with 1 if a promise was
+broken.  Stops all processes and deletes their files at the end.
 """
 
 import argparse
@@ -29,16 +29,16 @@
 VERSION_BYTES = 2 * 1024 * 1024
 CHUNK_BYTES = 256 * 1024
 ORIGIN_BYTES_PER_S = 8_000_000
-LOAD_TIMEOUT_S = 15.0
-WARM_S = 2.0
-OUT_S = 6.0
-IN_S = 3.0
-LAST_CALLS_S = 12.0
+STEP_TIMEOUT_S = 15.0
+LOAD_BEFORE_OUTAGE_S = 2.0
+ZONE_OUTAGE_S = 6.0
+LOAD_AFTER_PUBLICATION_S = 3.0
+LAST_CALLS_TIMEOUT_S = 12.0
 SEED = 1
 
 
 class Trial:
-    """One run of the demonstration."""
+    """One run of the demonstration and its records."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
@@ -51,31 +51,33 @@
         self._is_complete = True
 
     async def run(self) -> int:
-        """Run every step and return the exit code."""
+        """Run all steps and return the exit code."""
         try:
-            with anyio.fail_after(LOAD_TIMEOUT_S):
+            with anyio.fail_after(STEP_TIMEOUT_S):
                 accepted = await self._operator.configure()
-            self._tell(f"configuration {accepted.version} accepted")
+            self._print(f"configuration {accepted.version} accepted")
             await self._publish("v1", 1)
-            await self._serve()
+            await self._run_load()
         finally:
             await self._operator.aclose()
         await self._ledger.read_targets(self._launcher)
         return self._conclude()
 
-    async def _serve(self) -> None:
-        """Keep a load up while a zone leaves and returns and a version comes."""
+    async def _run_load(self) -> None:
+        """Run a load while a zone leaves and returns and a version is published."""
         load = Load(self._launcher, self._ledger, LoadPlan(), SEED)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             try:
-                await anyio.sleep(WARM_S)
+                await anyio.sleep(LOAD_BEFORE_OUTAGE_S)
                 await self._take_zone_out_and_in()
                 await self._publish("v2", 2)
-                await anyio.sleep(IN_S)
+                await anyio.sleep(LOAD_AFTER_PUBLICATION_S)
             finally:
                 load.stop()
-                tasks.cancel_scope.deadline = anyio.current_time() + LAST_CALLS_S
+                tasks.cancel_scope.deadline = (
+                    anyio.current_time() + LAST_CALLS_TIMEOUT_S
+                )
         await load.aclose()
 
     async def _take_zone_out_and_in(self) -> None:
@@ -83,11 +85,11 @@
         accepted = await self._operator.set_zone(zone, "out")
         outage = ZoneOutage(zone, accepted.at)
         self._ledger.outages.append(outage)
-        self._tell(f"zone {zone} taken out by configuration {accepted.version}")
-        await anyio.sleep(OUT_S)
+        self._print(f"zone {zone} taken out by configuration {accepted.version}")
+        await anyio.sleep(ZONE_OUTAGE_S)
         outage.ended_at = time.time()
         accepted = await self._operator.set_zone(zone, "in")
-        self._tell(f"zone {zone} back in by configuration {accepted.version}")
+        self._print(f"zone {zone} back in by configuration {accepted.version}")
 
     async def _publish(self, label: str, sequence: int) -> None:
         weights = random.Random(f"{SEED}/{label}").randbytes(VERSION_BYTES)
@@ -97,18 +99,20 @@
         )
         agents = self._launcher.agents_of(self._pool.name)
         loaded = await self._operator.wait_for_replicas(
-            agents, self._model, publication.version.root_digest, LOAD_TIMEOUT_S
+            agents, self._model, publication.version.root_digest, STEP_TIMEOUT_S
         )
-        drawn = await self._read_origin_bytes() - before
+        origin_bytes = await self._read_origin_bytes() - before
         times = sorted(loaded.values())
         shown = ", ".join(f"{t:.2f}" for t in times)
-        self._tell(
+        self._print(
             f"version {label} ({VERSION_BYTES} bytes) loaded by {len(times)} of "
-            f"{len(agents)} targets after [{shown}] s; origin bytes {drawn} "
-            f"({drawn / VERSION_BYTES:.2f} copies)"
+            f"{len(agents)} targets after [{shown}] s; origin bytes {origin_bytes} "
+            f"({origin_bytes / VERSION_BYTES:.2f} copies)"
         )
         if len(times) < len(agents):
-            self._tell(f"LATE {label} did not reach every target in {LOAD_TIMEOUT_S} s")
+            self._print(
+                f"LATE {label} did not reach every target in {STEP_TIMEOUT_S} s"
+            )
             self._is_complete = False
 
     async def _read_origin_bytes(self) -> int:
@@ -119,27 +123,27 @@
     def _conclude(self) -> int:
         calls = self._ledger.calls
         for kind in CallKind:
-            self._tell(describe_calls(kind, [c for c in calls if c.kind is kind]))
+            self._print(describe_calls(kind, [c for c in calls if c.kind is kind]))
         for line in describe_reasons(calls):
-            self._tell(f"  {line}")
+            self._print(f"  {line}")
         violations = self._ledger.check()
         doubled = sum("at most once" in v.promise for v in violations)
-        self._tell(f"orders that ran twice: {doubled}")
+        self._print(f"orders that ran twice: {doubled}")
         for violation in violations[:10]:
-            self._tell(f"BROKEN {violation.promise}: {violation.detail}")
+            self._print(f"BROKEN {violation.promise}: {violation.detail}")
         for process in self._launcher.processes.find_unexpected_exits():
-            self._tell(f"DIED {process.name}:\n{process.read_log_tail()}")
+            self._print(f"DIED {process.name}:\n{process.read_log_tail()}")
             self._is_complete = False
-        is_kept = not violations and self._is_complete and bool(calls)
-        self._tell("all is well" if is_kept else "NOT all is well, see above")
-        return 0 if is_kept else 1
+        is_successful = not violations and self._is_complete and bool(calls)
+        self._print("all promises were kept" if is_successful else "FAILED, see above")
+        return 0 if is_successful else 1
 
-    def _tell(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         print(f"{time.monotonic() - self._start_s:6.2f} s  {text}", flush=True)
 
 
 def describe_calls(kind: CallKind, calls: list[Call]) -> str:
-    """Return counts by ending, and the latency of what was answered."""
+    """Return counts by ending, and latency percentiles of answered calls."""
     answered = [call for call in calls if call.ending is Ending.ANSWERED]
     endings = ", ".join(
         f"{ending.value} {sum(call.ending is ending for call in calls)}"
@@ -170,7 +174,10 @@
             print(f"{count} processes ready after {took_s:.2f} s", flush=True)
             code = anyio.run(Trial(launcher).run)
             killed = launcher.close()
-            print(f"stopped gracefully, but for {killed or 'none'}", flush=True)
+            print(
+                f"processes killed because they did not stop: {killed or 'none'}",
+                flush=True,
+            )
     except (StartError, OperatorError, TimeoutError) as error:
         print(f"failed: {error}", flush=True)
         code = 1
