--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that span packages, and the command that runs every test."""
+"""Tests that span several packages, and the test runner."""
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,8 @@
-"""Run every test and hold the outcome against KNOWN-RED.txt.
+"""Run all tests and compare the failures with KNOWN-RED.txt.
 
-Prints ``N passed, N failed, N skipped`` last.  A failure passes only if its
-test is listed in KNOWN-RED.txt; a listed test that passes again is an error,
-so that the list cannot rot.  Broken invariants are fatal in tests.
+Prints ``N passed, N failed, N skipped`` last.  A failure is tolerated only if its
+test is listed in KNOWN-RED.txt.  In a run of all tests, a listed test that passes
+is an error, so that the list stays current.  Broken invariants are fatal in tests.
 """
 
 import sys
@@ -21,7 +21,7 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the listed test ids, each with its whole line."""
+    """Return the listed test ids, each with its line."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -37,8 +37,8 @@
     for root in TEST_ROOTS:
         if (TOP / root).is_dir():
             suite.addTests(loader.discover(str(TOP / root), top_level_dir=str(TOP)))
-    # The adapter's folder is a place on the path, not a package: a package of that
-    # name would shadow the standard library's module.
+    # The adapter's folder is on the import path and is not a package: a package
+    # named `platform` would shadow the standard library's module.
     suite.addTests(loader.discover(ADAPTER, top_level_dir=ADAPTER))
     return suite
 
@@ -47,22 +47,22 @@
     """Run the tests named on the command line, or all, and return the exit code."""
     install_invariant_reporter(create_invariant_reporter(is_fatal=True))
     result = unittest.TextTestRunner(verbosity=1).run(load_tests(sys.argv[1:]))
-    red = {test.id() for test, _ in [*result.failures, *result.errors]}
-    red |= {test.id() for test in result.unexpectedSuccesses}
+    failing = {test.id() for test, _ in [*result.failures, *result.errors]}
+    failing |= {test.id() for test in result.unexpectedSuccesses}
     known = read_known_red()
-    for test_id in sorted(red & known.keys()):
+    for test_id in sorted(failing & known.keys()):
         print(f"known red: {known[test_id]}")
-    unlisted = red - known.keys()
-    healed = set() if sys.argv[1:] else known.keys() - red
-    for test_id in sorted(healed):
+    unlisted = failing - known.keys()
+    no_longer_failing = set() if sys.argv[1:] else known.keys() - failing
+    for test_id in sorted(no_longer_failing):
         print(f"listed in KNOWN-RED.txt but not failing: {test_id}")
     skipped = len(result.skipped)
     print(
-        f"{result.testsRun - len(red) - skipped} passed, "
-        f"{len(red)} failed, {skipped} skipped"
+        f"{result.testsRun - len(failing) - skipped} passed, "
+        f"{len(failing)} failed, {skipped} skipped"
     )
     too_many = len(known) > KNOWN_RED_MAX
-    return 1 if unlisted or healed or too_many or not result.testsRun else 0
+    return 1 if unlisted or no_longer_failing or too_many or not result.testsRun else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Checks of the pages: links, paths, metrics, events, commands, settings, examples."""
+"""Tests that the pages match the code: links, metrics, commands, settings, examples."""
 
 import ast
 import contextlib
@@ -179,7 +179,7 @@
         keys = set()
         for key, line in self.describe(SiteSettings, ""):
             if key.startswith("weights."):
-                continue  # The page of all settings has them.
+                continue  # The page of all settings lists them.
             keys.add(key)
             self.assertIn(f"| `{key}` {line}", page)
         self.assertEqual(named, keys)
@@ -195,7 +195,7 @@
 
 
 def find_model(annotation) -> type[BaseModel] | None:
-    """Return the model that an annotation is, or holds beside None."""
+    """Return the model class in an annotation such as `Model` or `Model | None`."""
     candidates = [annotation, *getattr(annotation, "__args__", ())]
     for candidate in candidates:
         if isinstance(candidate, type) and issubclass(candidate, BaseModel):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Checks of the fault matrix: its tests exist, its counts are true, no cell lacks."""
+"""Tests of the fault matrix: the tests it names, its counts, its completeness."""
 
 import re
 import unittest
@@ -12,7 +12,7 @@
 
 
 def classify(cell: str) -> str:
-    """Return the count that a cell belongs to."""
+    """Return the name of the count that includes the cell."""
     if cell == "not covered":
         return cell
     if cell.startswith("cannot happen, because "):
@@ -41,8 +41,8 @@
             self.assertEqual(count, actual, name)
 
     def test_every_named_test_exists(self) -> None:
-        # A test that was renamed or dropped leaves a cell that claims a cover
-        # that nobody runs.
+        # Guards against cells that name a renamed or deleted test and so claim
+        # coverage that no longer exists.
         loader = unittest.TestLoader()
         for cell in self.cells:
             if classify(cell) != "covered by a test":
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests with real processes: killed and frozen daemons under one order."""
+"""Tests with real processes: faults of daemons and the store while an order runs."""
 
 import signal
 import unittest
@@ -19,10 +19,10 @@
     (Pool("deposits", TargetKind.PLAIN_SERVICE, 2),),
     entry_count=2,
 )
-ORDER_S = 1.5
-"""How long an order runs, so that a fault can meet it half-way."""
+ORDER_DURATION_S = 1.5
+"""Long enough to inject a fault while the order runs."""
 DEADLINE_S = 20.0
-PATIENCE_S = 30.0
+STEP_TIMEOUT_S = 30.0
 BODY = b'{"deposit": 5}'
 
 
@@ -42,17 +42,16 @@
         await operator.configure()
         await operator.aclose()
         for agent in cls.launcher.agents:
-            settings = {"latency_s": ORDER_S}
+            settings = {"latency_s": ORDER_DURATION_S}
             url = f"{agent.target_url}/control/settings"
             httpx.put(url, json=settings).raise_for_status()
-        # A probe through each entry: it is answered once the entry may start
-        # work and knows a target.
+        # A probe order is answered once the entry may start work and knows a target.
         for entry in cls.launcher.entries:
             await cls.wait_answered(entry)
 
     @classmethod
     async def wait_answered(cls, entry: Daemon) -> None:
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(STEP_TIMEOUT_S):
             while (await cls.order(entry, "probe")).ending is not Ending.ANSWERED:
                 await anyio.sleep(0.2)
 
@@ -74,8 +73,8 @@
         return sum(counts)
 
     async def wait_running(self, key: str) -> Daemon:
-        """Return the agent whose target runs the order."""
-        with anyio.fail_after(PATIENCE_S):
+        """Wait until a target runs the order and return its agent."""
+        with anyio.fail_after(STEP_TIMEOUT_S):
             while True:
                 for agent in self.launcher.agents:
                     runs = httpx.get(f"{agent.target_url}/control/runs").json()
@@ -84,7 +83,7 @@
                 await anyio.sleep(0.05)
 
     async def place(self, key: str, fault) -> Call:
-        """Place an order at the first entry and bring a fault about half-way."""
+        """Place an order at the first entry and inject a fault while it runs."""
         calls: list[Call] = []
 
         async def place_order() -> None:
@@ -97,9 +96,9 @@
         return calls[0]
 
     def test_repeat_after_the_kill_of_its_entry_runs_nothing(self) -> None:
-        # The entry is killed while the deposit runs; the shop's connection
-        # breaks.  The shop sends the same key to another entry, twice.  It may
-        # hear "unknown", but the deposit is taken once.
+        # The entry is killed while the order runs, which breaks the caller's
+        # connection.  The caller retries twice with the same key at another entry.
+        # It may get "unknown", but the order must run only once.
         entry, other = self.launcher.entries
 
         async def kill_entry(agent: Daemon) -> None:
@@ -119,8 +118,8 @@
         self.assertEqual(self.count_runs("kill-entry"), 1)
 
     def test_frozen_agent_delivers_the_answer_after_it_thaws(self) -> None:
-        # The agent is stopped while its target works, and goes on later, as
-        # after a pause of its machine.  The shop gets the one answer.
+        # SIGSTOP pauses the agent while its target works, as a pause of its machine
+        # does.  After SIGCONT the caller gets the answer of the only run.
         async def freeze(agent: Daemon) -> None:
             self.launcher.processes.kill(agent.name, signal.SIGSTOP)
             await anyio.sleep(4.0)
@@ -135,8 +134,8 @@
         self.assertEqual(self.count_runs("freeze-agent"), 1)
 
     def test_kill_of_the_agent_never_runs_the_order_again(self) -> None:
-        # The agent is killed while its target works.  Nobody can know how the
-        # order ended, so it is neither run elsewhere nor called "not run".
+        # The agent is killed while its target works, so the outcome of the order is
+        # unknown.  It must neither run elsewhere nor be reported as "not run".
         async def kill_agent(agent: Daemon) -> None:
             self.launcher.processes.kill(agent.name)
             await anyio.sleep(0.5)
@@ -154,13 +153,15 @@
         self.assertEqual(self.count_runs("kill-agent"), 1)
 
     def test_planned_stop_of_the_agent_cuts_nothing_off(self) -> None:
-        # The agent is told to stop while its target works, and told again by
-        # an impatient supervisor: it ends only after the shop has its answer.
+        # The agent gets SIGTERM while its target works, and again 0.3 s later, as
+        # some supervisors do.  It must not exit before the caller has its answer.
         async def stop(agent: Daemon) -> None:
             process = self.launcher.processes
             process.kill(agent.name, signal.SIGTERM)
             await anyio.sleep(0.3)
-            code = await anyio.to_thread.run_sync(process.stop, agent.name, PATIENCE_S)
+            code = await anyio.to_thread.run_sync(
+                process.stop, agent.name, STEP_TIMEOUT_S
+            )
             self.assertEqual(code, 0)
             process.restart(agent.name)
 
@@ -172,8 +173,8 @@
         self.assertEqual(self.count_runs("stop-agent"), 1)
 
     def test_outage_of_the_key_value_service_refuses_new_orders_only(self) -> None:
-        # Without the service no claim can be written: the order is not run and
-        # the shop is told so.  What needs no claim goes on.
+        # Without the service no claim can be written: the order must not run, and
+        # the caller must be told so.  Requests that need no claim are still served.
         entry = self.launcher.entries[1]
         faults = f"{self.launcher.key_value_url}/control/faults"
 
--- a/tests/test_silent_link.py
+++ b/tests/test_silent_link.py
@@ -1,4 +1,4 @@
-"""Tests of an attempt whose link between entry and agent is spoiled by a relay."""
+"""Tests of attempts while a relay injects faults between entry and agent."""
 
 import unittest
 from contextlib import AsyncExitStack
@@ -19,7 +19,7 @@
 )
 from stand_ins.relay import Relay, RelayRule, RelayRules
 
-WHOLE = b"begin end"
+COMPLETE_ANSWER = b"begin end"
 SILENT = RelayRule(silent=True)
 
 
@@ -64,34 +64,34 @@
         await wait_until(lambda: self.target.in_flight)
         return attempt
 
-    async def expect_whole_answer(self, attempt: OpenAttempt) -> None:
+    async def expect_complete_answer(self, attempt: OpenAttempt) -> None:
         await wait_until(lambda: not attempt.assembly.is_open)
         self.assertIs(attempt.assembly.verdict, Verdict.WHOLE)
-        self.assertEqual(attempt.assembly.read_available(), WHOLE)
+        self.assertEqual(attempt.assembly.read_available(), COMPLETE_ANSWER)
         self.assertEqual(self.target.runs, ["r1.1"])
 
     def test_connection_that_goes_silent_both_ways_loses_nothing(self) -> None:
-        # Something between the two ends loses track of the open connection in
-        # mid-answer; new ones work.  The shop gets its whole answer, and the
-        # deposit is taken once.
+        # A device between entry and agent drops all packets of the open connection
+        # during an answer; new connections work.  The caller must get the complete
+        # answer, and the order must run once.
         async def scenario() -> None:
             attempt = await self.start_attempt()
             self.relay.set_rules(
                 RelayRules(to_server=SILENT, to_client=SILENT, only_open=True)
             )
             self.target.release.set()
-            await self.expect_whole_answer(attempt)
+            await self.expect_complete_answer(attempt)
 
         self.run_scenario(scenario)
 
     def test_connection_that_goes_silent_towards_the_agent_only(self) -> None:
-        # The entry still hears the agent, so it alone would never notice.
+        # The entry still receives from the agent, so it can't detect the fault alone.
         async def scenario() -> None:
             attempt = await self.start_attempt()
             self.relay.set_rules(RelayRules(to_server=SILENT, only_open=True))
             await wait_until(lambda: len(self.entry.events) > 1)
             self.target.release.set()
-            await self.expect_whole_answer(attempt)
+            await self.expect_complete_answer(attempt)
 
         self.run_scenario(scenario)
 
@@ -100,19 +100,19 @@
             attempt = await self.start_attempt()
             self.relay.cut_all()
             self.target.release.set()
-            await self.expect_whole_answer(attempt)
+            await self.expect_complete_answer(attempt)
 
         self.run_scenario(scenario)
 
     def test_corrupt_frames_end_the_connection_not_the_answer(self) -> None:
-        # Bytes are damaged on the way for a while.  No damaged byte may reach
-        # the shop; the attempt is resumed once the path is sound again.
+        # The open connection corrupts bytes.  No corrupt byte may reach the caller;
+        # the attempt must be resumed on a new connection.
         async def scenario() -> None:
             attempt = await self.start_attempt()
-            damaged = RelayRule(corrupt_share=1.0)
-            self.relay.set_rules(RelayRules(to_client=damaged, only_open=True))
+            corrupting = RelayRule(corrupt_share=1.0)
+            self.relay.set_rules(RelayRules(to_client=corrupting, only_open=True))
             self.target.release.set()
-            await self.expect_whole_answer(attempt)
+            await self.expect_complete_answer(attempt)
 
         self.run_scenario(scenario)
 
