--- a/reedspar/daemon/agent.py
+++ b/reedspar/daemon/agent.py
@@ -13,7 +13,7 @@
     ObservedTarget,
     ObservedWeightSource,
     ReportObserver,
-    TransferLedger,
+    TransferTracker,
 )
 from reedspar.platform import (
     HttpPlainService,
@@ -67,7 +67,7 @@
         weights: WeightController | None,
         target: HttpPlainService,
         origin: HttpWeightSource,
-        ledger: TransferLedger,
+        transfer_tracker: TransferTracker,
         routes: list[BaseRoute],
     ) -> None:
         self._node = node
@@ -75,7 +75,7 @@
         self._weights = weights
         self._target = target
         self._origin = origin
-        self._ledger = ledger
+        self._transfer_tracker = transfer_tracker
         self._application = Starlette(routes=routes)
         node.describe_role = self.describe
 
@@ -102,7 +102,9 @@
             queued=self._controller.queued_count,
             limit=self._controller.gate.limit,
             offered={item.model: item.root_digest for item in offered},
-            transfers=self._ledger.list_transfers(self._node.configuration.current()),
+            transfers=self._transfer_tracker.list_transfers(
+                self._node.configuration.current()
+            ),
         )
 
     async def drain(self) -> None:
@@ -124,12 +126,12 @@
     origin = create_http_weight_source(settings.platform.origin_url)
     weights: WeightController | None = None
     offers: OfferSource = PlainOffers()
-    ledger = TransferLedger()
+    transfer_tracker = TransferTracker()
     client: HttpPlainService
     target: Target
     if settings.target.kind is TargetKind.MODEL_ENGINE:
         client = engine = create_http_model_engine(settings.target.url)
-        target = ObservedEngine(engine, node.metrics, node.recorder, ledger)
+        target = ObservedEngine(engine, node.metrics, node.recorder, transfer_tracker)
         weights = _create_weights(node, target, origin, gate)
         offers = WeightOffers(settings.target.pool, weights, node.configuration)
     else:
@@ -147,7 +149,9 @@
         node.tasks.start_soon,
     )
     gate.controller = controller
-    return AgentRole(node, controller, weights, client, origin, ledger, admin_routes)
+    return AgentRole(
+        node, controller, weights, client, origin, transfer_tracker, admin_routes
+    )
 
 
 def _create_weights(
@@ -174,7 +178,7 @@
         timers=node.timers,
         tasks=node.tasks,
         origin=ObservedWeightSource(
-            origin, node.metrics, node.recorder, chunks.note_origin
+            origin, node.metrics, node.recorder, chunks.record_origin_bytes
         ),
         engine=engine,
         peers=WeightPeers(settings.name, node.membership, node.configuration),
--- a/reedspar/daemon/entry.py
+++ b/reedspar/daemon/entry.py
@@ -24,7 +24,7 @@
         self._node = node
         self._service = service
         node.describe_role = self.describe
-        node.metrics.attempt_faults.observe(self._read_faults)
+        node.metrics.attempt_faults.set_callback(self._read_faults)
 
     @property
     def application(self) -> Any:
--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -105,21 +105,21 @@
         documents = ConfigurationObserver(
             self.recorder, lambda: self.configuration.check_work_allowed(zone)
         )
-        self.configuration.on_change(documents.note_document)
+        self.configuration.on_change(documents.record_document)
         self.timers.call_every(FRESHNESS_INTERVAL_S, documents.check_freshness)
         members = MemberObserver(self.recorder, self.membership.members)
-        self.membership.on_change(members.note_change)
+        self.membership.on_change(members.handle_change)
         AttemptObserver(self.network, self.metrics, self.recorder)
         traffic = self.transport.traffic
-        self.metrics.unreadable_frames.observe(lambda: traffic.unreadable_count)
-        self.metrics.link_bytes.observe(
+        self.metrics.unreadable_frames.set_callback(lambda: traffic.unreadable_count)
+        self.metrics.link_bytes.set_callback(
             lambda: [
                 (traffic.sent_bytes, {"direction": "sent"}),
                 (traffic.received_bytes, {"direction": "received"}),
             ]
         )
-        self.metrics.config_version.observe(lambda: self.configuration.version)
-        self.metrics.freshness_age.observe(lambda: self.configuration.age_s)
+        self.metrics.config_version.set_callback(lambda: self.configuration.version)
+        self.metrics.freshness_age.set_callback(lambda: self.configuration.age_s)
 
     def _note_pause(self, gap_s: float) -> None:
         self.metrics.pauses.add(1)
--- a/reedspar/direct/request_log.py
+++ b/reedspar/direct/request_log.py
@@ -38,7 +38,7 @@
         self._left_out = 0
         self._answered = 0
         self._in_flight = 0
-        metrics.in_flight.observe(lambda: self._in_flight)
+        metrics.in_flight.set_callback(lambda: self._in_flight)
         timers.call_every(SUMMARY_S, self._summarize)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
--- a/reedspar/observation/__init__.py
+++ b/reedspar/observation/__init__.py
@@ -6,7 +6,7 @@
 
 from .attempts import AttemptObserver
 from .configuration import ConfigurationObserver
-from .engine import ObservedEngine, ObservedTarget, TransferLedger
+from .engine import ObservedEngine, ObservedTarget, TransferTracker
 from .members import MemberObserver
 from .network import ObservedNetwork
 from .platform import ObservedKeyValueStore, ObservedWeightSource
@@ -26,5 +26,5 @@
     "ObservedWeightSource",
     "ReportObserver",
     "RequestObserver",
-    "TransferLedger",
+    "TransferTracker",
 ]
--- a/reedspar/observation/attempts.py
+++ b/reedspar/observation/attempts.py
@@ -44,7 +44,7 @@
         self._recorder = recorder
         self._open: OrderedDict[tuple[str, int], str] = OrderedDict()
         self._relayed_bytes = 0
-        metrics.relayed_bytes.observe(lambda: self._relayed_bytes)
+        metrics.relayed_bytes.set_callback(lambda: self._relayed_bytes)
         network.subscribe(AttemptData, self._on_data)
         self._observe(network, AttemptStart, self._on_start)
         self._observe(network, AttemptHead, self._on_head)
--- a/reedspar/observation/configuration.py
+++ b/reedspar/observation/configuration.py
@@ -21,7 +21,7 @@
         self._is_fresh = False
         self._was_ready = False
 
-    def note_document(self, document: ConfigurationDocument) -> None:
+    def record_document(self, document: ConfigurationDocument) -> None:
         """Record a version that came into force here, and what it changed."""
         before = self._document
         self._document = document
--- a/reedspar/observation/engine.py
+++ b/reedspar/observation/engine.py
@@ -16,7 +16,7 @@
 from reedspar.telemetry import Metrics
 from reedspar.timeline import EventKind, EventRecorder
 
-__all__ = ["ObservedEngine", "ObservedTarget", "TransferLedger"]
+__all__ = ["ObservedEngine", "ObservedTarget", "TransferTracker"]
 
 STAGING = "staging"
 LOADING = "loading"
@@ -53,7 +53,7 @@
         return await self._inner.cancel(request_id)
 
 
-class TransferLedger:
+class TransferTracker:
     """What was staged of each version at this boot of the engine."""
 
     def __init__(self) -> None:
@@ -117,20 +117,20 @@
         inner: ModelEngine,
         metrics: Metrics,
         recorder: EventRecorder,
-        ledger: TransferLedger,
+        transfer_tracker: TransferTracker,
     ) -> None:
         super().__init__(inner, recorder)
         self._engine = inner
         self._metrics = metrics
-        self._ledger = ledger
+        self._transfer_tracker = transfer_tracker
         self._staged_bytes = 0
-        metrics.staged_bytes.observe(lambda: self._staged_bytes)
+        metrics.staged_bytes.set_callback(lambda: self._staged_bytes)
 
     async def read_state(self) -> EngineState | Failure:
         """Return the engine's own report."""
         state = await self._engine.read_state()
         if not isinstance(state, Failure):
-            self._ledger.note_boot(state.boot_id)
+            self._transfer_tracker.note_boot(state.boot_id)
         return state
 
     async def stage_chunk(
@@ -141,27 +141,27 @@
         if failure is not None:
             return failure
         self._staged_bytes += len(data)
-        if self._ledger.note_staged(root_digest, index, len(data)):
+        if self._transfer_tracker.note_staged(root_digest, index, len(data)):
             self._recorder.record(EventKind.WEIGHTS_STAGING, version=root_digest)
         return None
 
     async def drop_staged(self, root_digest: str) -> Failure | None:
         """Let go of the chunks of a version that will not be loaded."""
-        self._ledger.forget(root_digest)
+        self._transfer_tracker.forget(root_digest)
         return await self._engine.drop_staged(root_digest)
 
     async def load(self, order: LoadOrder) -> Failure | None:
         """Order a load, and record how it ended."""
-        self._ledger.note_phase(order.root_digest, LOADING)
+        self._transfer_tracker.note_phase(order.root_digest, LOADING)
         self._record(EventKind.WEIGHTS_LOAD_ORDERED, order, "")
         failure = await self._engine.load(order)
         outcome = failure.reason.value if failure else "ok"
         self._metrics.loads.add(1, {"outcome": outcome})
         if failure is None:
-            self._ledger.note_phase(order.root_digest, LOADED)
+            self._transfer_tracker.note_phase(order.root_digest, LOADED)
             self._record(EventKind.WEIGHTS_LOADED, order, "")
         else:
-            self._ledger.note_phase(order.root_digest, FAILED, str(failure))
+            self._transfer_tracker.note_phase(order.root_digest, FAILED, str(failure))
             self._record(EventKind.WEIGHTS_LOAD_FAILED, order, str(failure))
         return failure
 
--- a/reedspar/observation/members.py
+++ b/reedspar/observation/members.py
@@ -63,7 +63,7 @@
         self._list_members = list_members
         self._seen: dict[str, _Seen] = {}
 
-    def note_change(self) -> None:
+    def handle_change(self) -> None:
         """Compare the view with the one before."""
         now = {
             member.record.name: _Seen(
--- a/reedspar/observation/network.py
+++ b/reedspar/observation/network.py
@@ -41,8 +41,8 @@
         self._counted: set[type] = set()
         self._sent_handlers: dict[type, SentHandler] = {}
         network.on_link_event(self._note_link)
-        metrics.messages.observe(self._read_counts)
-        metrics.links_up.observe(lambda: len(network.peers()))
+        metrics.messages.set_callback(self._read_counts)
+        metrics.links_up.set_callback(lambda: len(network.peers()))
 
     def on_sent(self, message_class: type, handler: SentHandler) -> None:
         """Call `handler` with the peer and each such message that was queued."""
--- a/reedspar/observation/reports.py
+++ b/reedspar/observation/reports.py
@@ -32,8 +32,8 @@
         if last is not None and report.sequence <= last.sequence:
             return
         if last is None:
-            self._metrics.gate_limit.observe(self._read_limit)
-            self._metrics.gate_queued.observe(self._read_queued)
+            self._metrics.gate_limit.set_callback(self._read_limit)
+            self._metrics.gate_queued.set_callback(self._read_queued)
         self._last = report
         self._note_boot(last, report)
         if last is None or last.status is not report.status:
--- a/reedspar/observation/requests.py
+++ b/reedspar/observation/requests.py
@@ -41,7 +41,7 @@
         self._clock = clock
         self._waiting: dict[str, tuple[float, str]] = {}
         self._in_flight = 0
-        metrics.in_flight.observe(lambda: self._in_flight)
+        metrics.in_flight.set_callback(lambda: self._in_flight)
         network.subscribe(AttemptHead, self._on_head)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
--- a/reedspar/observation/tests/test_observers.py
+++ b/reedspar/observation/tests/test_observers.py
@@ -32,7 +32,7 @@
     ObservedNetwork,
     ReportObserver,
     RequestObserver,
-    TransferLedger,
+    TransferTracker,
 )
 from reedspar.platform import EngineState, LoadOrder, TargetRequest
 from reedspar.requests import Answer, Outcome, Request
@@ -166,7 +166,7 @@
     def test_chunks_are_counted_by_how_far_they_came(self) -> None:
         places = {"near": ("r", "a"), "across": ("r", "b"), "far": ("s", "c")}
         observer = ChunkObserver(self.network, self.metrics, ("r", "a"), places.get)
-        observer.note_origin(7)
+        observer.record_origin_bytes(7)
         for name, size_bytes in (("near", 1), ("across", 2), ("far", 3), ("new", 4)):
             piece = ChunkPiece(DIGEST, 1, 0, 9, bytes(size_bytes))
             self.inner.deliver(piece, Sender(name, 1, 1))
@@ -178,13 +178,13 @@
     def test_members(self) -> None:
         members = [make_member("entry-1")]
         observer = MemberObserver(self.recorder, lambda: members)
-        observer.note_change()
+        observer.handle_change()
         members += [make_member(f"agent-{i}") for i in range(500)]
-        observer.note_change()
+        observer.handle_change()
         members[1] = make_member("agent-0", incarnation=2)
         members[2] = make_member("agent-1", is_leaving=True)
         members[3:] = [*members[4:], make_member("new")]
-        observer.note_change()
+        observer.handle_change()
         self.assertEqual(
             self.kinds()[-5:],
             [
@@ -237,7 +237,7 @@
             {"version": 3, "models": {"drafter": model}},
         ]
         for document in documents:
-            observer.note_document(ConfigurationDocument.model_validate(document))
+            observer.record_document(ConfigurationDocument.model_validate(document))
         for _ in range(3):
             observer.check_freshness()
         adopted = "config.adopted"
@@ -311,9 +311,9 @@
 
         self.load_failure: Failure | None = None
         self.engine_inner = Inner()
-        self.ledger = TransferLedger()
+        self.transfer_tracker = TransferTracker()
         self.engine = ObservedEngine(
-            self.engine_inner, self.metrics, self.recorder, self.ledger
+            self.engine_inner, self.metrics, self.recorder, self.transfer_tracker
         )
         model = {
             "label": "march",
@@ -332,13 +332,13 @@
             await self.engine.read_state()
             for index in range(2):
                 await self.engine.stage_chunk(DIGEST, index, bytes(50))
-                seen += self.ledger.list_transfers(self.document)
+                seen += self.transfer_tracker.list_transfers(self.document)
             self.load_failure = Failure(Reason.FENCED, Step.LOAD, "engine:1")
             await self.engine.load(LoadOrder("drafter", DIGEST, (), 9, "o1"))
-            seen += self.ledger.list_transfers(self.document)
+            seen += self.transfer_tracker.list_transfers(self.document)
             self.engine_inner.boot_id = "b2"
             await self.engine.read_state()
-            return seen + list(self.ledger.list_transfers(self.document))
+            return seen + list(self.transfer_tracker.list_transfers(self.document))
 
         transfers = anyio.run(run)
         self.assertEqual([t.bytes_held for t in transfers], [50, 100, 100])
--- a/reedspar/observation/weights.py
+++ b/reedspar/observation/weights.py
@@ -39,12 +39,12 @@
         self._locate = locate
         self._received: Counter[ChunkSource] = Counter()
         self._sent_bytes = 0
-        metrics.chunk_bytes.observe(self._read_received)
-        metrics.chunk_bytes_sent.observe(lambda: self._sent_bytes)
+        metrics.chunk_bytes.set_callback(self._read_received)
+        metrics.chunk_bytes_sent.set_callback(lambda: self._sent_bytes)
         network.subscribe(ChunkPiece, self._on_received)
         network.on_sent(ChunkPiece, self._on_sent)
 
-    def note_origin(self, size_bytes: int) -> None:
+    def record_origin_bytes(self, size_bytes: int) -> None:
         """Count bytes that came from the origin."""
         self._received[ChunkSource.ORIGIN] += size_bytes
 
--- a/reedspar/settings/reloading.py
+++ b/reedspar/settings/reloading.py
@@ -30,7 +30,7 @@
         """Call `listener` with settings that differ from those before."""
         self._listeners.append(listener)
 
-    def check(self) -> None:
+    def reload_if_changed(self) -> None:
         """Read the file again if it has changed since the last time."""
         stamp = self._read_stamp()
         if stamp != self._stamp:
--- a/reedspar/settings/tests/test_site.py
+++ b/reedspar/settings/tests/test_site.py
@@ -73,11 +73,11 @@
         heard = []
         reloader.on_change(heard.append)
         self.write(ENTRY[: len(ENTRY) // 2])
-        reloader.check()
+        reloader.reload_if_changed()
         self.assertEqual(heard, [])
         self.write(ENTRY.replace("8000\n", "9000\n"))
-        reloader.check()
-        reloader.check()
+        reloader.reload_if_changed()
+        reloader.reload_if_changed()
         self.assertEqual(len(heard), 1)
         self.assertEqual(reloader.settings.bounds.grace_ms, 9000)
 
--- a/reedspar/telemetry/instruments.py
+++ b/reedspar/telemetry/instruments.py
@@ -10,7 +10,7 @@
 __all__ = [
     "InstrumentKind",
     "InstrumentSpec",
-    "Observed",
+    "ObservableInstrument",
     "build_instrument",
     "counter",
     "histogram",
@@ -61,7 +61,7 @@
         return base + "_total" if self.kind in COUNTERS else base
 
 
-class Observed:
+class ObservableInstrument:
     """A value, or one for each set of attributes, that is read with the metrics.
 
     Adding to a counter takes about ten microseconds, too much for each message
@@ -71,12 +71,12 @@
     def __init__(self) -> None:
         self._read: Callable[[], float | Iterable[Reading]] | None = None
 
-    def observe(self, read: Callable[[], float | Iterable[Reading]]) -> None:
+    def set_callback(self, read: Callable[[], float | Iterable[Reading]]) -> None:
         """Report what `read` returns from now on."""
         self._read = read
 
     def collect(self, options: CallbackOptions) -> Iterable[Observation]:
-        """Return the observations, or none before `observe`."""
+        """Return the observations, or none before `set_callback`."""
         if self._read is None:
             return []
         found = self._read()
@@ -127,7 +127,7 @@
             description,
             explicit_bucket_boundaries_advisory=SECONDS_BUCKETS,
         )
-    observed = Observed()
+    observed = ObservableInstrument()
     if spec.kind is InstrumentKind.OBSERVED_COUNTER:
         meter.create_observable_counter(name, [observed.collect], unit, description)
     else:
--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -16,7 +16,7 @@
 
 from .instruments import (
     InstrumentSpec,
-    Observed,
+    ObservableInstrument,
     build_instrument,
     counter,
     histogram,
@@ -71,7 +71,7 @@
         ),
     ]
     in_flight: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "in_flight", "{request}", "Requests of callers in progress in this process."
         ),
@@ -86,7 +86,7 @@
         ),
     ]
     attempt_faults: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "attempts.faults",
             "{fault}",
@@ -96,10 +96,11 @@
         ),
     ]
     relayed_bytes: Annotated[
-        Observed, observed_counter("relayed", "By", "Bytes of answers passed on.")
+        ObservableInstrument,
+        observed_counter("relayed", "By", "Bytes of answers passed on."),
     ]
     messages: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "messages",
             "{message}",
@@ -109,19 +110,19 @@
         ),
     ]
     unreadable_frames: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "frames.unreadable", "{frame}", "Frames that could not be read."
         ),
     ]
     link_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "links.traffic", "By", "Bytes between daemons, by direction.", "direction"
         ),
     ]
     links_up: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge("links.up", "{link}", "Links to other daemons that are open."),
     ]
     link_changes: Annotated[
@@ -134,19 +135,19 @@
         ),
     ]
     config_version: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "config.version", "{version}", "Number of the configuration in force here."
         ),
     ]
     freshness_age: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "config.freshness_age", "s", "Time since the configuration was confirmed."
         ),
     ]
     chunk_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "chunks.received",
             "By",
@@ -156,11 +157,11 @@
         ),
     ]
     chunk_bytes_sent: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter("chunks.sent", "By", "Bytes of chunks sent to other daemons."),
     ]
     staged_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "chunks.staged", "By", "Bytes of checked chunks handed to the engine."
         ),
@@ -193,7 +194,7 @@
         ),
     ]
     replaced_begun: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "weights.replaced_begun",
             "{request}",
@@ -203,7 +204,7 @@
         ),
     ]
     gate_limit: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "gate.limit",
             "{request}",
@@ -211,7 +212,7 @@
         ),
     ]
     gate_queued: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge("gate.queued", "{request}", "Requests that wait at the agent."),
     ]
     key_value_calls: Annotated[
--- a/reedspar/telemetry/tests/test_metrics.py
+++ b/reedspar/telemetry/tests/test_metrics.py
@@ -9,7 +9,7 @@
     create_metrics,
     install_invariant_reporter,
 )
-from reedspar.telemetry.instruments import InstrumentKind, Observed
+from reedspar.telemetry.instruments import InstrumentKind, ObservableInstrument
 from reedspar.telemetry.metrics import list_instruments
 from reedspar.timeline import EventKind, create_event_recorder
 
@@ -20,8 +20,8 @@
         for attribute, spec in list_instruments().items():
             instrument = getattr(metrics, attribute)
             labels = dict.fromkeys(spec.attributes, "x")
-            if isinstance(instrument, Observed):
-                instrument.observe(lambda labels=labels: [(3.5, labels)])
+            if isinstance(instrument, ObservableInstrument):
+                instrument.set_callback(lambda labels=labels: [(3.5, labels)])
             elif spec.kind is InstrumentKind.HISTOGRAM:
                 instrument.record(0.2, labels)
             else:
@@ -36,7 +36,7 @@
     def test_observed_value_is_read_anew(self) -> None:
         metrics = create_metrics()
         ages = iter([1.0, 2.0])
-        metrics.freshness_age.observe(lambda: next(ages))
+        metrics.freshness_age.set_callback(lambda: next(ages))
         self.assertIn(b"reedspar_config_freshness_age_seconds 1.0", metrics.render())
         self.assertIn(b"reedspar_config_freshness_age_seconds 2.0", metrics.render())
 
