--- a/reedspar/settings/__init__.py
+++ b/reedspar/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: declared once with type, default and description, read from TOML."""
+"""Settings models with types, defaults and descriptions, read from TOML files."""
 
 from .loading import SettingsError, load_settings, load_site_settings
 from .models import (
--- a/reedspar/settings/loading.py
+++ b/reedspar/settings/loading.py
@@ -1,4 +1,4 @@
-"""Read a settings file, and say plainly what is wrong with a bad one."""
+"""Load settings files, and name key, value and rule of invalid settings."""
 
 import tomllib
 from pathlib import Path
@@ -15,16 +15,16 @@
 
 
 class SettingsError(Exception):
-    """A settings file that can't be used; the text names key, value and rule."""
+    """An unusable settings file; the message names key, value and broken rule."""
 
 
 def load_settings(path: Path) -> DaemonSettings:
-    """Return the settings in the TOML file at `path`, or raise `SettingsError`."""
+    """Return the settings in the TOML file at `path`; raise `SettingsError`."""
     return _load(path, DaemonSettings)
 
 
 def load_site_settings(path: Path) -> SiteSettings:
-    """Return the settings of a site's daemon, or raise `SettingsError`."""
+    """Return the settings of a daemon at a site; raise `SettingsError`."""
     return _load(path, SiteSettings)
 
 
@@ -38,18 +38,18 @@
     try:
         return model.model_validate(document)
     except ValidationError as error:
-        raise SettingsError(_describe(path, error)) from error
+        raise SettingsError(_describe_error(path, error)) from error
 
 
-def _describe(path: Path, error: ValidationError) -> str:
+def _describe_error(path: Path, error: ValidationError) -> str:
     lines = []
     for item in error.errors():
         key = ".".join(str(part) for part in item["loc"]) or "(whole file)"
-        value = "" if item["type"] == "missing" else f" = {_shorten(item['input'])}"
+        value = "" if item["type"] == "missing" else f" = {_truncate(item['input'])}"
         lines.append(f"{path}: {key}{value}: {item['msg']}")
     return "\n".join(lines)
 
 
-def _shorten(value: object, limit: int = 60) -> str:
+def _truncate(value: object, limit: int = 60) -> str:
     text = repr(value)
     return text if len(text) <= limit else f"{text[:limit]}..."
--- a/reedspar/settings/models.py
+++ b/reedspar/settings/models.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon, validated before any socket opens."""
+"""Settings of a daemon, validated before any socket is opened."""
 
 from enum import Enum
 from typing import Annotated, Self
@@ -25,44 +25,54 @@
 
 
 class Section(BaseModel):
-    """A table of the settings file; unknown keys are refused."""
+    """A table of the settings file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class TargetKind(Enum):
-    """What stands behind an agent."""
+    """Kind of the target that an agent serves."""
 
     MODEL_ENGINE = "model_engine"
     PLAIN_SERVICE = "plain_service"
 
 
 class PlatformSettings(Section):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
-    key_value_url: Url = Field(description="Key-value service.")
-    instance_list_url: Url = Field(description="Instance list.")
-    origin_url: Url = Field(description="Origin of weights.")
-    instance_poll_s: Seconds = Field(5.0, description="Time between list reads.")
-    call_timeout_s: Seconds = Field(2.0, description="Bound on one platform call.")
+    key_value_url: Url = Field(description="URL of the key-value service.")
+    instance_list_url: Url = Field(description="URL of the instance list.")
+    origin_url: Url = Field(description="URL of the origin of weights.")
+    instance_poll_s: Seconds = Field(
+        5.0, description="Interval between reads of the instance list."
+    )
+    call_timeout_s: Seconds = Field(
+        2.0, description="Timeout of a call to a platform service."
+    )
 
 
 class LinkSettings(Section):
-    """Connections between daemons."""
+    """Links between daemons."""
 
-    heartbeat_s: Seconds = Field(0.5, description="Between heartbeats, link in use.")
+    heartbeat_s: Seconds = Field(
+        0.5, description="Interval between heartbeats on a link in use."
+    )
     idle_heartbeat_s: Seconds = Field(
-        2.0, description="Between heartbeats, idle link; alike in all daemons."
+        2.0,
+        description="Interval between heartbeats on an idle link; must be the same in "
+        "all daemons.",
     )
     silence_s: Seconds = Field(
-        1.5, description="Silence after which a second connection is dialled."
+        1.5,
+        description="Time without data on a link after which a second connection "
+        "is opened.",
     )
-    dial_timeout_s: Seconds = Field(1.0, description="Bound on one dial.")
+    dial_timeout_s: Seconds = Field(1.0, description="Timeout of a connection attempt.")
     machine_bytes_per_s: int = Field(
-        12_500_000, gt=0, description="This machine's link, for weights."
+        12_500_000, gt=0, description="Bandwidth of this machine's link for weights."
     )
     region_bytes_per_s: int = Field(
-        1_250_000, gt=0, description="The link between regions, for weights."
+        1_250_000, gt=0, description="Bandwidth of a link between regions for weights."
     )
 
 
@@ -70,82 +80,98 @@
     """Distribution of weights."""
 
     chunk_memory_bytes: int = Field(
-        48 * MEBIBYTE, gt=0, description="Bound on chunks held by the agent."
+        48 * MEBIBYTE,
+        gt=0,
+        description="Limit on the chunks that the agent holds in memory.",
     )
     origin_region: str = Field(
-        "", description="Region in which the origin lies; empty: this one."
+        "", description="Region of the origin; empty: the daemon's own region."
     )
     draws_everywhere: bool = Field(
         False,
-        description="Agents of all regions draw from the origin, not those near it.",
+        description="Whether agents of all regions read from the origin, instead of "
+        "only those in its region.",
     )
     copies_per_region: int = Field(
-        2, ge=1, description="Hashed copies of each chunk that a region keeps."
+        2, ge=1, description="Replicas of each chunk in a region, placed by its hash."
     )
     request_timeout_s: Seconds = Field(
-        3.0, description="After this a chunk is requested elsewhere."
+        3.0, description="Time after which a chunk is requested from another source."
     )
     switch_share: float = Field(
-        0.34, gt=0, le=1, description="Share of a pool that may switch at once."
+        0.34,
+        gt=0,
+        le=1,
+        description="Share of a pool's targets that may switch versions at once.",
     )
 
 
 class RequestSettings(Section):
     """Requests of callers."""
 
-    address_ttl_s: Seconds = Field(5.0, description="How long callers keep addresses.")
-    deadline_s: Seconds = Field(30.0, description="Deadline of a request without one.")
-    body_limit_bytes: int = Field(MEBIBYTE, gt=0, description="Largest request body.")
+    address_ttl_s: Seconds = Field(
+        5.0, description="How long callers may cache addresses."
+    )
+    deadline_s: Seconds = Field(
+        30.0, description="Deadline of a request that sets none."
+    )
+    body_limit_bytes: int = Field(
+        MEBIBYTE, gt=0, description="Maximum size of a request body."
+    )
     retry_share: float = Field(
-        0.2, ge=0, le=1, description="Retries as a share of first attempts."
+        0.2, ge=0, le=1, description="Maximum retries as a share of first attempts."
     )
     freshness_s: Seconds = Field(
-        4.0, description="Without fresh confirmation no new work starts after this."
+        4.0,
+        description="Age of the last confirmation of the configuration at which new "
+        "work stops being started.",
     )
     drain_timeout_s: Seconds = Field(
-        60.0, description="Bound on a graceful stop, after which streams are cut."
+        60.0,
+        description="Timeout of a graceful shutdown, after which streams are closed.",
     )
     claim_ttl_s: Seconds = Field(
-        86_400.0, description="How long an order's claim is remembered."
+        86_400.0, description="How long the claim of an order is kept."
     )
 
 
 class TargetSettings(Section):
-    """The target that an agent stands before."""
+    """The target that an agent serves."""
 
     kind: TargetKind = Field(description="model_engine or plain_service.")
-    pool: Name = Field(description="The pool that the target belongs to.")
-    url: Url = Field(description="Where the target listens.")
+    pool: Name = Field(description="Pool of the target.")
+    url: Url = Field(description="URL of the target.")
     checks_fencing: bool = Field(
-        True, description="Whether it refuses orders with an old fencing number."
+        True,
+        description="Whether the target rejects orders with an old fencing number.",
     )
     concurrency_limit: int = Field(
-        16, ge=1, description="Requests that it bears at once when warm."
+        16, ge=1, description="Maximum concurrent requests of a warm target."
     )
     cold_concurrency: int = Field(
-        1, ge=1, description="Requests that it bears at once in cold start."
+        1, ge=1, description="Maximum concurrent requests during a cold start."
     )
     report_lag_s: Seconds = Field(
-        3.0, description="How old the target's own report may be."
+        3.0, description="Maximum age of the target's own report."
     )
     answer_ttl_s: Seconds = Field(
-        60.0, description="How long a finished answer is kept for resumption."
+        60.0, description="How long a complete answer is kept for resumption."
     )
     order_settle_s: Seconds = Field(
         5.0,
-        description="How long a predecessor's order may be in flight to a target "
-        "that ignores fencing numbers.",
+        description="How long an order of an earlier agent may still take effect at a "
+        "target that ignores fencing numbers.",
     )
 
 
 class DaemonSettings(Section):
-    """The whole settings file."""
+    """The settings file of a daemon."""
 
-    name: Name = Field(description="Unique among the daemons.")
-    role: Role = Field(description="entry or agent.")
+    name: Name = Field(description="Name of the daemon, unique in the fleet.")
+    role: Role = Field(description="Role of the daemon: entry or agent.")
     zone: Name = Field(description="Availability zone.")
     region: Name = Field(description="Region of the availability zone.")
-    host: str = Field("127.0.0.1", description="IP number to listen on and announce.")
+    host: str = Field("127.0.0.1", description="IP address to listen on and announce.")
     port: Port = Field(description="Port for other daemons.")
     http_port: Port = Field(description="Port for callers and operators.")
     platform: PlatformSettings
@@ -159,7 +185,9 @@
         if self.role is Role.TOOL:
             raise ValueError("role must be entry or agent")
         if (self.role is Role.AGENT) != (self.target is not None):
-            raise ValueError("a [target] table belongs to the role agent, and only it")
+            raise ValueError(
+                "the role agent needs a [target] table, and no other role has one"
+            )
         if self.port == self.http_port:
             raise ValueError("port and http_port must differ")
         return self
--- a/reedspar/settings/reloading.py
+++ b/reedspar/settings/reloading.py
@@ -1,4 +1,4 @@
-"""Following a settings file that is written anew while the daemon runs."""
+"""Reload a settings file that is rewritten while the daemon runs."""
 
 import logging
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class SettingsReloader:
-    """Reads the file again when told to, or once it has changed."""
+    """Reload the settings file on request, or when it has changed."""
 
     def __init__(self, path: Path, settings: SiteSettings) -> None:
         self._path = path
@@ -23,21 +23,21 @@
 
     @property
     def settings(self) -> SiteSettings:
-        """Return the settings in force."""
+        """Return the current settings."""
         return self._settings
 
     def on_change(self, listener: Callable[[SiteSettings], None]) -> None:
-        """Call `listener` with settings that differ from those before."""
+        """Call `listener` with the new settings each time that they have changed."""
         self._listeners.append(listener)
 
     def reload_if_changed(self) -> None:
-        """Read the file again if it has changed since the last time."""
+        """Reload the file if it has changed since the last read."""
         stamp = self._read_stamp()
         if stamp != self._stamp:
             self.reload()
 
     def reload(self) -> None:
-        """Read the file again; settings that can't be used change nothing."""
+        """Reload the file; keep the current settings if it is invalid."""
         self._stamp = self._read_stamp()
         try:
             settings = load_site_settings(self._path)
--- a/reedspar/settings/site.py
+++ b/reedspar/settings/site.py
@@ -1,7 +1,7 @@
-"""The settings of a daemon on a site whose callers and targets speak another wire.
+"""Settings of a daemon at a site whose callers and targets use their own protocols.
 
-The platform writes the file anew at each start, so unknown keys are ignored:
-it may know more than this version of the program does.
+The platform, which writes the file at each start, may be newer than this program, so
+unknown keys are ignored.
 """
 
 from typing import Annotated, Self
@@ -16,7 +16,7 @@
 
 Milliseconds = Annotated[int, Field(ge=0)]
 BITS_PER_BYTE = 8
-MEGA = 1_000_000
+BITS_PER_MEGABIT = 1_000_000
 
 
 class SiteSection(BaseModel):
@@ -26,7 +26,7 @@
 
 
 class SocketAddress(SiteSection):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: Port
@@ -36,7 +36,7 @@
 
 
 def _parse_address(value: object) -> object:
-    """Read ``host:port``; anything else is left to the validation."""
+    """Parse ``host:port``; return any other value unchanged for the validation."""
     if not isinstance(value, str):
         return value
     host, _, port = value.rpartition(":")
@@ -44,23 +44,24 @@
 
 
 class ListenSettings(SiteSection):
-    """Where the daemon listens; an address that is missing is not served."""
+    """Addresses that the daemon listens on; an interface without one is disabled."""
 
     callers: SocketAddress | None = Field(
-        None, description="Requests of callers, `ip:port`."
+        None, description="Address for requests of callers, `ip:port`."
     )
     ready: SocketAddress | None = Field(
-        None, description="The platform's check, `ip:port`."
+        None, description="Address for the platform's readiness check, `ip:port`."
     )
     directory: SocketAddress | None = Field(
-        None, description="Callers that ask which address to use, `ip:port`."
+        None,
+        description="Address for callers that ask which entry to use, `ip:port`.",
     )
     peers_port: Port = Field(description="Port for other daemons.")
     metrics_port: Port = Field(description="Port for metrics.")
 
     @model_validator(mode="before")
     @classmethod
-    def _split(cls, values: object) -> object:
+    def _parse_addresses(cls, values: object) -> object:
         if not isinstance(values, dict):
             return values
         names = ("callers", "ready", "directory")
@@ -70,53 +71,65 @@
 
 
 class BoundSettings(SiteSection):
-    """Times and shares that the platform holds the system to."""
+    """Bounds that the platform sets for the system."""
 
     drain_ms: Milliseconds = Field(
-        2000, description="From a target's leaving to the last request it may get, ms."
+        2000,
+        description="Time within which a target that starts to shut down must stop "
+        "receiving requests, ms.",
     )
     grace_ms: Milliseconds = Field(
-        8000, description="From the signal to stop to the end by force, ms."
+        8000, description="Time from the stop signal to the forced end, ms."
     )
     version_ms: Milliseconds = Field(
         8000,
-        description="From a named version to the last request on an older one, ms.",
+        description="Time after the naming of a version within which requests may "
+        "still start on an older one, ms.",
     )
     retry_share: float = Field(
-        0.2, ge=0, description="Retries of all entries as a share of requests."
+        0.2, ge=0, description="Maximum retries of all entries as a share of requests."
     )
     retry_slack: float = Field(
-        100.0, ge=0, description="Retries of all entries beyond the share, a window."
+        100.0,
+        ge=0,
+        description="Retries of all entries allowed beyond the share, per window.",
     )
     address_ttl_ms: Milliseconds = Field(
-        2000, description="How long callers keep the addresses they were told, ms."
+        2000, description="How long callers cache the addresses they were given, ms."
     )
 
 
 class SiteSettings(SiteSection):
-    """The whole settings file of a site's daemon."""
+    """The settings file of a daemon at a site."""
 
-    name: Name = Field(description="Unique among the daemons.")
-    role: Role = Field(description="entry or agent.")
-    host: str = Field(description="IP number of this instance.")
+    name: Name = Field(description="Name of the daemon, unique in the fleet.")
+    role: Role = Field(description="Role of the daemon: entry or agent.")
+    host: str = Field(description="IP address of this instance.")
     zone: Name = Field(description="Availability zone.")
     region: Name = Field(description="Region of the availability zone.")
     zones: dict[str, str] = Field(description="Region of each availability zone.")
-    store: SocketAddress = Field(description="The platform's store, `ip:port`.")
+    store: SocketAddress = Field(
+        description="Address of the platform's store, `ip:port`."
+    )
     listen: ListenSettings
     bounds: BoundSettings = BoundSettings()
-    link_mbps: float = Field(1000.0, gt=0, description="This instance's link, Mbit/s.")
+    link_mbps: float = Field(
+        1000.0, gt=0, description="Bandwidth of this instance's link, Mbit/s."
+    )
     region_link_mbps: float = Field(
-        10.0, gt=0, description="The link between two regions, all traffic, Mbit/s."
+        10.0,
+        gt=0,
+        description="Bandwidth of the link between two regions for all traffic, "
+        "Mbit/s.",
     )
     link_share: float = Field(
         0.9,
         gt=0,
         le=1,
-        description="Part of a link that weights may take; the rest is for requests.",
+        description="Share of a link for weights; the rest is left for requests.",
     )
     target_address: SocketAddress | None = Field(
-        None, description="Where the target beside an agent listens, `ip:port`."
+        None, description="Address of the target beside an agent, `ip:port`."
     )
     pool: str = Field("", description="Service of the target beside an agent.")
     weights: WeightSettings = WeightSettings(
@@ -125,7 +138,7 @@
 
     @model_validator(mode="before")
     @classmethod
-    def _split(cls, values: object) -> object:
+    def _parse_addresses(cls, values: object) -> object:
         if not isinstance(values, dict):
             return values
         names = ("store", "target_address")
@@ -143,7 +156,7 @@
 
     @property
     def links(self) -> LinkSettings:
-        """Return the terms of links between daemons."""
+        """Return the settings of links between daemons."""
         return LinkSettings(
             machine_bytes_per_s=self._to_bytes(self.link_mbps),
             region_bytes_per_s=self._to_bytes(self.region_link_mbps),
@@ -151,7 +164,7 @@
 
     @property
     def target(self) -> TargetSettings | None:
-        """Return what an agent needs to know of its target."""
+        """Return the settings of an agent's target; None without its address."""
         if self.target_address is None:
             return None
         return TargetSettings(
@@ -161,4 +174,4 @@
         )
 
     def _to_bytes(self, mbps: float) -> int:
-        return round(mbps * MEGA / BITS_PER_BYTE * self.link_share)
+        return round(mbps * BITS_PER_MEGABIT / BITS_PER_BYTE * self.link_share)
--- a/reedspar/settings/tests/__init__.py
+++ b/reedspar/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the settings."""
+"""Tests of loading and reloading settings."""
--- a/reedspar/settings/tests/test_loading.py
+++ b/reedspar/settings/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""Tests that a bad settings file is named by key, value and expectation."""
+"""Tests that errors in a settings file name key, value and broken rule."""
 
 import tempfile
 import unittest
@@ -6,7 +6,7 @@
 
 from reedspar.settings import SettingsError, load_settings
 
-GOOD = """
+VALID_AGENT = """
 name = "agent-1"
 role = "agent"
 zone = "kingston-a"
@@ -40,19 +40,21 @@
             self.assertIn(part, str(caught.exception))
 
     def test_defaults_fill_in(self) -> None:
-        settings = self.load(GOOD)
+        settings = self.load(VALID_AGENT)
         self.assertEqual(settings.target.cold_concurrency, 1)
 
     def test_bad_value_names_key_and_value(self) -> None:
         self.assert_refused(
-            GOOD.replace("port = 7001", "port = 70010"), "port = 70010", "65535"
+            VALID_AGENT.replace("port = 7001", "port = 70010"), "port = 70010", "65535"
         )
 
     def test_unknown_key_is_refused(self) -> None:
-        self.assert_refused(GOOD.replace("pool =", "pol ="), "target.pol", "pool")
+        self.assert_refused(
+            VALID_AGENT.replace("pool =", "pol ="), "target.pol", "pool"
+        )
 
     def test_agent_without_target_is_refused(self) -> None:
-        self.assert_refused(GOOD[: GOOD.index("[target]")], "[target]")
+        self.assert_refused(VALID_AGENT[: VALID_AGENT.index("[target]")], "[target]")
 
     def test_missing_file_and_broken_toml(self) -> None:
         with self.assertRaises(SettingsError):
--- a/reedspar/settings/tests/test_site.py
+++ b/reedspar/settings/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of a site's daemon."""
+"""Tests of the settings of a daemon at a site."""
 
 import tempfile
 import unittest
@@ -65,9 +65,9 @@
             with self.subTest(name=name):
                 self.assertIn(name, self.load_error(text))
 
-    def test_reload_takes_good_settings_and_keeps_out_bad_ones(self) -> None:
-        # The platform writes the file anew while the daemon runs.  Caught half
-        # written, it must not end the daemon or change anything.
+    def test_reload_applies_valid_settings_and_ignores_invalid_ones(self) -> None:
+        # The platform rewrites the file while the daemon runs.  A reload that reads a
+        # half-written file must neither stop the daemon nor change its settings.
         self.write(ENTRY)
         reloader = SettingsReloader(self.path, load_site_settings(self.path))
         heard = []
