--- a/reedspar/telemetry/__init__.py
+++ b/reedspar/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see from outside: JSON-line logs, metrics, broken invariants."""
+"""Telemetry for operators: JSON-line logs, metrics and invariant violations."""
 
 from .invariants import (
     InvariantReporter,
--- a/reedspar/telemetry/instruments.py
+++ b/reedspar/telemetry/instruments.py
@@ -1,4 +1,4 @@
-"""How a metric is declared, and how its instrument is made."""
+"""Declarations of metrics, and creation of their OpenTelemetry instruments."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -19,16 +19,16 @@
 ]
 
 Reading = tuple[float, dict[str, str]]
-PREFIX = "reedspar."
-SECONDS_BUCKETS = (
+NAME_PREFIX = "reedspar."
+DURATION_BUCKETS_S = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05),
     *(0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0),
 )
-PROMETHEUS_UNITS = {"s": "_seconds", "By": "_bytes"}
+PROMETHEUS_UNIT_SUFFIXES = {"s": "_seconds", "By": "_bytes"}
 
 
 class InstrumentKind(Enum):
-    """How a metric behaves, and whether it is counted or read."""
+    """Type of a metric; observed ones are read by a callback at each scrape."""
 
     COUNTER = "counter"
     HISTOGRAM = "histogram"
@@ -36,7 +36,7 @@
     OBSERVED_GAUGE = "observed gauge"
 
 
-COUNTERS = (InstrumentKind.COUNTER, InstrumentKind.OBSERVED_COUNTER)
+COUNTER_KINDS = (InstrumentKind.COUNTER, InstrumentKind.OBSERVED_COUNTER)
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,31 +52,33 @@
     @property
     def full_name(self) -> str:
         """Return the name in OpenTelemetry."""
-        return PREFIX + self.name
+        return NAME_PREFIX + self.name
 
     @property
     def prometheus_name(self) -> str:
-        """Return the name of the family that ``/metrics`` shows."""
-        base = self.full_name.replace(".", "_") + PROMETHEUS_UNITS.get(self.unit, "")
-        return base + "_total" if self.kind in COUNTERS else base
+        """Return the name of the metric family in ``/metrics``."""
+        base = self.full_name.replace(".", "_") + PROMETHEUS_UNIT_SUFFIXES.get(
+            self.unit, ""
+        )
+        return base + "_total" if self.kind in COUNTER_KINDS else base
 
 
 class ObservableInstrument:
-    """A value, or one for each set of attributes, that is read with the metrics.
+    """An instrument whose values are read by a callback when metrics are scraped.
 
-    Adding to a counter takes about ten microseconds, too much for each message
-    of a relay.  There a plain number is kept, and read when an operator asks.
+    Adding to a counter takes about ten microseconds, too much for each relayed
+    message.  Such code keeps a plain number instead, which the callback returns.
     """
 
     def __init__(self) -> None:
         self._read: Callable[[], float | Iterable[Reading]] | None = None
 
     def set_callback(self, read: Callable[[], float | Iterable[Reading]]) -> None:
-        """Report what `read` returns from now on."""
+        """Set the function that returns a value, or one per set of attributes."""
         self._read = read
 
     def collect(self, options: CallbackOptions) -> Iterable[Observation]:
-        """Return the observations, or none before `set_callback`."""
+        """Return the current observations; none before `set_callback`."""
         if self._read is None:
             return []
         found = self._read()
@@ -86,21 +88,21 @@
 
 
 def counter(name: str, unit: str, description: str, *attributes: str) -> InstrumentSpec:
-    """Declare a count that is added to."""
+    """Declare a counter that the code increments."""
     return InstrumentSpec(InstrumentKind.COUNTER, name, unit, description, attributes)
 
 
 def histogram(
     name: str, unit: str, description: str, *attributes: str
 ) -> InstrumentSpec:
-    """Declare a distribution of durations."""
+    """Declare a histogram of durations."""
     return InstrumentSpec(InstrumentKind.HISTOGRAM, name, unit, description, attributes)
 
 
 def observed_counter(
     name: str, unit: str, description: str, *attributes: str
 ) -> InstrumentSpec:
-    """Declare a count that is kept elsewhere and read."""
+    """Declare a counter whose value is read by a callback."""
     return InstrumentSpec(
         InstrumentKind.OBSERVED_COUNTER, name, unit, description, attributes
     )
@@ -109,14 +111,14 @@
 def observed_gauge(
     name: str, unit: str, description: str, *attributes: str
 ) -> InstrumentSpec:
-    """Declare a value that rises and falls, and is read."""
+    """Declare a gauge whose value is read by a callback."""
     return InstrumentSpec(
         InstrumentKind.OBSERVED_GAUGE, name, unit, description, attributes
     )
 
 
 def build_instrument(meter: Meter, spec: InstrumentSpec) -> Any:
-    """Make the instrument that the declaration asks for."""
+    """Create the declared instrument."""
     name, unit, description = spec.full_name, spec.unit, spec.description
     if spec.kind is InstrumentKind.COUNTER:
         return meter.create_counter(name, unit, description)
@@ -125,7 +127,7 @@
             name,
             unit,
             description,
-            explicit_bucket_boundaries_advisory=SECONDS_BUCKETS,
+            explicit_bucket_boundaries_advisory=DURATION_BUCKETS_S,
         )
     observed = ObservableInstrument()
     if spec.kind is InstrumentKind.OBSERVED_COUNTER:
--- a/reedspar/telemetry/invariants.py
+++ b/reedspar/telemetry/invariants.py
@@ -1,9 +1,8 @@
-"""Invariants asserted inside the program, always on.
+"""Runtime checks of invariants, also enabled in production.
 
-A broken invariant is counted, logged and recorded in the time line; it stops
-the program only where the reporter is fatal, as in tests.  In production a
-daemon that stops takes all of its requests with it, so it counts and goes on,
-and the alarm on the metric calls an operator.
+A violation is counted, logged and recorded in the time line.  It stops the program only
+if the reporter is fatal, as in tests.  In production a daemon that stops would lose all
+of its requests, so it continues, and an alarm on the metric alerts an operator.
 """
 
 import logging
@@ -24,7 +23,7 @@
 
 
 class InvariantReporter:
-    """Tell of broken invariants by metric, log and event."""
+    """Report invariant violations by metric, log and event."""
 
     def __init__(
         self,
@@ -40,7 +39,7 @@
 
     @property
     def violation_count(self) -> int:
-        """Return how many violations were reported."""
+        """Return the number of reported violations."""
         return self._violation_count
 
     def report(self, name: str, detail: str) -> None:
@@ -57,7 +56,7 @@
             raise InvariantError(f"{name}: {detail}")
 
 
-_installed = InvariantReporter()
+_installed_reporter = InvariantReporter()
 
 
 def create_invariant_reporter(
@@ -66,24 +65,24 @@
     *,
     is_fatal: bool = False,
 ) -> InvariantReporter:
-    """Make a reporter; it takes effect once installed."""
+    """Create a reporter; `install_invariant_reporter` puts it into use."""
     return InvariantReporter(metrics, recorder, is_fatal=is_fatal)
 
 
 def install_invariant_reporter(reporter: InvariantReporter) -> InvariantReporter:
-    """Send this process's violations to `reporter`; return the one before."""
-    global _installed
-    before = _installed
-    _installed = reporter
+    """Use `reporter` in this process; return the previous one."""
+    global _installed_reporter
+    before = _installed_reporter
+    _installed_reporter = reporter
     return before
 
 
 def check_invariant(condition: bool, name: str, detail: object = "") -> bool:
     """Report a violation unless `condition` holds; return `condition`.
 
-    `name` is a constant such as ``attempt.at_most_once``; `detail` is turned
-    into text only when the invariant is broken.
+    `name` is a constant such as ``attempt.at_most_once``; `detail` is converted to text
+    only if the invariant is violated.
     """
     if not condition:
-        _installed.report(name, str(detail))
+        _installed_reporter.report(name, str(detail))
     return condition
--- a/reedspar/telemetry/log_queue.py
+++ b/reedspar/telemetry/log_queue.py
@@ -1,4 +1,4 @@
-"""Writing log lines from a thread of its own, so that no reader holds up the loop."""
+"""Log output in a separate thread, so that a slow reader can't block the event loop."""
 
 import logging
 import queue
@@ -6,29 +6,31 @@
 
 __all__ = ["DroppingQueueHandler", "start_log_queue"]
 
-QUEUE_MAX = 2000
-"""Lines that wait for a slow reader, about a megabyte; beyond, lines are dropped."""
+MAX_QUEUED_LINES = 2000
+"""Maximum number of queued log lines, about a megabyte; further ones are dropped."""
 
 
 class DroppingQueueHandler(QueueHandler):
-    """Hands records to the writing thread, and counts those it has no room for.
+    """Queue log records for the writing thread; drop and count those beyond its bound.
 
-    Whoever reads standard output may stop reading.  The pipe fills up, and a
-    process that wrote to it directly would stand still with all its requests.
+    If the reader of standard output stops reading, the pipe fills up.  A process that
+    wrote to it directly would then block, with all of its requests.
     """
 
     def __init__(self, records: "queue.Queue[logging.LogRecord]") -> None:
         super().__init__(records)
-        self._dropped = 0
-        self.dropped_total = 0
+        self._unreported_count = 0
+        self.dropped_count = 0
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a record, or drop it; tell of those dropped before."""
+        """Queue a record or drop it; add a notice once there is room again."""
         if not self._try_put(record):
-            self._dropped += 1
-            self.dropped_total += 1
-        elif self._dropped and self._try_put(_make_notice(self._dropped)):
-            self._dropped = 0
+            self._unreported_count += 1
+            self.dropped_count += 1
+        elif self._unreported_count and self._try_put(
+            _create_drop_notice(self._unreported_count)
+        ):
+            self._unreported_count = 0
 
     def _try_put(self, record: logging.LogRecord) -> bool:
         try:
@@ -38,8 +40,8 @@
         return True
 
 
-def _make_notice(count: int) -> logging.LogRecord:
-    """Return the line that tells how many lines are missing."""
+def _create_drop_notice(count: int) -> logging.LogRecord:
+    """Return a log record with the number of dropped lines."""
     text = "log lines dropped, the reader is too slow"
     notice = logging.LogRecord(__name__, logging.WARNING, __file__, 0, text, (), None)
     notice.__dict__["count"] = count
@@ -47,10 +49,10 @@
 
 
 def start_log_queue(
-    handler: logging.Handler, queue_max: int = QUEUE_MAX
+    handler: logging.Handler, max_queued_lines: int = MAX_QUEUED_LINES
 ) -> tuple[DroppingQueueHandler, QueueListener]:
-    """Return a handler that never blocks, and the thread that feeds `handler`."""
-    records: queue.Queue[logging.LogRecord] = queue.Queue(queue_max)
+    """Return a handler that never blocks, and the listener that feeds `handler`."""
+    records: queue.Queue[logging.LogRecord] = queue.Queue(max_queued_lines)
     listener = QueueListener(records, handler)
     listener.start()
     return DroppingQueueHandler(records), listener
--- a/reedspar/telemetry/logs.py
+++ b/reedspar/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines through `logging`: one object a line, extras as fields."""
+"""Logs as JSON lines through `logging`: an object per line, extras as fields."""
 
 import json
 import logging
@@ -17,7 +17,7 @@
 STANDARD_ATTRIBUTES = frozenset(
     vars(logging.LogRecord("", 0, "", 0, "", (), None)).keys()
 ) | {"message", "asctime", "taskName"}
-WITHHELD_NAMES = frozenset(
+WITHHELD_FIELDS = frozenset(
     {
         "authorization",
         "body",
@@ -32,15 +32,15 @@
     }
 )
 WITHHELD = "[withheld]"
-CHATTY_LOGGERS = ("httpx", "httpcore", "hpack", "h2")
-VALUE_LIMIT = 2000
+VERBOSE_LOGGERS = ("httpx", "httpcore", "hpack", "h2")
+MAX_TEXT_LENGTH = 2000
 
 
 class JsonFormatter(logging.Formatter):
     """Format a record as one JSON object.
 
-    Customers' texts must not end up in logs: bytes are never printed, nor are
-    extras that carry bodies, headers or secrets by their names.
+    Customers' texts must not be logged: bytes are never printed, nor are extras whose
+    names are those of bodies, headers or secrets.
     """
 
     def __init__(self, common: Mapping[str, Any] | None = None) -> None:
@@ -48,10 +48,12 @@
         self._common = dict(common or {})
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as a line without line breaks."""
-        moment = datetime.fromtimestamp(record.created, UTC)
+        """Return the record as one line."""
+        created_at = datetime.fromtimestamp(record.created, UTC)
         line: dict[str, Any] = {
-            "time": moment.isoformat(timespec="microseconds").replace("+00:00", "Z"),
+            "time": created_at.isoformat(timespec="microseconds").replace(
+                "+00:00", "Z"
+            ),
             "level": record.levelname.lower(),
             "logger": record.name,
             "message": record.getMessage(),
@@ -59,32 +61,33 @@
         }
         for name, value in vars(record).items():
             if name not in STANDARD_ATTRIBUTES and name not in line:
-                line[name] = _to_plain(name, value)
+                line[name] = _to_json_value(name, value)
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         return json.dumps(line, ensure_ascii=False)
 
 
-def _to_plain(name: str, value: Any) -> Any:
-    """Return what JSON can hold, with nothing that must not be logged."""
-    if name.lower() in WITHHELD_NAMES:
+def _to_json_value(name: str, value: Any) -> Any:
+    """Convert a value to JSON types, without contents that must not be logged."""
+    if name.lower() in WITHHELD_FIELDS:
         return WITHHELD
     if isinstance(value, bool | int | float | None):
         return value
     if isinstance(value, bytes | bytearray | memoryview):
         return f"<{len(value)} bytes>"
     if isinstance(value, Enum):
-        return _to_plain(name, value.value)
+        return _to_json_value(name, value.value)
     if isinstance(value, Mapping):
-        return {str(key): _to_plain(str(key), item) for key, item in value.items()}
+        return {str(key): _to_json_value(str(key), item) for key, item in value.items()}
     if isinstance(value, list | tuple | set | frozenset):
-        return [_to_plain(name, item) for item in value]
+        return [_to_json_value(name, item) for item in value]
     if is_dataclass(value) and not isinstance(value, type):
         return {
-            f.name: _to_plain(f.name, getattr(value, f.name)) for f in fields(value)
+            f.name: _to_json_value(f.name, getattr(value, f.name))
+            for f in fields(value)
         }
     text = str(value)
-    return text if len(text) <= VALUE_LIMIT else text[:VALUE_LIMIT] + "..."
+    return text if len(text) <= MAX_TEXT_LENGTH else text[:MAX_TEXT_LENGTH] + "..."
 
 
 def configure_logging(
@@ -94,11 +97,11 @@
     common: Mapping[str, Any] | None = None,
     is_queued: bool = False,
 ) -> QueueListener | None:
-    """Send every log record to `stream` (standard error) as JSON lines.
+    """Write all log records to `stream` as JSON lines; default is standard error.
 
-    `common` is added to each line, such as the process's name and zone.
-    Libraries that log each HTTP call with its address are held to warnings.
-    Queued, lines are written by a thread, which is returned: stop it last.
+    The fields of `common`, such as the process's name and zone, are added to each line.
+    Libraries that log each HTTP call with its address are limited to warnings.  If
+    `is_queued`, a thread writes the lines; it is returned, and is to be stopped last.
     """
     handler: logging.Handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter(common))
@@ -108,6 +111,6 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    for name in CHATTY_LOGGERS:
+    for name in VERBOSE_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
     return listener
--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -1,8 +1,8 @@
-"""Every metric of a daemon, declared once, and its Prometheus text.
+"""The metrics of a daemon, and their output in the Prometheus text format.
 
-Attributes come from closed sets (reasons, outcomes, pools and zones of the
-configuration), never from callers' input: each new value costs memory for as
-long as the process lives.
+Attribute values come from closed sets (reasons, outcomes, pools and zones of the
+configuration), never from callers' input: each new value takes memory for the lifetime
+of the process.
 """
 
 from dataclasses import dataclass
@@ -37,7 +37,7 @@
         counter(
             "requests",
             "{request}",
-            "Requests of callers that ended, by outcome: answered, not-run, unknown.",
+            "Callers' requests that ended, by outcome: answered, not-run, unknown.",
             "outcome",
             "pool",
         ),
@@ -47,7 +47,7 @@
         histogram(
             "request.duration",
             "s",
-            "Time from a request to the end of its answer.",
+            "Time from the receipt of a request to the end of its answer.",
             "pool",
         ),
     ]
@@ -56,7 +56,7 @@
         histogram(
             "request.first_byte",
             "s",
-            "Time from a request to the head of its answer.",
+            "Time from the receipt of a request to the head of its answer.",
             "pool",
         ),
     ]
@@ -65,7 +65,7 @@
         counter(
             "refusals",
             "{request}",
-            "Requests that were not run or are unknown, by reason and step.",
+            "Requests not run or with an unknown outcome, by reason and step.",
             "reason",
             "step",
         ),
@@ -73,7 +73,7 @@
     in_flight: Annotated[
         ObservableInstrument,
         observed_gauge(
-            "in_flight", "{request}", "Requests of callers in progress in this process."
+            "in_flight", "{request}", "Callers' requests in progress in this process."
         ),
     ]
     attempts: Annotated[
@@ -90,14 +90,14 @@
         observed_counter(
             "attempts.faults",
             "{fault}",
-            "What went wrong on the way: dropped (messages that no open attempt "
-            "matched), gaps, resumed, corrupt, lost.",
+            "Faults in transferring answers: dropped (messages that match no open "
+            "attempt), gaps, resumed, corrupt, lost.",
             "fault",
         ),
     ]
     relayed_bytes: Annotated[
         ObservableInstrument,
-        observed_counter("relayed", "By", "Bytes of answers passed on."),
+        observed_counter("relayed", "By", "Bytes of answers that were relayed."),
     ]
     messages: Annotated[
         ObservableInstrument,
@@ -112,38 +112,45 @@
     unreadable_frames: Annotated[
         ObservableInstrument,
         observed_counter(
-            "frames.unreadable", "{frame}", "Frames that could not be read."
+            "frames.unreadable", "{frame}", "Frames that could not be decoded."
         ),
     ]
     link_bytes: Annotated[
         ObservableInstrument,
         observed_counter(
-            "links.traffic", "By", "Bytes between daemons, by direction.", "direction"
+            "links.traffic",
+            "By",
+            "Bytes transferred between daemons, by direction.",
+            "direction",
         ),
     ]
     links_up: Annotated[
         ObservableInstrument,
-        observed_gauge("links.up", "{link}", "Links to other daemons that are open."),
+        observed_gauge("links.up", "{link}", "Open links to other daemons."),
     ]
     link_changes: Annotated[
         Counter,
         counter(
             "links.changes",
             "{change}",
-            "Links that came up, were replaced for silence, or went down.",
+            "Links that opened, were replaced because of silence, or closed.",
             "change",
         ),
     ]
     config_version: Annotated[
         ObservableInstrument,
         observed_gauge(
-            "config.version", "{version}", "Number of the configuration in force here."
+            "config.version",
+            "{version}",
+            "Version number of the configuration in use here.",
         ),
     ]
     freshness_age: Annotated[
         ObservableInstrument,
         observed_gauge(
-            "config.freshness_age", "s", "Time since the configuration was confirmed."
+            "config.freshness_age",
+            "s",
+            "Time since the last confirmation of the configuration.",
         ),
     ]
     chunk_bytes: Annotated[
@@ -163,7 +170,9 @@
     staged_bytes: Annotated[
         ObservableInstrument,
         observed_counter(
-            "chunks.staged", "By", "Bytes of checked chunks handed to the engine."
+            "chunks.staged",
+            "By",
+            "Bytes of verified chunks passed to the engine.",
         ),
     ]
     corrupt_draws: Annotated[
@@ -171,7 +180,7 @@
         counter(
             "chunks.corrupt",
             "{chunk}",
-            "Reads of the origin that came damaged or short.",
+            "Reads from the origin that returned corrupt or incomplete data.",
         ),
     ]
     loads: Annotated[
@@ -179,7 +188,7 @@
         counter(
             "weights.loads",
             "{order}",
-            "Orders to load that ended, by outcome: ok or the reason.",
+            "Load orders that ended, by outcome: ok or the reason.",
             "outcome",
         ),
     ]
@@ -188,7 +197,7 @@
         counter(
             "weights.offers",
             "{change}",
-            "Versions offered (offered) and taken back (withdrawn).",
+            "Versions that a target began (offered) or ceased (withdrawn) to offer.",
             "model",
             "change",
         ),
@@ -198,8 +207,8 @@
         observed_counter(
             "weights.replaced_begun",
             "{request}",
-            "Requests that began on replaced weights, by when: in_time, near (the last "
-            "second before the bound), past.",
+            "Requests that started on replaced weights, by time: in_time, near (in the "
+            "last second before the bound), past.",
             "when",
         ),
     ]
@@ -208,19 +217,19 @@
         observed_gauge(
             "gate.limit",
             "{request}",
-            "Requests that the agent lets to its target at once.",
+            "Maximum concurrent requests that the agent admits to its target.",
         ),
     ]
     gate_queued: Annotated[
         ObservableInstrument,
-        observed_gauge("gate.queued", "{request}", "Requests that wait at the agent."),
+        observed_gauge("gate.queued", "{request}", "Requests queued at the agent."),
     ]
     key_value_calls: Annotated[
         Counter,
         counter(
             "key_value.calls",
             "{call}",
-            "Calls of the key-value service, by operation and outcome "
+            "Calls to the key-value service, by operation and outcome "
             "(ok or the reason).",
             "operation",
             "outcome",
@@ -228,14 +237,15 @@
     ]
     pauses: Annotated[
         Counter,
-        counter(
-            "pauses", "{pause}", "Times that this process noticed it had been paused."
-        ),
+        counter("pauses", "{pause}", "Detected pauses of this process."),
     ]
     invariant_violations: Annotated[
         Counter,
         counter(
-            "invariant.violations", "{violation}", "Broken invariants, by name.", "name"
+            "invariant.violations",
+            "{violation}",
+            "Invariant violations, by name.",
+            "name",
         ),
     ]
 
@@ -245,7 +255,7 @@
 
 
 def list_instruments() -> dict[str, InstrumentSpec]:
-    """Return the declaration of each metric by its attribute of `Metrics`."""
+    """Return the declaration of each metric by its attribute name in `Metrics`."""
     specs: dict[str, InstrumentSpec] = {}
     for attribute, hint in get_type_hints(Metrics, include_extras=True).items():
         for extra in get_args(hint)[1:]:
@@ -254,10 +264,10 @@
 
 
 def create_metrics(name: str = "", zone: str = "", role: str = "") -> Metrics:
-    """Make a daemon's instruments in a registry of their own."""
+    """Create the instruments of a daemon in a new registry."""
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
-    # Scope information would add a label to every line of every daemon.
+    # Scope information would add a label to every line.
     reader = PrometheusMetricReader(registry=registry, scope_info_enabled=False)
     resource = Resource(
         {
--- a/reedspar/telemetry/tests/test_log_queue.py
+++ b/reedspar/telemetry/tests/test_log_queue.py
@@ -1,4 +1,4 @@
-"""Tests of logging that never blocks."""
+"""Tests that logging never blocks."""
 
 import json
 import logging
@@ -10,26 +10,26 @@
 from reedspar.telemetry.log_queue import start_log_queue
 from reedspar.telemetry.logs import JsonFormatter
 
-LINES = 5000
-QUEUE_MAX = 100
+LINE_COUNT = 5000
+MAX_QUEUED_LINES = 100
 
 
 class LogQueueTest(unittest.TestCase):
-    def test_reader_that_stops_reading_holds_up_nobody(self) -> None:
-        # Whoever collects the logs hangs, and the pipe fills up.  The daemon goes
-        # on; once the pipe is read again a line tells how many were dropped.
+    def test_stalled_reader_does_not_block_logging(self) -> None:
+        # The log collector hangs and the pipe fills up.  The daemon must not block, and
+        # must log the number of dropped lines once the pipe is read again.
         read_end, write_end = os.pipe()
         stream = os.fdopen(write_end, "w")
         handler = logging.StreamHandler(stream)
         handler.setFormatter(JsonFormatter())
-        queued, listener = start_log_queue(handler, QUEUE_MAX)
+        queued, listener = start_log_queue(handler, MAX_QUEUED_LINES)
         logger = logging.Logger("test")
         logger.addHandler(queued)
         started_s = time.monotonic()
-        for number in range(LINES):
+        for number in range(LINE_COUNT):
             logger.info("line", extra={"number": number, "filler": "x" * 100})
         self.assertLess(time.monotonic() - started_s, 5.0)
-        self.assertGreater(queued.dropped_total, 0)
+        self.assertGreater(queued.dropped_count, 0)
         received: list[bytes] = []
         reader = threading.Thread(target=_read_all, args=(read_end, received))
         reader.start()
@@ -41,7 +41,7 @@
         reader.join()
         lines = [json.loads(line) for line in b"".join(received).splitlines()]
         notices = [line["count"] for line in lines if "dropped" in line["message"]]
-        self.assertEqual(sum(notices), queued.dropped_total)
+        self.assertEqual(sum(notices), queued.dropped_count)
         self.assertIn("last", [line["message"] for line in lines])
 
 
--- a/reedspar/telemetry/tests/test_logs.py
+++ b/reedspar/telemetry/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests that logs are JSON lines which keep customers' texts out."""
+"""Tests that logs are JSON lines without customers' texts."""
 
 import io
 import json
@@ -32,9 +32,9 @@
         self.assertEqual(line["failure"]["peer"], "10.0.0.1:9000")
         self.assertEqual(line["n"], 3)
 
-    def test_bodies_and_secrets_stay_out(self) -> None:
-        # A log call is handed a request with its body or headers, and a
-        # customer's order would lie readable on the operators' log host.
+    def test_bodies_and_secrets_are_withheld(self) -> None:
+        # If a log call is passed a request with its body or headers, a customer's order
+        # must not become readable in the operators' logs.
         extras = {
             "body": "Carmen's order",
             "request": {"Authorization": "Carmen's key", "path": "/v1"},
--- a/reedspar/telemetry/tests/test_metrics.py
+++ b/reedspar/telemetry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics and of the reporting of broken invariants."""
+"""Tests of metrics and of the reports of invariant violations."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    def test_every_instrument_shows_under_its_documented_name(self) -> None:
+    def test_every_instrument_is_rendered_under_its_documented_name(self) -> None:
         metrics = create_metrics("entry-1", "kingston-a", "entry")
         for attribute, spec in list_instruments().items():
             instrument = getattr(metrics, attribute)
@@ -33,7 +33,7 @@
         self.assertIn('reedspar_requests_total{outcome="x",pool="x"} 2.0', text)
         self.assertIn("reedspar_config_version 3.5", text)
 
-    def test_observed_value_is_read_anew(self) -> None:
+    def test_callback_is_called_for_each_scrape(self) -> None:
         metrics = create_metrics()
         ages = iter([1.0, 2.0])
         metrics.freshness_age.set_callback(lambda: next(ages))
@@ -59,7 +59,7 @@
         self.assertIs(event.kind, EventKind.INVARIANT_BROKEN)
         self.assertEqual(event.detail, "attempt.at_most_once: r1")
 
-    def test_violation_stops_a_test(self) -> None:
+    def test_fatal_reporter_raises(self) -> None:
         before = install_invariant_reporter(create_invariant_reporter(is_fatal=True))
         self.addCleanup(install_invariant_reporter, before)
         with (
