--- a/reedspar/observation/__init__.py
+++ b/reedspar/observation/__init__.py
@@ -1,7 +1,7 @@
-"""Turns what passes through a daemon into events and metrics.
+"""Observers that derive events and metrics from a daemon's messages and calls.
 
-Observers stand at the protocols that parts are built on (network, platform,
-filter chain), so that decisions and controllers know nothing of telemetry.
+They wrap or subscribe to the interfaces between components (network, platform, filter
+chain), which keeps telemetry out of decisions and controllers.
 """
 
 from .attempts import AttemptObserver
--- a/reedspar/observation/attempts.py
+++ b/reedspar/observation/attempts.py
@@ -1,4 +1,4 @@
-"""Events and metrics of attempts, seen at either end of their messages."""
+"""Events and metrics of attempts, derived from their messages at entry or agent."""
 
 from collections import OrderedDict
 from typing import Any
@@ -21,7 +21,7 @@
 
 __all__ = ["AttemptObserver"]
 
-OPEN_LIMIT = 16_384
+MAX_OPEN_ATTEMPTS = 16_384
 REFUSED = "refused"
 END_EVENTS = {
     EndKind.COMPLETE: EventKind.ATTEMPT_FINISHED,
@@ -31,10 +31,10 @@
 
 
 class AttemptObserver:
-    """Record what an entry sends and receives, or an agent receives and sends.
+    """Record the messages of attempts that an entry or an agent sends and receives.
 
-    An end may come twice, after a resumption; only the first one of an open
-    attempt is recorded.
+    After a resumption, an end may arrive twice; only the first one of an open attempt
+    is recorded.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     ) -> None:
         self._metrics = metrics
         self._recorder = recorder
-        self._open: OrderedDict[tuple[str, int], str] = OrderedDict()
+        self._open_attempts: OrderedDict[tuple[str, int], str] = OrderedDict()
         self._relayed_bytes = 0
         metrics.relayed_bytes.set_callback(lambda: self._relayed_bytes)
         network.subscribe(AttemptData, self._on_data)
@@ -56,7 +56,7 @@
     def _observe(
         self, network: ObservedNetwork, message_class: type, observe: Any
     ) -> None:
-        """Call `observe` with the peer, the message and whether it was sent."""
+        """Call `observe` with the peer, the message, and True if it was sent."""
         network.on_sent(message_class, lambda peer, m: observe(peer, m, True))
 
         def receive(sender: Sender, message: Any) -> None:
@@ -75,18 +75,18 @@
 
     def _on_start(self, peer: str, message: AttemptStart, is_sent: bool) -> None:
         key = (message.request_id, message.attempt)
-        if key in self._open:
+        if key in self._open_attempts:
             return
-        self._open[key] = peer
-        if len(self._open) > OPEN_LIMIT:
-            self._open.popitem(last=False)
+        self._open_attempts[key] = peer
+        if len(self._open_attempts) > MAX_OPEN_ATTEMPTS:
+            self._open_attempts.popitem(last=False)
         if is_sent:
             self._record(EventKind.ATTEMPT_SENT, message, peer, "")
         else:
             self._record(EventKind.ATTEMPT_RECEIVED, message, "", f"from {peer}")
 
     def _on_head(self, peer: str, message: AttemptHead, is_sent: bool) -> None:
-        if (message.request_id, message.attempt) not in self._open:
+        if (message.request_id, message.attempt) not in self._open_attempts:
             return
         self._recorder.record(
             EventKind.ATTEMPT_ANSWERING,
@@ -98,7 +98,7 @@
         )
 
     def _on_end(self, peer: str, message: AttemptEnd, is_sent: bool) -> None:
-        if not self._close(message):
+        if not self._remove_open(message):
             return
         self._metrics.attempts.add(1, {"outcome": message.kind.value})
         detail = f"{message.length_bytes} bytes"
@@ -108,7 +108,7 @@
         self._record(END_EVENTS[message.kind], message, target, detail)
 
     def _on_refused(self, peer: str, message: AttemptRefused, is_sent: bool) -> None:
-        if not self._close(message):
+        if not self._remove_open(message):
             return
         self._metrics.attempts.add(1, {"outcome": REFUSED})
         target = "" if is_sent else peer
@@ -126,7 +126,7 @@
             EventKind.ATTEMPT_RESUMED, message, peer, f"from byte {message.offset}"
         )
 
-    def _close(self, message: Any) -> bool:
-        """Forget an open attempt; tell whether it was open."""
+    def _remove_open(self, message: Any) -> bool:
+        """Remove an open attempt; return whether it was open."""
         key = (message.request_id, message.attempt)
-        return self._open.pop(key, None) is not None
+        return self._open_attempts.pop(key, None) is not None
--- a/reedspar/observation/configuration.py
+++ b/reedspar/observation/configuration.py
@@ -1,4 +1,4 @@
-"""Events of the configuration: what an adopted version changed, and freshness."""
+"""Events of the configuration: changes in adopted versions, and freshness."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 class ConfigurationObserver:
-    """Record adopted versions, and where work may no longer or again start."""
+    """Record adopted versions, and when new work becomes allowed or disallowed."""
 
     def __init__(
         self, recorder: EventRecorder, check_work_allowed: Callable[[], Failure | None]
@@ -19,18 +19,18 @@
         self._check_work_allowed = check_work_allowed
         self._document: ConfigurationDocument | None = None
         self._is_fresh = False
-        self._was_ready = False
+        self._has_been_ready = False
 
     def record_document(self, document: ConfigurationDocument) -> None:
-        """Record a version that came into force here, and what it changed."""
+        """Record a version that this daemon adopted, and its changes."""
         before = self._document
         self._document = document
         self._recorder.record(EventKind.CONFIG_ADOPTED, version=document.version)
-        self._note_zones(before, document)
-        self._note_models(before, document)
+        self._record_zone_changes(before, document)
+        self._record_published_versions(before, document)
 
     def check_freshness(self) -> None:
-        """Record a change; to be called a few times a second."""
+        """Record a change of freshness; to be called a few times per second."""
         failure = self._check_work_allowed()
         is_fresh = failure is None or failure.reason is Reason.ZONE_OUT
         if is_fresh == self._is_fresh:
@@ -38,13 +38,13 @@
         self._is_fresh = is_fresh
         if not is_fresh:
             self._recorder.record(EventKind.CONFIG_STALE, detail=str(failure))
-        elif self._was_ready:
+        elif self._has_been_ready:
             self._recorder.record(EventKind.CONFIG_FRESH)
         else:
-            self._was_ready = True
+            self._has_been_ready = True
             self._recorder.record(EventKind.DAEMON_READY)
 
-    def _note_zones(
+    def _record_zone_changes(
         self, before: ConfigurationDocument | None, now: ConfigurationDocument
     ) -> None:
         zones = set(now.zones) | (set(before.zones) if before else set())
@@ -56,7 +56,7 @@
             kind = EventKind.ZONE_IN if state is ZoneState.IN else EventKind.ZONE_OUT
             self._recorder.record(kind, version=now.version, detail=zone)
 
-    def _note_models(
+    def _record_published_versions(
         self, before: ConfigurationDocument | None, now: ConfigurationDocument
     ) -> None:
         for model, version in now.models.items():
--- a/reedspar/observation/engine.py
+++ b/reedspar/observation/engine.py
@@ -1,4 +1,4 @@
-"""A target and an engine, with hand-overs, staging and loads recorded."""
+"""Wrappers of a target and an engine that record requests, staging and loads."""
 
 from contextlib import AbstractAsyncContextManager
 
@@ -25,7 +25,7 @@
 
 
 class ObservedTarget:
-    """Record each hand-over of a request to the target."""
+    """Record each request that is sent to the target."""
 
     def __init__(self, inner: Target, recorder: EventRecorder) -> None:
         self._inner = inner
@@ -38,7 +38,7 @@
     def send(
         self, request: TargetRequest
     ) -> AbstractAsyncContextManager[TargetResponse | Failure]:
-        """Hand over a request; `UNAVAILABLE` only if nothing was handed over."""
+        """Send a request; the failure is `UNAVAILABLE` only if nothing was sent."""
         request_id, _, attempt = request.request_id.rpartition(".")
         is_numbered = bool(request_id) and attempt.isdigit()
         self._recorder.record(
@@ -49,45 +49,45 @@
         return self._inner.send(request)
 
     async def cancel(self, request_id: str) -> Failure | None:
-        """Ask the target to stop working on a request."""
+        """Ask the target to cancel a request."""
         return await self._inner.cancel(request_id)
 
 
 class TransferTracker:
-    """What was staged of each version at this boot of the engine."""
+    """Progress of each version's transfer since the engine's last boot."""
 
     def __init__(self) -> None:
         self._sizes: dict[str, dict[int, int]] = {}
         self._phases: dict[str, tuple[str, str]] = {}
         self._boot_id = ""
 
-    def note_boot(self, boot_id: str) -> None:
-        """Forget all if the engine is another boot: it holds nothing any more."""
+    def handle_boot(self, boot_id: str) -> None:
+        """Clear the progress if the engine has restarted: it has lost all chunks."""
         if boot_id != self._boot_id:
             self._boot_id = boot_id
             self._sizes.clear()
             self._phases.clear()
 
-    def note_staged(self, root_digest: str, index: int, size_bytes: int) -> bool:
-        """Count a chunk; tell whether it is the version's first."""
+    def record_staged(self, root_digest: str, index: int, size_bytes: int) -> bool:
+        """Record a staged chunk; return whether it is the version's first."""
         sizes = self._sizes.setdefault(root_digest, {})
         sizes[index] = size_bytes
         self._phases[root_digest] = (STAGING, "")
         return len(sizes) == 1
 
-    def note_phase(self, root_digest: str, phase: str, detail: str = "") -> None:
-        """Set what happens to the version now."""
+    def set_phase(self, root_digest: str, phase: str, detail: str = "") -> None:
+        """Set the phase of a version's transfer."""
         self._phases[root_digest] = (phase, detail)
 
-    def forget(self, root_digest: str) -> None:
-        """Drop a version whose chunks were let go of."""
+    def remove(self, root_digest: str) -> None:
+        """Remove a version whose chunks the engine has dropped."""
         self._sizes.pop(root_digest, None)
         self._phases.pop(root_digest, None)
 
     def list_transfers(
         self, document: ConfigurationDocument | None
     ) -> tuple[TransferStatus, ...]:
-        """Return the progress of the versions that are in force."""
+        """Return the progress of the versions in `document`."""
         if document is None:
             return ()
         found = []
@@ -110,7 +110,7 @@
 
 
 class ObservedEngine(ObservedTarget):
-    """Record staging and loads, too."""
+    """Record staging and loads in addition to requests."""
 
     def __init__(
         self,
@@ -130,38 +130,38 @@
         """Return the engine's own report."""
         state = await self._engine.read_state()
         if not isinstance(state, Failure):
-            self._transfer_tracker.note_boot(state.boot_id)
+            self._transfer_tracker.handle_boot(state.boot_id)
         return state
 
     async def stage_chunk(
         self, root_digest: str, index: int, data: bytes
     ) -> Failure | None:
-        """Hand over one checked chunk of a version."""
+        """Stage a verified chunk of a version."""
         failure = await self._engine.stage_chunk(root_digest, index, data)
         if failure is not None:
             return failure
         self._staged_bytes += len(data)
-        if self._transfer_tracker.note_staged(root_digest, index, len(data)):
+        if self._transfer_tracker.record_staged(root_digest, index, len(data)):
             self._recorder.record(EventKind.WEIGHTS_STAGING, version=root_digest)
         return None
 
     async def drop_staged(self, root_digest: str) -> Failure | None:
-        """Let go of the chunks of a version that will not be loaded."""
-        self._transfer_tracker.forget(root_digest)
+        """Drop the chunks of a version that will not be loaded."""
+        self._transfer_tracker.remove(root_digest)
         return await self._engine.drop_staged(root_digest)
 
     async def load(self, order: LoadOrder) -> Failure | None:
-        """Order a load, and record how it ended."""
-        self._transfer_tracker.note_phase(order.root_digest, LOADING)
+        """Order a load, and record its outcome."""
+        self._transfer_tracker.set_phase(order.root_digest, LOADING)
         self._record(EventKind.WEIGHTS_LOAD_ORDERED, order, "")
         failure = await self._engine.load(order)
         outcome = failure.reason.value if failure else "ok"
         self._metrics.loads.add(1, {"outcome": outcome})
         if failure is None:
-            self._transfer_tracker.note_phase(order.root_digest, LOADED)
+            self._transfer_tracker.set_phase(order.root_digest, LOADED)
             self._record(EventKind.WEIGHTS_LOADED, order, "")
         else:
-            self._transfer_tracker.note_phase(order.root_digest, FAILED, str(failure))
+            self._transfer_tracker.set_phase(order.root_digest, FAILED, str(failure))
             self._record(EventKind.WEIGHTS_LOAD_FAILED, order, str(failure))
         return failure
 
--- a/reedspar/observation/members.py
+++ b/reedspar/observation/members.py
@@ -1,4 +1,4 @@
-"""Events of membership: who came, restarted, began to leave, and went."""
+"""Events of membership: daemons that join, restart, shut down or are lost."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class _Record(Protocol):
-    """What is used of an instance's record."""
+    """The attributes that are used of a daemon's record."""
 
     @property
     def name(self) -> str:
@@ -19,41 +19,43 @@
 
     @property
     def zone(self) -> str:
-        """Return its availability zone."""
+        """Return the daemon's availability zone."""
         ...
 
 
 class _Member(Protocol):
-    """What is used of a member."""
+    """The attributes that are used of a member."""
 
     @property
     def record(self) -> _Record:
-        """Return its record."""
+        """Return the member's record."""
         ...
 
     @property
     def incarnation(self) -> int:
-        """Return its incarnation; 0 if not heard of yet."""
+        """Return the member's incarnation; 0 if it is unknown yet."""
         ...
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether it is leaving."""
+        """Return whether the member is shutting down."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _MemberState:
+    """State of a member at the last comparison."""
+
     zone: str
     incarnation: int
     is_leaving: bool
 
 
 class MemberObserver:
-    """Record the differences each time that the view has changed.
+    """Record the differences at each change of the membership view.
 
-    The first list is one event, however long: a daemon that starts among
-    thousands would else fill its ring with what everybody knows.
+    The initial listing is recorded as a single event.  With an event per member, a
+    daemon that starts in a fleet of thousands would fill its ring buffer.
     """
 
     def __init__(
@@ -61,29 +63,31 @@
     ) -> None:
         self._recorder = recorder
         self._list_members = list_members
-        self._seen: dict[str, _Seen] = {}
+        self._known_members: dict[str, _MemberState] = {}
 
     def handle_change(self) -> None:
-        """Compare the view with the one before."""
+        """Compare the view with the previous one, and record the differences."""
         now = {
-            member.record.name: _Seen(
+            member.record.name: _MemberState(
                 member.record.zone, member.incarnation, member.is_leaving
             )
             for member in self._list_members()
         }
-        if len(self._seen) <= 1 < len(now):
+        if len(self._known_members) <= 1 < len(now):
             self._recorder.record(EventKind.MEMBER_SEEDED, detail=f"{len(now)} daemons")
-            self._seen = now
+            self._known_members = now
             return
-        for name in self._seen.keys() - now.keys():
-            self._record(EventKind.MEMBER_LOST, name, self._seen[name])
+        for name in self._known_members.keys() - now.keys():
+            self._record(EventKind.MEMBER_LOST, name, self._known_members[name])
         for name, member in now.items():
-            before = self._seen.get(name)
+            before = self._known_members.get(name)
             if before != member:
-                self._note_member(name, before, member)
-        self._seen = now
+                self._record_changes(name, before, member)
+        self._known_members = now
 
-    def _note_member(self, name: str, before: _Seen | None, now: _Seen) -> None:
+    def _record_changes(
+        self, name: str, before: _MemberState | None, now: _MemberState
+    ) -> None:
         if before is None:
             self._record(EventKind.MEMBER_JOINED, name, now)
         elif 0 < before.incarnation < now.incarnation:
@@ -91,5 +95,5 @@
         if now.is_leaving and not (before and before.is_leaving):
             self._record(EventKind.MEMBER_LEAVING, name, now)
 
-    def _record(self, kind: EventKind, name: str, member: _Seen) -> None:
+    def _record(self, kind: EventKind, name: str, member: _MemberState) -> None:
         self._recorder.record(kind, target=name, detail=f"zone {member.zone}")
--- a/reedspar/observation/network.py
+++ b/reedspar/observation/network.py
@@ -1,4 +1,4 @@
-"""A network that counts messages and lets observers see those that are sent."""
+"""A network wrapper that counts messages and reports sent ones to observers."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class ObservedNetwork(ForwardingNetwork):
-    """Pass everything on to the real network; keep plain counts by message type."""
+    """Forward everything to the wrapped network; count messages by type."""
 
     def __init__(
         self, network: Network, metrics: Metrics, recorder: EventRecorder
@@ -38,20 +38,20 @@
         self._recorder = recorder
         self._sent: Counter[type] = Counter()
         self._received: Counter[type] = Counter()
-        self._counted: set[type] = set()
+        self._counted_classes: set[type] = set()
         self._sent_handlers: dict[type, SentHandler] = {}
-        network.on_link_event(self._note_link)
+        network.on_link_event(self._handle_link_event)
         metrics.messages.set_callback(self._read_counts)
         metrics.links_up.set_callback(lambda: len(network.peers()))
 
     def on_sent(self, message_class: type, handler: SentHandler) -> None:
-        """Call `handler` with the peer and each such message that was queued."""
+        """Call `handler` with the peer and the message for each one queued."""
         self._sent_handlers[message_class] = handler
 
     def send(
         self, peer: str, message: Any, priority: Priority = Priority.LIVE
     ) -> Failure | None:
-        """Queue a message; a failure means that nothing was sent."""
+        """Queue a message; return a failure if nothing was sent."""
         failure = self._network.send(peer, message, priority)
         if failure is not None:
             return failure
@@ -63,16 +63,16 @@
         return None
 
     def subscribe(self, message_class: type, handler: Handler) -> None:
-        """Call `handler` with each such message; it must not block."""
-        if message_class not in self._counted:
-            self._counted.add(message_class)
+        """Call `handler`, which must not block, with each message of the class."""
+        if message_class not in self._counted_classes:
+            self._counted_classes.add(message_class)
             self._network.subscribe(message_class, self._count_received)
         self._network.subscribe(message_class, handler)
 
     def _count_received(self, sender: Sender, message: Any) -> None:
         self._received[type(message)] += 1
 
-    def _note_link(self, event: LinkEvent) -> None:
+    def _handle_link_event(self, event: LinkEvent) -> None:
         kind = LINK_EVENTS.get(event.change)
         if kind is None:
             return
--- a/reedspar/observation/platform.py
+++ b/reedspar/observation/platform.py
@@ -1,4 +1,4 @@
-"""The key-value service and the origin, with each call counted."""
+"""Wrappers of the key-value service and the origin that record calls."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -17,7 +17,7 @@
 
 
 class ObservedKeyValueStore:
-    """Count calls by operation and outcome; record where outages begin and end."""
+    """Count calls by operation and outcome; record the start and end of outages."""
 
     def __init__(
         self, inner: KeyValueStore, metrics: Metrics, recorder: EventRecorder
@@ -28,34 +28,36 @@
         self._is_down = False
 
     async def get(self, key: str) -> KeyValueEntry | Failure | None:
-        """Return the entry, or None if there is none; it may be an older one."""
-        return self._note("get", await self._inner.get(key))
+        """Return the entry, possibly a stale one; None if there is none."""
+        return self._record_result("get", await self._inner.get(key))
 
     async def compare_and_swap(
         self, key: str, value: bytes, expected_revision: int, lease_id: str = ""
     ) -> int | Failure:
-        """Write if the revision is the expected one."""
+        """Write the value if the entry has the expected revision."""
         result = await self._inner.compare_and_swap(
             key, value, expected_revision, lease_id
         )
-        return self._note("compare_and_swap", result)
+        return self._record_result("compare_and_swap", result)
 
     async def watch(
         self, key: str, after_revision: int, timeout_s: float
     ) -> KeyValueEntry | Failure | None:
-        """Return the entry once it is newer, or None when the time is over."""
+        """Return the entry once its revision is newer; None after the timeout."""
         result = await self._inner.watch(key, after_revision, timeout_s)
-        return self._note("watch", result)
+        return self._record_result("watch", result)
 
     async def grant_lease(self, ttl_s: float) -> str | Failure:
         """Return the id of a new lease."""
-        return self._note("grant_lease", await self._inner.grant_lease(ttl_s))
+        return self._record_result("grant_lease", await self._inner.grant_lease(ttl_s))
 
     async def renew_lease(self, lease_id: str) -> Failure | None:
-        """Start the lease's time to live again."""
-        return self._note("renew_lease", await self._inner.renew_lease(lease_id))
+        """Restart the lease's time to live."""
+        return self._record_result(
+            "renew_lease", await self._inner.renew_lease(lease_id)
+        )
 
-    def _note(self, operation: str, result: ResultT) -> ResultT:
+    def _record_result(self, operation: str, result: ResultT) -> ResultT:
         failure = result if isinstance(result, Failure) else None
         outcome = failure.reason.value if failure else OK
         self._metrics.key_value_calls.add(
@@ -70,25 +72,25 @@
 
 
 class ObservedWeightSource:
-    """Count what is read of the origin; record reads that came damaged."""
+    """Count the bytes read from the origin; record corrupt reads."""
 
     def __init__(
         self,
         inner: WeightSource,
         metrics: Metrics,
         recorder: EventRecorder,
-        note_bytes: Callable[[int], None],
+        record_bytes: Callable[[int], None],
     ) -> None:
         self._inner = inner
         self._metrics = metrics
         self._recorder = recorder
-        self._note_bytes = note_bytes
+        self._record_bytes = record_bytes
 
     async def read(self, name: str, offset: int, size_bytes: int) -> bytes | Failure:
-        """Return a range of the object `name`."""
+        """Return a byte range of the object `name`."""
         result = await self._inner.read(name, offset, size_bytes)
         if not isinstance(result, Failure):
-            self._note_bytes(len(result))
+            self._record_bytes(len(result))
         elif result.reason is Reason.CORRUPT:
             self._metrics.corrupt_draws.add(1)
             self._recorder.record(
--- a/reedspar/observation/reports.py
+++ b/reedspar/observation/reports.py
@@ -1,4 +1,4 @@
-"""Events and metrics of a target, seen in the reports that its agent sends."""
+"""Events and metrics of a target, derived from the reports that its agent sends."""
 
 from reedspar.attempts import TargetReport, TargetStatus
 from reedspar.telemetry import Metrics
@@ -17,7 +17,7 @@
 
 
 class ReportObserver:
-    """Record changes from one report to the next; each goes to many entries."""
+    """Record the changes between reports; each report is sent to many entries."""
 
     def __init__(
         self, network: ObservedNetwork, metrics: Metrics, recorder: EventRecorder
@@ -35,19 +35,21 @@
             self._metrics.gate_limit.set_callback(self._read_limit)
             self._metrics.gate_queued.set_callback(self._read_queued)
         self._last = report
-        self._note_boot(last, report)
+        self._record_restart(last, report)
         if last is None or last.status is not report.status:
             kind = STATUS_EVENTS[report.status]
             self._recorder.record(
                 kind, target=report.target, detail=f"limit {report.limit}"
             )
-        self._note_offers(last, report)
+        self._record_offer_changes(last, report)
 
-    def _note_boot(self, last: TargetReport | None, report: TargetReport) -> None:
+    def _record_restart(self, last: TargetReport | None, report: TargetReport) -> None:
         if last is not None and last.boot_id and last.boot_id != report.boot_id:
             self._recorder.record(EventKind.TARGET_RESTARTED, target=report.target)
 
-    def _note_offers(self, last: TargetReport | None, report: TargetReport) -> None:
+    def _record_offer_changes(
+        self, last: TargetReport | None, report: TargetReport
+    ) -> None:
         before = set(last.offered) if last else set()
         now = set(report.offered)
         changes = (
--- a/reedspar/observation/requests.py
+++ b/reedspar/observation/requests.py
@@ -1,4 +1,4 @@
-"""Events and metrics of callers' requests, as the first filter of the chain."""
+"""Events and metrics of callers' requests, recorded by the first filter."""
 
 import time
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 __all__ = ["RequestObserver"]
 
-UNKNOWN_POOL = "unknown"
+UNKNOWN_POOL_LABEL = "unknown"
 OUTCOME_EVENTS = {
     Outcome.ANSWERED: EventKind.REQUEST_ANSWERED,
     Outcome.NOT_RUN: EventKind.REQUEST_NOT_RUN,
@@ -25,30 +25,30 @@
 
 
 class RequestObserver:
-    """Record how each request came and ended."""
+    """Record the receipt and the outcome of each request."""
 
     def __init__(
         self,
         network: ObservedNetwork,
         metrics: Metrics,
         recorder: EventRecorder,
-        is_pool: Callable[[str], bool],
+        is_known_pool: Callable[[str], bool],
         clock: Callable[[], float] = time.perf_counter,
     ) -> None:
         self._metrics = metrics
         self._recorder = recorder
-        self._is_pool = is_pool
+        self._is_known_pool = is_known_pool
         self._clock = clock
-        self._waiting: dict[str, tuple[float, str]] = {}
+        self._awaiting_head: dict[str, tuple[float, str]] = {}
         self._in_flight = 0
         metrics.in_flight.set_callback(lambda: self._in_flight)
         network.subscribe(AttemptHead, self._on_head)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Let the request proceed, and record its ending."""
-        # A pool's name comes from the caller.  As it stands, each misspelt one
-        # would hold memory in the metrics for good.
-        pool = request.pool if self._is_pool(request.pool) else UNKNOWN_POOL
+        """Pass the request on, and record its outcome."""
+        # The pool's name comes from the caller.  Used as a label unchecked, each
+        # misspelt name would take memory in the metrics forever.
+        pool = request.pool if self._is_known_pool(request.pool) else UNKNOWN_POOL_LABEL
         started_s = self._clock()
         request_id = request.request_id
         detail = f"{request.method} pool {pool}"
@@ -57,7 +57,7 @@
         self._recorder.record(
             EventKind.REQUEST_RECEIVED, request_id=request_id, detail=detail
         )
-        self._waiting[request_id] = (started_s, pool)
+        self._awaiting_head[request_id] = (started_s, pool)
         self._in_flight += 1
         try:
             answer = await proceed(request)
@@ -66,12 +66,12 @@
             raise
         finally:
             self._in_flight -= 1
-            self._waiting.pop(request_id, None)
-        self._note_ending(request, pool, answer)
+            self._awaiting_head.pop(request_id, None)
+        self._record_outcome(request, pool, answer)
         self._metrics.request_duration.record(self._clock() - started_s, {"pool": pool})
         return answer
 
-    def _note_ending(self, request: Request, pool: str, answer: Answer) -> None:
+    def _record_outcome(self, request: Request, pool: str, answer: Answer) -> None:
         labels = {"outcome": answer.outcome.value, "pool": pool}
         self._metrics.requests.add(1, labels)
         detail = f"status {answer.status}" if answer.status else ""
@@ -88,7 +88,7 @@
         )
 
     def _on_head(self, sender: Sender, message: AttemptHead) -> None:
-        waiting = self._waiting.pop(message.request_id, None)
+        waiting = self._awaiting_head.pop(message.request_id, None)
         if waiting is not None:
             started_s, pool = waiting
             self._metrics.first_byte.record(self._clock() - started_s, {"pool": pool})
--- a/reedspar/observation/tests/test_observers.py
+++ b/reedspar/observation/tests/test_observers.py
@@ -1,4 +1,4 @@
-"""Tests that what passes through a daemon shows as events and metrics."""
+"""Tests of the events and metrics that observers record."""
 
 import unittest
 from collections import defaultdict
@@ -45,7 +45,7 @@
 
 
 class FakeNetwork:
-    """Hands messages to subscribers, and takes those that are sent."""
+    """Deliver messages to subscribers, and accept sent ones."""
 
     def __init__(self) -> None:
         self.handlers = defaultdict(list)
@@ -110,7 +110,7 @@
         super().setUp()
         AttemptObserver(self.network, self.metrics, self.recorder)
 
-    def test_attempt_from_the_entry_to_its_end(self) -> None:
+    def test_entry_records_attempt_from_start_to_end(self) -> None:
         self.network.send("agent-1", make_start())
         self.inner.deliver(AttemptHead("e:1:7", 1, 200, (), DIGEST))
         self.inner.deliver(AttemptData("e:1:7", 1, 0, b"12345"))
@@ -129,22 +129,22 @@
             'reedspar_messages_total{direction="received",kind="AttemptEnd"} 2.0'
         )
 
-    def test_agent_side_is_seen_from_the_other_end(self) -> None:
+    def test_agent_records_received_and_refused_attempts(self) -> None:
         self.inner.deliver(make_start(), Sender("entry-2", 1, 1))
         refusal = AttemptRefused("e:1:7", 1, Reason.COLD, "limit 1", 0.5)
         self.network.send("entry-2", refusal)
         self.assertEqual(self.kinds(), ["attempt.received", "attempt.refused"])
 
-    def test_message_that_was_not_sent_is_not_recorded(self) -> None:
-        # The link is down when a request is handed over.  Recorded as sent,
-        # the time line would show a request at an agent that never had it.
+    def test_unsent_message_is_not_recorded(self) -> None:
+        # The link is down when a request is sent to an agent.  The time line must not
+        # show the attempt as sent, since the agent never received it.
         self.inner.failure = Failure(Reason.UNAVAILABLE, Step.LINK, "agent-1")
         self.assertIsNotNone(self.network.send("agent-1", make_start()))
         self.assertEqual(self.kinds(), [])
 
 
 class OtherObserversTest(ObserverTest):
-    def test_reports_give_status_and_offers_once(self) -> None:
+    def test_changes_in_reports_are_recorded_once(self) -> None:
         ReportObserver(self.network, self.metrics, self.recorder)
         reports = [
             make_report(1, TargetStatus.COLD),
@@ -163,9 +163,9 @@
         )
         self.assert_metric("reedspar_gate_limit 4.0")
 
-    def test_chunks_are_counted_by_how_far_they_came(self) -> None:
-        places = {"near": ("r", "a"), "across": ("r", "b"), "far": ("s", "c")}
-        observer = ChunkObserver(self.network, self.metrics, ("r", "a"), places.get)
+    def test_chunk_bytes_are_counted_by_source(self) -> None:
+        locations = {"near": ("r", "a"), "across": ("r", "b"), "far": ("s", "c")}
+        observer = ChunkObserver(self.network, self.metrics, ("r", "a"), locations.get)
         observer.record_origin_bytes(7)
         for name, size_bytes in (("near", 1), ("across", 2), ("far", 3), ("new", 4)):
             piece = ChunkPiece(DIGEST, 1, 0, 9, bytes(size_bytes))
@@ -175,7 +175,7 @@
                 f'reedspar_chunks_received_bytes_total{{source="{source}"}} {total}.0'
             )
 
-    def test_members(self) -> None:
+    def test_membership_changes_are_recorded(self) -> None:
         members = [make_member("entry-1")]
         observer = MemberObserver(self.recorder, lambda: members)
         observer.handle_change()
@@ -194,14 +194,14 @@
         )
         self.assertLessEqual(len(self.kinds()), 6)
 
-    def test_links(self) -> None:
+    def test_link_changes_are_recorded(self) -> None:
         for listener in self.inner.listeners:
             listener(LinkEvent("agent-1", 5, LinkChange.UP))
             listener(LinkEvent("agent-1", 5, LinkChange.DOWN, Reason.TIMEOUT))
         self.assertEqual(self.kinds(), ["link.up", "link.down"])
         self.assertEqual(self.recorder.after(1).events[0].detail, "timeout")
 
-    def test_outage_of_the_key_value_service_shows_its_bounds(self) -> None:
+    def test_start_and_end_of_key_value_outage_are_recorded(self) -> None:
         answers = [
             None,
             Failure(Reason.UNAVAILABLE, Step.KEY_VALUE, "kv:1"),
@@ -221,7 +221,7 @@
             'reedspar_key_value_calls_total{operation="get",outcome="ok"} 2.0'
         )
 
-    def test_configuration_tells_what_changed_and_freshness(self) -> None:
+    def test_configuration_changes_and_freshness_are_recorded(self) -> None:
         failures = [None, Failure(Reason.STALE, Step.CONFIGURE), None]
         observer = ConfigurationObserver(self.recorder, lambda: failures.pop(0))
         model = {
@@ -259,7 +259,7 @@
         request = Request("e:1:7", "shop-9", "POST", pool, "/", (), b"", None, 0.0)
         return anyio.run(observer.apply, request, proceed)
 
-    def test_ending_and_reason(self) -> None:
+    def test_outcome_and_failure_reason_are_recorded(self) -> None:
         failure = Failure(Reason.OVERLOADED, Step.ADMIT, retry_after_s=1.0)
 
         async def proceed(request):
@@ -274,9 +274,9 @@
         (event,) = EventFilter("shop-9").select(self.recorder.after(0).events)
         self.assertEqual(event.request_id, "e:1:7")
 
-    def test_callers_can_not_grow_the_metrics(self) -> None:
-        # A caller tries one misspelt pool after the other.  Each would stay
-        # in the metrics of the entry until its memory is gone.
+    def test_unknown_pools_share_one_label(self) -> None:
+        # A caller requests many misspelt pools.  If each became a label, the metrics
+        # of the entry would grow without bound.
         async def proceed(request):
             return Answer(Outcome.ANSWERED, status=200)
 
@@ -326,7 +326,7 @@
             {"version": 2, "models": {"drafter": model}}
         )
 
-    def test_progress_of_a_transfer_until_loaded(self) -> None:
+    def test_transfer_progress_until_failed_load_and_reboot(self) -> None:
         async def run() -> list:
             seen = []
             await self.engine.read_state()
@@ -349,7 +349,7 @@
         )
         self.assert_metric('reedspar_weights_loads_total{outcome="fenced"} 1.0')
 
-    def test_hand_over_names_request_and_attempt(self) -> None:
+    def test_sent_request_is_recorded_with_request_and_attempt(self) -> None:
         async def run() -> None:
             request = TargetRequest("e:1:7.2", "POST", "/", (), b"", 1.0)
             async with self.engine.send(request):
--- a/reedspar/observation/weights.py
+++ b/reedspar/observation/weights.py
@@ -1,4 +1,4 @@
-"""Bytes of chunks between daemons, by how far they came."""
+"""Metrics of chunk bytes, by the distance from their source."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 from .network import ObservedNetwork
 
-__all__ = ["ChunkObserver", "ChunkSource", "Place"]
+__all__ = ["ChunkObserver", "ChunkSource", "Location"]
 
-Place = tuple[str, str]
-"""A daemon's region and zone."""
+Location = tuple[str, str]
+"""Region and zone of a daemon."""
 
 
 class ChunkSource(Enum):
-    """Where a chunk came from, as seen from the receiver."""
+    """Source of a chunk: the origin, another region, another zone, or this zone."""
 
     ORIGIN = "origin"
     REGION = "region"
@@ -26,14 +26,14 @@
 
 
 class ChunkObserver:
-    """Count chunk bytes; `locate` tells the place of a daemon, if it is known."""
+    """Count chunk bytes; `locate` returns a daemon's location, None if unknown."""
 
     def __init__(
         self,
         network: ObservedNetwork,
         metrics: Metrics,
-        own: Place,
-        locate: Callable[[str], Place | None],
+        own: Location,
+        locate: Callable[[str], Location | None],
     ) -> None:
         self._own = own
         self._locate = locate
@@ -45,7 +45,7 @@
         network.on_sent(ChunkPiece, self._on_sent)
 
     def record_origin_bytes(self, size_bytes: int) -> None:
-        """Count bytes that came from the origin."""
+        """Count bytes that were read from the origin."""
         self._received[ChunkSource.ORIGIN] += size_bytes
 
     def _on_received(self, sender: Sender, message: ChunkPiece) -> None:
@@ -55,10 +55,10 @@
         self._sent_bytes += len(message.data)
 
     def _classify(self, peer: str) -> ChunkSource:
-        place = self._locate(peer)
-        if place is None or place[0] != self._own[0]:
+        location = self._locate(peer)
+        if location is None or location[0] != self._own[0]:
             return ChunkSource.REGION
-        return ChunkSource.LOCAL if place == self._own else ChunkSource.ZONE
+        return ChunkSource.LOCAL if location == self._own else ChunkSource.ZONE
 
     def _read_received(self) -> list[tuple[float, dict[str, str]]]:
         return [
