--- a/reedspar/admin/app.py
+++ b/reedspar/admin/app.py
@@ -1,4 +1,4 @@
-"""The starlette application that serves ``/admin`` and ``/metrics``."""
+"""Starlette application that serves ``/admin`` and ``/metrics``."""
 
 import json
 from typing import Any
@@ -31,9 +31,9 @@
 
 __all__ = ["create_admin_app"]
 
-BODY_LIMIT_BYTES = 1024 * 1024
-EVENTS_LIMIT = 2000
-METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+MAX_PATCH_BODY_BYTES = 1024 * 1024
+MAX_EVENTS_PER_PAGE = 2000
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 STATUS_BY_REASON = {
     Reason.CONFLICT: 409,
     Reason.INVALID: 422,
@@ -46,19 +46,19 @@
 }
 
 
-def _respond(body: BaseModel, status: int = 200) -> Response:
+def _create_response(body: BaseModel, status: int = 200) -> Response:
     return Response(
         body.model_dump_json(), status_code=status, media_type="application/json"
     )
 
 
-def _respond_failure(failure: Failure) -> Response:
+def _create_failure_response(failure: Failure) -> Response:
     status = STATUS_BY_REASON.get(failure.reason, 500)
-    return _respond(ErrorBody.from_failure(failure), status)
+    return _create_response(ErrorBody.from_failure(failure), status)
 
 
-def _respond_refused(refused: PatchRefused) -> Response:
-    return _respond(refused, STATUS_BY_REASON.get(refused.reason, 500))
+def _create_refusal_response(refused: PatchRefused) -> Response:
+    return _create_response(refused, STATUS_BY_REASON.get(refused.reason, 500))
 
 
 def _read_number(request: Request, name: str, default: int) -> int | Failure:
@@ -69,20 +69,20 @@
     return Failure(Reason.INVALID, Step.BOUND, detail=detail)
 
 
-def select_page(
-    recorder: EventRecorder, wanted: EventFilter, after: int, limit: int
+def select_events(
+    recorder: EventRecorder, event_filter: EventFilter, after: int, limit: int
 ) -> EventPage:
-    """Return up to `limit` wanted events, from as far into the ring as it takes.
+    """Return up to `limit` matching events, reading as much of the ring as needed.
 
-    Paging over all events would cost an operator who looks for one request
-    several calls of each process instead of one.
+    With pages of unfiltered events, a search for one request would take several calls
+    to each process instead of one.
     """
     first = recorder.after(after, limit)
-    found = wanted.select(first.events)
+    found = event_filter.select(first.events)
     next_after = first.next_after
     while len(found) < limit and next_after < recorder.last_sequence:
         page = recorder.after(next_after, limit)
-        found += wanted.select(page.events)
+        found += event_filter.select(page.events)
         next_after = page.next_after
     if len(found) > limit:
         found = found[:limit]
@@ -94,8 +94,8 @@
     body = bytearray()
     async for part in request.stream():
         body += part
-        if len(body) > BODY_LIMIT_BYTES:
-            detail = f"the body is larger than {BODY_LIMIT_BYTES} bytes"
+        if len(body) > MAX_PATCH_BODY_BYTES:
+            detail = f"the body is larger than {MAX_PATCH_BODY_BYTES} bytes"
             return PatchRefused(reason=Reason.INVALID, step=Step.BOUND, detail=detail)
     try:
         return PatchRequest.model_validate(json.loads(bytes(body)))
@@ -112,81 +112,85 @@
 
 
 class AdminEndpoints:
-    """The endpoints of one daemon."""
+    """HTTP endpoints of a daemon."""
 
     def __init__(self, sources: AdminSources) -> None:
         self._sources = sources
 
     async def get_status(self, request: Request) -> Response:
-        """Answer with the daemon's own state."""
-        return _respond(self._sources.status.read_status())
+        """Return the state of this daemon."""
+        return _create_response(self._sources.status.read_status())
 
     async def get_members(self, request: Request) -> Response:
-        """Answer with the daemons that this one knows of."""
-        return _respond(MemberList(members=self._sources.members.list_members()))
+        """Return the daemons known to this one."""
+        return _create_response(
+            MemberList(members=self._sources.members.list_members())
+        )
 
     async def get_configuration(self, request: Request) -> Response:
-        """Answer with the document in force here."""
+        """Return the configuration document in use by this daemon."""
         document = self._sources.configuration.read_document()
         if document is None:
-            return _respond_failure(
+            return _create_failure_response(
                 Failure(
                     Reason.NOT_READY,
                     Step.CONFIGURE,
-                    detail="no configuration was learned yet; if there is none, "
+                    detail="no configuration was received yet; if there is none, "
                     "the first patch is made against number 0",
                 )
             )
-        return _respond(document)
+        return _create_response(document)
 
     async def get_version(self, request: Request) -> Response:
-        """Answer with an earlier version, if it is still kept."""
+        """Return an earlier version of the document if it is still available."""
         version: int = request.path_params["version"]
         found = await self._sources.configuration.read_version(version)
         if isinstance(found, Failure):
-            return _respond_failure(found)
+            return _create_failure_response(found)
         if found is None:
             detail = f"version {version} is not kept"
-            return _respond_failure(
+            return _create_failure_response(
                 Failure(Reason.NOT_FOUND, Step.CONFIGURE, detail=detail)
             )
-        return _respond(found)
+        return _create_response(found)
 
     async def post_patch(self, request: Request) -> Response:
-        """Hand a patch on, and tell its ending."""
+        """Apply a patch, and return its outcome."""
         patch = await _read_patch(request)
         if isinstance(patch, PatchRefused):
-            return _respond_refused(patch)
+            return _create_refusal_response(patch)
         result = await self._sources.configuration.apply_patch(patch)
         recorder = self._sources.recorder
-        what = f"patch {patch.patch_id} by {patch.author or '?'}: {patch.summary}"
+        description = (
+            f"patch {patch.patch_id} by {patch.author or '?'}: {patch.summary}"
+        )
         if isinstance(result, PatchRefused):
-            detail = f"{what}: {result.reason.value}"
+            detail = f"{description}: {result.reason.value}"
             recorder.record(
                 EventKind.CONFIG_REFUSED, version=patch.base_version, detail=detail
             )
-            return _respond_refused(result)
-        recorder.record(EventKind.CONFIG_PATCHED, version=result, detail=what)
-        return _respond(PatchAccepted(version=result))
+            return _create_refusal_response(result)
+        recorder.record(EventKind.CONFIG_PATCHED, version=result, detail=description)
+        return _create_response(PatchAccepted(version=result))
 
     async def get_events(self, request: Request) -> Response:
-        """Answer with events after a sequence number that match the filters."""
+        """Return events after a sequence number that match the filters."""
         after = _read_number(request, "after", 0)
-        limit = _read_number(request, "limit", EVENTS_LIMIT)
+        limit = _read_number(request, "limit", MAX_EVENTS_PER_PAGE)
         if isinstance(after, Failure):
-            return _respond_failure(after)
+            return _create_failure_response(after)
         if isinstance(limit, Failure):
-            return _respond_failure(limit)
+            return _create_failure_response(limit)
         recorder = self._sources.recorder
         parameters = request.query_params
-        wanted = EventFilter(
+        event_filter = EventFilter(
             parameters.get("request", ""),
             parameters.get("target", ""),
             parameters.get("version", ""),
         )
-        limit = max(1, min(limit, EVENTS_LIMIT))
-        page = select_page(recorder, wanted, after, limit)
-        return _respond(
+        limit = max(1, min(limit, MAX_EVENTS_PER_PAGE))
+        page = select_events(recorder, event_filter, after, limit)
+        return _create_response(
             EventsPage(
                 process=recorder.process,
                 incarnation=recorder.incarnation,
@@ -199,12 +203,12 @@
         )
 
     async def get_metrics(self, request: Request) -> Response:
-        """Answer with the metrics in the Prometheus text format."""
-        return Response(self._sources.metrics.render(), media_type=METRICS_TYPE)
+        """Return the metrics in the Prometheus text format."""
+        return Response(self._sources.metrics.render(), media_type=METRICS_CONTENT_TYPE)
 
 
-async def _respond_exception(request: Request, error: Exception) -> Response:
-    """Answer a bad path or method with the same shape of error."""
+async def _handle_http_exception(request: Request, error: Exception) -> Response:
+    """Return the common error body for an unknown path or method."""
     status = getattr(error, "status_code", 500)
     reason = Reason.NOT_FOUND if status == 404 else Reason.INVALID
     failure = Failure(reason, Step.BOUND, detail=getattr(error, "detail", ""))
@@ -213,16 +217,19 @@
 
 
 def create_admin_app(sources: AdminSources) -> Starlette:
-    """Make the application; its paths begin with ``/admin`` and ``/metrics``."""
-    ends = AdminEndpoints(sources)
+    """Create the application for paths below ``/admin`` and ``/metrics``."""
+    endpoints = AdminEndpoints(sources)
     routes = [
-        Route("/admin/status", ends.get_status),
-        Route("/admin/members", ends.get_members),
-        Route("/admin/configuration", ends.get_configuration),
-        Route("/admin/configuration/versions/{version:int}", ends.get_version),
-        Route("/admin/configuration/patches", ends.post_patch, methods=["POST"]),
-        Route("/admin/events", ends.get_events),
-        Route("/metrics", ends.get_metrics),
+        Route("/admin/status", endpoints.get_status),
+        Route("/admin/members", endpoints.get_members),
+        Route("/admin/configuration", endpoints.get_configuration),
+        Route("/admin/configuration/versions/{version:int}", endpoints.get_version),
+        Route("/admin/configuration/patches", endpoints.post_patch, methods=["POST"]),
+        Route("/admin/events", endpoints.get_events),
+        Route("/metrics", endpoints.get_metrics),
     ]
-    handlers: dict[Any, Any] = {404: _respond_exception, 405: _respond_exception}
+    handlers: dict[Any, Any] = {
+        404: _handle_http_exception,
+        405: _handle_http_exception,
+    }
     return Starlette(routes=routes, exception_handlers=handlers)
--- a/reedspar/admin/client.py
+++ b/reedspar/admin/client.py
@@ -1,8 +1,8 @@
-"""A client of the operators' interface.
+"""Client of the operators' HTTP interface.
 
-It is given several daemons and asks the next one when one can't be reached.
-A patch is sent again under the same id until its outcome is known, since a
-daemon finds an accepted patch by its id and accepts it once.
+It is given the addresses of several daemons and tries the next one if a daemon is
+unreachable.  A patch is sent again with the same id until its outcome is known; daemons
+recognize an accepted patch by its id, so it is applied once.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -28,18 +28,20 @@
 
 __all__ = ["AdminClient", "create_admin_client"]
 
-TIMEOUT_S = 3.0
-PATCH_TRIES = 6
-PATCH_PAUSE_S = 0.5
-NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-UNSETTLED = frozenset({Reason.UNAVAILABLE, Reason.OUTCOME_UNKNOWN, Reason.NOT_READY})
+RESPONSE_TIMEOUT_S = 3.0
+MAX_PATCH_ATTEMPTS = 6
+PATCH_RETRY_DELAY_S = 0.5
+UNSENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+RETRIED_REASONS = frozenset(
+    {Reason.UNAVAILABLE, Reason.OUTCOME_UNKNOWN, Reason.NOT_READY}
+)
 
 BodyT = TypeVar("BodyT", bound=BaseModel)
 Sleep = Callable[[float], Awaitable[None]]
 
 
 class AdminClient:
-    """Ask daemons over HTTP; `urls` name those that may be asked, in order."""
+    """Query daemons over HTTP; `urls` are tried in order."""
 
     def __init__(
         self,
@@ -64,18 +66,18 @@
         return await self._get_from(url, "/admin/events", EventsPage, query)
 
     async def list_members(self) -> tuple[MemberStatus, ...] | Failure:
-        """Return the daemons that the first reachable one knows of."""
+        """Return the daemons known to the first reachable one."""
         found = await self._get("/admin/members", MemberList)
         return found if isinstance(found, Failure) else found.members
 
     async def read_configuration(self) -> ConfigurationDocument | Failure:
-        """Return the document in force at the first reachable daemon."""
+        """Return the document in use by the first reachable daemon."""
         return await self._get("/admin/configuration", ConfigurationDocument)
 
     async def read_version(
         self, version: int, urls: Sequence[str] = ()
     ) -> ConfigurationDocument | Failure:
-        """Return a version of the document from the first daemon that keeps it."""
+        """Return a version of the document from the first daemon that has it."""
         path = f"/admin/configuration/versions/{version}"
         failure = Failure(Reason.NOT_FOUND, Step.CONFIGURE, detail="no daemon to ask")
         for url in [*self._urls, *urls]:
@@ -86,18 +88,21 @@
         return failure
 
     async def apply_patch(self, request: PatchRequest) -> PatchAccepted | PatchRefused:
-        """Return how the patch ended; OUTCOME_UNKNOWN only after asking again."""
-        doubt: PatchRefused | None = None
-        result: PatchAccepted | PatchRefused = _refuse_unaddressed()
-        for i in range(PATCH_TRIES if self._urls else 0):
-            if i >= len(self._urls) or doubt:
-                await self._sleep(PATCH_PAUSE_S)
+        """Apply a patch; return OUTCOME_UNKNOWN only if retries did not resolve it."""
+        unknown_outcome: PatchRefused | None = None
+        result: PatchAccepted | PatchRefused = _refuse_without_address()
+        for i in range(MAX_PATCH_ATTEMPTS if self._urls else 0):
+            if i >= len(self._urls) or unknown_outcome:
+                await self._sleep(PATCH_RETRY_DELAY_S)
             result = await self._post_patch(self._urls[i % len(self._urls)], request)
-            if isinstance(result, PatchAccepted) or result.reason not in UNSETTLED:
+            if (
+                isinstance(result, PatchAccepted)
+                or result.reason not in RETRIED_REASONS
+            ):
                 return result
             if result.reason is Reason.OUTCOME_UNKNOWN:
-                doubt = result
-        return doubt or result
+                unknown_outcome = result
+        return unknown_outcome or result
 
     async def _post_patch(
         self, url: str, request: PatchRequest
@@ -111,10 +116,10 @@
             if response.status_code == httpx.codes.OK:
                 return PatchAccepted.model_validate_json(response.content)
             return PatchRefused.model_validate_json(response.content)
-        except NEVER_SENT as error:
+        except UNSENT_ERRORS as error:
             reason, detail = Reason.UNAVAILABLE, describe_error(error)
         except (httpx.HTTPError, ValidationError) as error:
-            # The daemon may have read the patch and its answer was lost.
+            # The daemon may have applied the patch, and its response was lost.
             reason, detail = Reason.OUTCOME_UNKNOWN, describe_error(error)
         return PatchRefused(reason=reason, peer=url, detail=detail)
 
@@ -144,23 +149,23 @@
         except httpx.HTTPError as error:
             return Failure(Reason.UNAVAILABLE, Step.LINK, url, describe_error(error))
         except ValidationError as error:
-            detail = f"not an answer of reedspar: {describe_error(error)}"
+            detail = f"not a response of reedspar: {describe_error(error)}"
             return Failure(Reason.CORRUPT, Step.LINK, url, detail)
 
 
-def _refuse_unaddressed() -> PatchRefused:
+def _refuse_without_address() -> PatchRefused:
     return PatchRefused(reason=Reason.INVALID, detail="no entry was named")
 
 
 def add_peer(failure: Failure, peer: str) -> Failure:
-    """Return the failure with the peer that told of it."""
+    """Return the failure with the peer that reported it."""
     return Failure(
         failure.reason, failure.step, peer, failure.detail, failure.retry_after_s
     )
 
 
 def describe_error(error: Exception) -> str:
-    """Return one line for a library's exception."""
+    """Return a one-line description of a library's exception."""
     if isinstance(error, ValidationError):
         first = error.errors()[0]
         return f"{'.'.join(map(str, first['loc']))}: {first['msg']}"
@@ -171,9 +176,9 @@
 def create_admin_client(
     urls: Sequence[str],
     *,
-    timeout_s: float = TIMEOUT_S,
+    timeout_s: float = RESPONSE_TIMEOUT_S,
     http: httpx.AsyncClient | None = None,
 ) -> AdminClient:
-    """Make a client of the daemons at `urls`; the caller closes `http`."""
+    """Create a client of the daemons at `urls`; the caller closes `http`."""
     client = http or httpx.AsyncClient(timeout=timeout_s, trust_env=False)
     return AdminClient(client, urls)
--- a/reedspar/admin/models.py
+++ b/reedspar/admin/models.py
@@ -1,4 +1,4 @@
-"""What operators send and receive, validated at the border on both sides."""
+"""JSON bodies of the operators' interface, validated by client and server."""
 
 from typing import Annotated, Any
 
@@ -27,7 +27,7 @@
 
 
 class Body(BaseModel):
-    """A JSON body; fields of a newer release are passed over."""
+    """A JSON body; unknown fields, such as those of a newer release, are ignored."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -41,7 +41,7 @@
 
 
 class TransferStatus(Body):
-    """How far a version of a model has come at one target."""
+    """Progress of a version of a model at one target."""
 
     model: str
     root_digest: str
@@ -54,7 +54,7 @@
 
 
 class AgentStatus(Body):
-    """What a target agent says of its target."""
+    """State of an agent's target."""
 
     pool: str
     target_status: str = Field(description="cold, ready, leaving or down.")
@@ -68,14 +68,14 @@
 
 
 class EntryStatus(Body):
-    """What an entry says of its work."""
+    """State of an entry."""
 
     in_flight: int = 0
-    target_count: int = Field(0, description="Targets that it may choose now.")
+    target_count: int = Field(0, description="Targets available to the entry now.")
 
 
 class DaemonStatus(Body):
-    """What a daemon says of itself."""
+    """State of a daemon."""
 
     name: str
     role: Role
@@ -84,7 +84,7 @@
     incarnation: int
     config_version: int
     freshness_age_s: float | None = Field(
-        None, description="Since the last confirmation; None before the first."
+        None, description="Time since the last confirmation; None before the first."
     )
     is_ready: bool
     is_draining: bool
@@ -95,7 +95,7 @@
 
 
 class MemberStatus(Body):
-    """A daemon that this one knows of."""
+    """A daemon known to the responding one."""
 
     name: str
     role: Role
@@ -111,13 +111,13 @@
 
 
 class MemberList(Body):
-    """The daemons that one daemon knows of."""
+    """The daemons known to the responding one."""
 
     members: tuple[MemberStatus, ...]
 
 
 class PatchRequest(BaseModel):
-    """A change of the configuration against a named version."""
+    """A change of the configuration, based on a given version."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -129,20 +129,20 @@
 
 
 class PatchAccepted(Body):
-    """The patch is accepted, now or by an earlier request of the same id."""
+    """The patch is accepted, now or by an earlier request with the same id."""
 
     version: int
 
 
 class PatchError(Body):
-    """One rule that the document would break."""
+    """A rule that the patched document would violate."""
 
     path: str
     message: str
 
 
 class PatchRefused(Body):
-    """Why a patch was not accepted, or that this isn't known."""
+    """The reason for which a patch was rejected, or that its outcome is unknown."""
 
     reason: Reason
     step: Step = Step.CONFIGURE
@@ -154,7 +154,7 @@
 
 
 class ErrorBody(Body):
-    """Any other error, with its step and peer."""
+    """An error other than a rejected patch, with its step and peer."""
 
     reason: Reason
     step: Step
@@ -164,7 +164,7 @@
 
     @classmethod
     def from_failure(cls, failure: Failure) -> "ErrorBody":
-        """Return the failure's body."""
+        """Return the body for a failure."""
         return cls(
             reason=failure.reason,
             step=failure.step,
@@ -174,7 +174,7 @@
         )
 
     def to_failure(self) -> Failure:
-        """Return the failure that the body tells of."""
+        """Return the failure that the body describes."""
         return Failure(
             self.reason, self.step, self.peer, self.detail, self.retry_after_s
         )
@@ -188,7 +188,10 @@
     next_after: int
     lost_count: int
     oldest_s: float | None = Field(
-        None, description="Time of the oldest event held, if earlier ones are gone."
+        None,
+        description="Time of the oldest stored event if earlier ones were dropped.",
+    )
+    last_sequence: int = Field(
+        description="Sequence number of the last recorded event."
     )
-    last_sequence: int = Field(description="Of the latest event recorded.")
     events: tuple[dict[str, Any], ...]
--- a/reedspar/admin/sources.py
+++ b/reedspar/admin/sources.py
@@ -1,4 +1,4 @@
-"""What the interface asks of the daemon that it belongs to."""
+"""Interfaces through which the operators' HTTP interface reads and changes a daemon."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -14,48 +14,48 @@
 
 
 class StatusSource(Protocol):
-    """The daemon's own state."""
+    """Source of the daemon's state."""
 
     def read_status(self) -> DaemonStatus:
-        """Return the state as it is now."""
+        """Return the current state."""
         ...
 
 
 class MemberSource(Protocol):
-    """The daemon's view of the others."""
+    """Source of the daemon's view of the fleet."""
 
     def list_members(self) -> tuple[MemberStatus, ...]:
-        """Return every daemon known, this one included."""
+        """Return all known daemons, including this one."""
         ...
 
 
 class ConfigurationSource(Protocol):
-    """The configuration as this daemon knows it, and its changes."""
+    """Source of the configuration known to this daemon; accepts patches."""
 
     def read_document(self) -> ConfigurationDocument | None:
-        """Return the document in force here; None until one was learned."""
+        """Return the document in use here; None until one was received."""
         ...
 
     async def read_version(
         self, version: int
     ) -> ConfigurationDocument | Failure | None:
-        """Return an earlier version; None if it is no longer kept."""
+        """Return an earlier version; None if it is not available."""
         ...
 
     async def apply_patch(self, request: PatchRequest) -> int | PatchRefused:
-        """Return the new version's number, or why there is none.
+        """Apply a patch; return the number of the new version, or the refusal.
 
-        The reason is CONFLICT (stale; `current_version` is set), INVALID
-        (`errors` is set), UNAVAILABLE (not applied) or OUTCOME_UNKNOWN.  A
-        patch whose id is in the document's history is accepted again with the
-        number that it got.
+        The reason of a refusal is CONFLICT (the base is outdated; `current_version` is
+        set), INVALID (`errors` is set), UNAVAILABLE (not applied) or OUTCOME_UNKNOWN.
+        For a patch whose id is in the document's history, the version number that it
+        was accepted with is returned again.
         """
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class AdminSources:
-    """All that the operators' interface draws on."""
+    """All that the operators' interface is built from."""
 
     status: StatusSource
     members: MemberSource
--- a/reedspar/admin/stored_configuration.py
+++ b/reedspar/admin/stored_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' patches, handed to the configuration store."""
+"""Configuration source that applies operators' patches to the configuration store."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class StoredConfigurationSource:
-    """A `ConfigurationSource` on the store and on what this daemon adopted."""
+    """A `ConfigurationSource` on the store and the documents adopted by this daemon."""
 
     def __init__(
         self,
@@ -33,33 +33,33 @@
         self._adopt = adopt
 
     def read_document(self) -> ConfigurationDocument | None:
-        """Return the document in force here; None until one was learned."""
+        """Return the document in use here; None until one was received."""
         return self._read_document()
 
     async def read_version(
         self, version: int
     ) -> ConfigurationDocument | Failure | None:
-        """Return an earlier version; None if it is no longer kept."""
+        """Return an earlier version; None if it is not available."""
         current = self._read_document()
         if current is not None and current.version == version:
             return current
         return self._history.find(version)
 
     async def apply_patch(self, request: PatchRequest) -> int | PatchRefused:
-        """Hand the patch to the store; adopt at once what it accepted."""
+        """Apply the patch to the store; adopt an accepted document at once."""
         current = self._read_document()
         known_version = current.version if current else 0
         result = await self._store.accept(_to_store_patch(request), known_version)
         if not isinstance(result, Failure):
             self._adopt(result.document)
             return result.version
-        newest: int | None = None
+        current_version: int | None = None
         if result.reason is Reason.CONFLICT:
-            newest = await self._read_newest_version(known_version)
-        return _to_refused(result, newest)
+            current_version = await self._read_current_version(known_version)
+        return _to_refused(result, current_version)
 
-    async def _read_newest_version(self, known_version: int) -> int:
-        """Return the number that a stale patch has to be made against."""
+    async def _read_current_version(self, known_version: int) -> int:
+        """Return the version number that a new patch has to be based on."""
         stored = await self._store.read()
         if isinstance(stored, Failure):
             return known_version
@@ -81,7 +81,9 @@
     detail = failure.detail
     if failure.reason is Reason.INVALID:
         errors = tuple(_split_error(line) for line in detail.splitlines())
-        detail = f"{len(errors)} rules broken" if len(errors) > 1 else "a rule broken"
+        detail = (
+            f"{len(errors)} rules violated" if len(errors) > 1 else "a rule violated"
+        )
     return PatchRefused(
         reason=failure.reason,
         step=failure.step,
@@ -94,8 +96,10 @@
 
 
 def _split_error(line: str) -> PatchError:
-    path, sign, message = line.partition(": ")
-    return PatchError(path=path if sign else "", message=message if sign else line)
+    path, separator, message = line.partition(": ")
+    return PatchError(
+        path=path if separator else "", message=message if separator else line
+    )
 
 
 def create_configuration_source(
@@ -104,5 +108,5 @@
     read_document: ReadDocument,
     adopt: Adopt,
 ) -> ConfigurationSource:
-    """Make the source; `adopt` takes a document that a patch has just become."""
+    """Create the source; `adopt` is called with the document of an accepted patch."""
     return StoredConfigurationSource(store, history, read_document, adopt)
--- a/reedspar/admin/tests/fakes.py
+++ b/reedspar/admin/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A daemon's sources in memory, for tests of the interface and of the tool."""
+"""In-memory sources of a daemon, for tests of the interface and the tool."""
 
 from dataclasses import dataclass, field
 
@@ -23,14 +23,14 @@
 
 @dataclass
 class FakeConfiguration:
-    """A store that applies patches, and can be told to fail."""
+    """A configuration source that applies patches, with failures on request."""
 
     documents: list[ConfigurationDocument] = field(
         default_factory=lambda: [ConfigurationDocument(version=1)]
     )
     is_down: bool = False
     lost_answers: int = 0
-    """So many of the next answers are lost after the patch took effect."""
+    """Number of coming patches whose outcome is unknown although they were applied."""
     calls: list[PatchRequest] = field(default_factory=list)
 
     def read_document(self):
@@ -84,7 +84,7 @@
 
 @dataclass
 class FakeDaemon:
-    """One daemon with all sources."""
+    """A daemon with all sources."""
 
     name: str = "entry-1"
     role: Role = Role.ENTRY
@@ -100,7 +100,7 @@
         self.recorder = EventRecorder(self.name, 3, wall_clock=lambda: 1_000_000.5)
         self.metrics = create_metrics(self.name)
 
-    def as_member(self) -> MemberStatus:
+    def to_member_status(self) -> MemberStatus:
         return MemberStatus(
             name=self.name,
             role=self.role,
@@ -114,7 +114,7 @@
         )
 
     def list_members(self):
-        return self.members or (self.as_member(),)
+        return self.members or (self.to_member_status(),)
 
     def read_status(self):
         version = self.config_version
@@ -133,5 +133,5 @@
             agent=self.agent,
         )
 
-    def sources(self) -> AdminSources:
+    def create_sources(self) -> AdminSources:
         return AdminSources(self, self, self.configuration, self.recorder, self.metrics)
--- a/reedspar/admin/tests/test_app.py
+++ b/reedspar/admin/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' endpoints."""
+"""Tests of the operators' HTTP endpoints."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 class AdminAppTest(unittest.TestCase):
     def setUp(self) -> None:
         self.daemon = FakeDaemon()
-        self.app = create_admin_app(self.daemon.sources())
+        self.app = create_admin_app(self.daemon.create_sources())
 
     def call(self, method: str, path: str, **arguments) -> httpx.Response:
         async def run() -> httpx.Response:
@@ -37,7 +37,7 @@
         }
         return self.call("POST", PATCHES, json=body)
 
-    def test_reading(self) -> None:
+    def test_status_members_configuration_and_metrics_are_served(self) -> None:
         self.assertEqual(self.call("GET", "/admin/status").json()["role"], "entry")
         members = self.call("GET", "/admin/members").json()["members"]
         self.assertEqual(members[0]["http_port"], 8001)
@@ -45,10 +45,9 @@
         metrics = self.call("GET", "/metrics")
         self.assertTrue(metrics.headers["content-type"].startswith("text/plain"))
 
-    def test_patch_is_accepted_once(self) -> None:
-        # The answer to a patch is lost on the way, and the operator's tool
-        # asks again with the same id: the change must not be made twice, nor
-        # must the operator be told that it is stale.
+    def test_repeated_patch_is_applied_once(self) -> None:
+        # The response to a patch is lost, and the operator's tool retries with the same
+        # id.  The patch must not be applied twice, nor be refused as stale.
         self.assertEqual(self.patch().json(), {"version": 2})
         again = self.patch()
         self.assertEqual((again.status_code, again.json()), (200, {"version": 2}))
@@ -58,7 +57,7 @@
         kinds = [event.kind.value for event in events]
         self.assertEqual(kinds, ["config.patched"] * 2 + ["config.refused"])
 
-    def test_each_refusal_has_its_status(self) -> None:
+    def test_each_refusal_has_its_http_status(self) -> None:
         stale = self.patch(base_version=9)
         self.assertEqual(stale.status_code, 409)
         self.assertEqual(stale.json()["current_version"], 1)
@@ -84,7 +83,7 @@
         self.assertEqual((large.status_code, large.json()["step"]), (422, "bound"))
         self.assertEqual(self.daemon.configuration.calls, [])
 
-    def test_earlier_versions(self) -> None:
+    def test_earlier_versions_are_served(self) -> None:
         self.patch()
         path = "/admin/configuration/versions/"
         self.assertEqual(self.call("GET", path + "1").json()["zones"], {})
@@ -104,7 +103,7 @@
         bad = self.call("GET", "/admin/events?after=-1")
         self.assertEqual(bad.status_code, 422)
 
-    def test_unknown_path_has_the_shape_of_errors(self) -> None:
+    def test_unknown_path_or_method_has_the_common_error_body(self) -> None:
         missing = self.call("GET", "/admin/nothing")
         self.assertEqual(
             (missing.status_code, missing.json()["reason"]), (404, "not_found")
--- a/reedspar/admin/tests/test_document_history.py
+++ b/reedspar/admin/tests/test_document_history.py
@@ -1,4 +1,4 @@
-"""Tests that kept documents stay within their bounds."""
+"""Tests of the limits on stored documents."""
 
 import unittest
 
@@ -7,16 +7,16 @@
 
 
 class DocumentHistoryTest(unittest.TestCase):
-    def test_oldest_goes_first(self) -> None:
-        history = DocumentHistory(versions_max=3)
+    def test_oldest_document_is_evicted_first(self) -> None:
+        history = DocumentHistory(max_documents=3)
         for version in range(1, 6):
             history.add(ConfigurationDocument(version=version))
         self.assertEqual(history.versions, (3, 4, 5))
         self.assertIsNone(history.find(2))
         self.assertEqual(history.find(4), ConfigurationDocument(version=4))
 
-    def test_size_is_bounded_but_the_newest_stays(self) -> None:
-        history = DocumentHistory(size_max_bytes=10)
+    def test_newest_document_is_kept_beyond_the_size_limit(self) -> None:
+        history = DocumentHistory(max_total_bytes=10)
         history.add(ConfigurationDocument(version=1))
         history.add(ConfigurationDocument(version=2))
         self.assertEqual(history.versions, (2,))
--- a/reedspar/admin/tests/test_stored_configuration.py
+++ b/reedspar/admin/tests/test_stored_configuration.py
@@ -1,4 +1,4 @@
-"""Tests that the store's endings reach operators as they are."""
+"""Tests that outcomes of the store are reported unchanged to operators."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class FakeKeyValue:
-    """One key, compare-and-swap, and an outage."""
+    """Key-value store with one key, compare-and-swap and simulated outages."""
 
     def __init__(self) -> None:
         self.entry: KeyValueEntry | None = None
@@ -58,10 +58,10 @@
         self.assertFalse(earlier.is_zone_in("a"))
         self.assertIsNone(anyio.run(self.source.read_version, 9))
 
-    def test_stale_patch_learns_the_newest_number(self) -> None:
-        # Another entry accepted a patch that this one has not heard of: the
-        # number that the operator is told must be the store's, not this
-        # entry's older one.
+    def test_stale_patch_is_refused_with_the_version_of_the_store(self) -> None:
+        # Another entry accepted a patch that this one has not received yet.  The
+        # reported current version must be that of the store, not the older one of this
+        # entry.
         self.apply(0, "patch-0001", {"zones": {"a": "out"}})
         self.apply(1, "patch-0002", {"zones": {"a": "in"}})
         del self.adopted[-1]
@@ -69,14 +69,14 @@
         self.assertIs(refused.reason, Reason.CONFLICT)
         self.assertEqual(refused.current_version, 2)
 
-    def test_broken_rules_are_named_by_path(self) -> None:
+    def test_violated_rules_are_reported_by_path(self) -> None:
         patch = {"zones": {"a": "gone"}, "pools": {"p": {"kind": "plane"}}}
         refused = self.apply(0, "patch-0001", patch)
         self.assertIs(refused.reason, Reason.INVALID)
         paths = {error.path for error in refused.errors}
         self.assertEqual(paths, {"zones.a", "pools.p.kind"})
 
-    def test_outage_is_told_with_step_and_peer(self) -> None:
+    def test_outage_is_reported_with_step_and_peer(self) -> None:
         self.key_value.failure = Failure(Reason.UNAVAILABLE, Step.KEY_VALUE, "kv:1")
         refused = self.apply(0, "patch-0001", {"zones": {"a": "out"}})
         self.assertEqual(
--- a/reedspar/tool/tests/fleet.py
+++ b/reedspar/tool/tests/fleet.py
@@ -79,11 +79,11 @@
             self.make_daemon("agent-1", Role.AGENT, "kingston-a", 8003),
             self.make_daemon("agent-2", Role.AGENT, "kingston-b", 8004),
         ]
-        members = tuple(daemon.as_member() for daemon in self.daemons)
+        members = tuple(daemon.to_member_status() for daemon in self.daemons)
         self.transports: dict[str, httpx.AsyncBaseTransport] = {}
         for daemon in self.daemons:
             daemon.members = members
-            app = create_admin_app(daemon.sources())
+            app = create_admin_app(daemon.create_sources())
             address = f"http://127.0.0.1:{daemon.http_port}"
             self.transports[address] = httpx.ASGITransport(app)
 
--- a/reedspar/tool/tests/test_config.py
+++ b/reedspar/tool/tests/test_config.py
@@ -178,7 +178,7 @@
         # hurry.  It has nothing to lose, so it must not need --force.
         leaving = (
             self.daemons[3]
-            .as_member()
+            .to_member_status()
             .model_copy(
                 update={"name": "agent-3", "state": "leaving", "pool": "portal"}
             )
--- a/reedspar/tool/tests/test_fleet.py
+++ b/reedspar/tool/tests/test_fleet.py
@@ -134,7 +134,7 @@
             self.daemons[index].recorder = recorder
             for _ in range(5):
                 recorder.record(EventKind.LINK_UP)
-            app = create_admin_app(self.daemons[index].sources())
+            app = create_admin_app(self.daemons[index].create_sources())
             address = f"http://127.0.0.1:{self.daemons[index].http_port}"
             self.transports[address] = httpx.ASGITransport(app)
         run = self.run_tool("timeline")
