--- a/reedspar/direct/request_log.py
+++ b/reedspar/direct/request_log.py
@@ -38,7 +38,7 @@
         self._unlogged = 0
         self._answered = 0
         self._in_flight = 0
-        metrics.in_flight.observe(lambda: self._in_flight)
+        metrics.in_flight.set_callback(lambda: self._in_flight)
         timers.call_every(SUMMARY_INTERVAL_S, self._log_summary)
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
