--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -37,7 +37,7 @@
         counter(
             "requests",
             "{request}",
-            "Callers' requests that ended, by outcome: answered, not-run, unknown.",
+            "Requests of callers that ended, by outcome: answered, not-run, unknown.",
             "outcome",
             "pool",
         ),
@@ -47,7 +47,7 @@
         histogram(
             "request.duration",
             "s",
-            "Time from the receipt of a request to the end of its answer.",
+            "Time from a request to the end of its answer.",
             "pool",
         ),
     ]
@@ -56,7 +56,7 @@
         histogram(
             "request.first_byte",
             "s",
-            "Time from the receipt of a request to the head of its answer.",
+            "Time from a request to the head of its answer.",
             "pool",
         ),
     ]
@@ -65,7 +65,7 @@
         counter(
             "refusals",
             "{request}",
-            "Requests not run or with an unknown outcome, by reason and step.",
+            "Requests that were not run or are unknown, by reason and step.",
             "reason",
             "step",
         ),
@@ -73,7 +73,7 @@
     in_flight: Annotated[
         ObservableInstrument,
         observed_gauge(
-            "in_flight", "{request}", "Callers' requests in progress in this process."
+            "in_flight", "{request}", "Requests of callers in progress in this process."
         ),
     ]
     attempts: Annotated[
@@ -90,14 +90,14 @@
         observed_counter(
             "attempts.faults",
             "{fault}",
-            "Faults in transferring answers: dropped (messages that match no open "
-            "attempt), gaps, resumed, corrupt, lost.",
+            "What went wrong on the way: dropped (messages that no open attempt "
+            "matched), gaps, resumed, corrupt, lost.",
             "fault",
         ),
     ]
     relayed_bytes: Annotated[
         ObservableInstrument,
-        observed_counter("relayed", "By", "Bytes of answers that were relayed."),
+        observed_counter("relayed", "By", "Bytes of answers passed on."),
     ]
     messages: Annotated[
         ObservableInstrument,
@@ -112,7 +112,7 @@
     unreadable_frames: Annotated[
         ObservableInstrument,
         observed_counter(
-            "frames.unreadable", "{frame}", "Frames that could not be decoded."
+            "frames.unreadable", "{frame}", "Frames that could not be read."
         ),
     ]
     link_bytes: Annotated[
@@ -120,20 +120,20 @@
         observed_counter(
             "links.traffic",
             "By",
-            "Bytes transferred between daemons, by direction.",
+            "Bytes between daemons, by direction.",
             "direction",
         ),
     ]
     links_up: Annotated[
         ObservableInstrument,
-        observed_gauge("links.up", "{link}", "Open links to other daemons."),
+        observed_gauge("links.up", "{link}", "Links to other daemons that are open."),
     ]
     link_changes: Annotated[
         Counter,
         counter(
             "links.changes",
             "{change}",
-            "Links that opened, were replaced because of silence, or closed.",
+            "Links that came up, were replaced for silence, or went down.",
             "change",
         ),
     ]
@@ -142,7 +142,7 @@
         observed_gauge(
             "config.version",
             "{version}",
-            "Version number of the configuration in use here.",
+            "Number of the configuration in force here.",
         ),
     ]
     freshness_age: Annotated[
@@ -150,7 +150,7 @@
         observed_gauge(
             "config.freshness_age",
             "s",
-            "Time since the last confirmation of the configuration.",
+            "Time since the configuration was confirmed.",
         ),
     ]
     chunk_bytes: Annotated[
@@ -172,7 +172,7 @@
         observed_counter(
             "chunks.staged",
             "By",
-            "Bytes of verified chunks passed to the engine.",
+            "Bytes of checked chunks handed to the engine.",
         ),
     ]
     corrupt_draws: Annotated[
@@ -180,7 +180,7 @@
         counter(
             "chunks.corrupt",
             "{chunk}",
-            "Reads from the origin that returned corrupt or incomplete data.",
+            "Reads of the origin that came damaged or short.",
         ),
     ]
     loads: Annotated[
@@ -188,7 +188,7 @@
         counter(
             "weights.loads",
             "{order}",
-            "Load orders that ended, by outcome: ok or the reason.",
+            "Orders to load that ended, by outcome: ok or the reason.",
             "outcome",
         ),
     ]
@@ -197,7 +197,7 @@
         counter(
             "weights.offers",
             "{change}",
-            "Versions that a target began (offered) or ceased (withdrawn) to offer.",
+            "Versions offered (offered) and taken back (withdrawn).",
             "model",
             "change",
         ),
@@ -207,8 +207,8 @@
         observed_counter(
             "weights.replaced_begun",
             "{request}",
-            "Requests that started on replaced weights, by time: in_time, near (in the "
-            "last second before the bound), past.",
+            "Requests that began on replaced weights, by when: in_time, near (the last "
+            "second before the bound), past.",
             "when",
         ),
     ]
@@ -217,19 +217,19 @@
         observed_gauge(
             "gate.limit",
             "{request}",
-            "Maximum concurrent requests that the agent admits to its target.",
+            "Requests that the agent lets to its target at once.",
         ),
     ]
     gate_queued: Annotated[
         ObservableInstrument,
-        observed_gauge("gate.queued", "{request}", "Requests queued at the agent."),
+        observed_gauge("gate.queued", "{request}", "Requests that wait at the agent."),
     ]
     key_value_calls: Annotated[
         Counter,
         counter(
             "key_value.calls",
             "{call}",
-            "Calls to the key-value service, by operation and outcome "
+            "Calls of the key-value service, by operation and outcome "
             "(ok or the reason).",
             "operation",
             "outcome",
@@ -237,14 +237,16 @@
     ]
     pauses: Annotated[
         Counter,
-        counter("pauses", "{pause}", "Detected pauses of this process."),
+        counter(
+            "pauses", "{pause}", "Times that this process noticed it had been paused."
+        ),
     ]
     invariant_violations: Annotated[
         Counter,
         counter(
             "invariant.violations",
             "{violation}",
-            "Invariant violations, by name.",
+            "Broken invariants, by name.",
             "name",
         ),
     ]
