--- a/reedspar/tool/config_commands.py
+++ b/reedspar/tool/config_commands.py
@@ -1,4 +1,4 @@
-"""``reedspar config`` and the commands below it."""
+"""The command group ``reedspar config``."""
 
 from dataclasses import dataclass
 
@@ -16,10 +16,10 @@
 @cappa.command(name="config")
 @dataclass
 class Config:
-    """Read and change the numbered configuration."""
+    """Read and change the versioned configuration."""
 
     command: cappa.Subcommands[Show | Patch | History | Diff | Confirmed]
 
     async def run(self, session: Session) -> ExitCode:
-        """Run the command below."""
+        """Run the subcommand."""
         return await self.command.run(session)
--- a/reedspar/tool/config_reading.py
+++ b/reedspar/tool/config_reading.py
@@ -24,7 +24,7 @@
 async def find_version(
     session: Session, version: int
 ) -> ConfigurationDocument | Failure:
-    """Return a version from any daemon that still keeps it; number 0 is empty."""
+    """Return a version from any daemon that still has it; version 0 is empty."""
     if version == 0:
         return ConfigurationDocument()
     current = await session.client.read_configuration()
@@ -38,11 +38,11 @@
 @cappa.command(name="show")
 @dataclass
 class Show:
-    """Show the configuration with its number."""
+    """Show the configuration with its version number."""
 
-    version: Annotated[int | None, cappa.Arg(long=True, help="An earlier number.")] = (
-        None
-    )
+    version: Annotated[
+        int | None, cappa.Arg(long=True, help="An earlier version number.")
+    ] = None
 
     async def run(self, session: Session) -> ExitCode:
         """Write the document."""
@@ -63,10 +63,10 @@
 @cappa.command(name="history")
 @dataclass
 class History:
-    """List the accepted patches that the document remembers, newest last."""
+    """List the accepted patches in the document's history, newest last."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Write the records."""
+        """Write the records of the history."""
         found = await session.client.read_configuration()
         if isinstance(found, Failure):
             return session.fail(found)
@@ -86,15 +86,16 @@
 @cappa.command(name="diff")
 @dataclass
 class Diff:
-    """Show what differs between two numbers."""
+    """Show the differences between two versions."""
 
-    before: Annotated[int, cappa.Arg(help="The earlier number.")]
+    before: Annotated[int, cappa.Arg(help="The earlier version number.")]
     after: Annotated[
-        int | None, cappa.Arg(help="The later number; the current one if left out.")
+        int | None,
+        cappa.Arg(help="The later version number; the current one if omitted."),
     ] = None
 
     async def run(self, session: Session) -> ExitCode:
-        """Write the difference."""
+        """Write the differences."""
         before = await find_version(session, self.before)
         if isinstance(before, Failure):
             return session.fail(before)
--- a/reedspar/tool/confirmation.py
+++ b/reedspar/tool/confirmation.py
@@ -1,4 +1,4 @@
-"""``reedspar config confirmed``, and waiting until a number is in force."""
+"""``reedspar config confirmed``, and waiting until all processes confirm a version."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -15,13 +15,13 @@
 
 __all__ = ["Confirmed", "wait_until_confirmed"]
 
-CONFIRM_POLL_S = 0.5
+CONFIRMATION_POLL_S = 0.5
 CONFIRMED = "confirmed"
 BEHIND = "behind"
 UNREACHABLE = "unreachable"
 
 
-def _confirmation(status: DaemonStatus | Failure, version: int) -> str:
+def _classify_confirmation(status: DaemonStatus | Failure, version: int) -> str:
     if isinstance(status, Failure):
         return UNREACHABLE
     return CONFIRMED if status.config_version >= version else BEHIND
@@ -30,16 +30,18 @@
 @cappa.command(name="confirmed")
 @dataclass
 class Confirmed:
-    """Show which processes confirmed a number and which are unreachable."""
+    """Show which processes have confirmed a version and which are unreachable."""
 
-    version: Annotated[int, cappa.Arg(help="The number.")]
+    version: Annotated[int, cappa.Arg(help="The version number.")]
 
     async def run(self, session: Session) -> ExitCode:
-        """Ask every process, and list those that lack the number first."""
+        """Query all processes; list those that have not confirmed the version first."""
         answers = await read_fleet(session.client)
         if isinstance(answers, Failure):
             return session.fail(answers)
-        states = [_confirmation(answer.value, self.version) for answer in answers]
+        states = [
+            _classify_confirmation(answer.value, self.version) for answer in answers
+        ]
         is_whole = all(state == CONFIRMED for state in states)
         rows = []
         for answer, state in zip(answers, states, strict=True):
@@ -67,29 +69,29 @@
 async def wait_until_confirmed(
     session: Session, version: int, timeout_s: float
 ) -> ExitCode:
-    """Wait until every process confirmed the number; else name those that lack it."""
+    """Wait until all processes confirm a version; at the timeout, name the others."""
     members = await session.client.list_members()
     if isinstance(members, Failure):
         return session.fail(members)
     missing = {member.name: UNREACHABLE for member in members}
     limiter = anyio.CapacityLimiter(CONCURRENCY)
 
-    async def follow(member: MemberStatus) -> None:
-        # Each process is asked by itself: one that is frozen answers late or
-        # never, and must not keep the others from being seen.
+    async def poll(member: MemberStatus) -> None:
+        # Each process is polled independently: a frozen one responds late or never, and
+        # must not delay the others.
         while member.name in missing:
             async with limiter:
                 status = await session.client.read_status(member_url(member))
-            missing[member.name] = _confirmation(status, version)
+            missing[member.name] = _classify_confirmation(status, version)
             if missing[member.name] == CONFIRMED:
                 del missing[member.name]
             else:
-                await anyio.sleep(CONFIRM_POLL_S)
+                await anyio.sleep(CONFIRMATION_POLL_S)
 
     with anyio.move_on_after(timeout_s):
         async with anyio.create_task_group() as group:
             for member in members:
-                group.start_soon(follow, member)
+                group.start_soon(poll, member)
     if not missing:
         if not session.is_json:
             session.show_line(f"in force in all {len(members)} processes")
--- a/reedspar/tool/current_patch.py
+++ b/reedspar/tool/current_patch.py
@@ -1,8 +1,8 @@
-"""Patches of commands that name an aim (a zone out, a version) and no number.
+"""Patches of commands that state a goal (a zone out, a model's version) without a base.
 
-The number is read and the patch made against it.  If others were faster, the
-document is read again and the patch made anew, as long as the aim still holds
-in the newer document; that is for the command's `make_patch` to say.
+The patch is based on the current version of the document.  If another patch is accepted
+first, the document is read again and a new patch is made.  The command's `make_patch`
+decides whether the goal still applies to the newer document.
 """
 
 from collections.abc import Callable
@@ -17,32 +17,32 @@
 from .patching import build_request
 from .session import Session
 
-__all__ = ["Changed", "MakePatch", "patch_current"]
+__all__ = ["MakePatch", "PatchResult", "patch_current"]
 
-RACE_TRIES = 5
+MAX_PATCH_ATTEMPTS = 5
 
 MakePatch = Callable[[ConfigurationDocument], dict[str, Any] | Failure | None]
-"""Returns the patch, None if the aim is reached already, or why not to patch."""
+"""Return the patch, None if nothing needs to change, or the reason not to patch."""
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """The number under which the aim is reached."""
+class PatchResult:
+    """Version of the configuration in which the goal is reached."""
 
     version: int
     before: ConfigurationDocument
     patch_id: str | None
-    """None if nothing had to be changed."""
+    """None if no change was needed."""
 
 
 async def patch_current(
     session: Session, make_patch: MakePatch, summary: str, base: int | None = None
-) -> Changed | ExitCode:
-    """Return the change, or tell what failed and return its exit code.
+) -> PatchResult | ExitCode:
+    """Patch the current document; on failure, report it and return the exit code.
 
-    With `base`, the patch is made against that number and a race is refused.
+    With `base`, the patch is based on that version, and a conflict is not retried.
     """
-    for attempt in range(RACE_TRIES):
+    for attempt in range(MAX_PATCH_ATTEMPTS):
         document = await session.client.read_configuration()
         if isinstance(document, Failure):
             return session.fail(document)
@@ -50,16 +50,16 @@
         if isinstance(patch, Failure):
             return session.fail(patch)
         if patch is None and base in (None, document.version):
-            return Changed(document.version, document, None)
+            return PatchResult(document.version, document, None)
         number = document.version if base is None else base
         request = build_request(number, patch or {}, "", summary)
         if isinstance(request, Failure):
             return session.fail(request)
         result = await session.client.apply_patch(request)
         if isinstance(result, PatchAccepted):
-            return Changed(result.version, document, request.patch_id)
-        is_race = result.reason is Reason.CONFLICT and base is None
-        if not is_race or attempt == RACE_TRIES - 1:
+            return PatchResult(result.version, document, request.patch_id)
+        is_conflict = result.reason is Reason.CONFLICT and base is None
+        if not is_conflict or attempt == MAX_PATCH_ATTEMPTS - 1:
             code = session.fail_patch(result)
             if result.reason is Reason.OUTCOME_UNKNOWN:
                 session.warn("  it may or may not be in force; run the command again")
--- a/reedspar/tool/differences.py
+++ b/reedspar/tool/differences.py
@@ -1,4 +1,4 @@
-"""The difference between two documents, by path."""
+"""Differences between two configuration documents, by path."""
 
 import json
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 class _Absent:
-    """Stands for a value that is not there."""
+    """Type of the marker for a missing value."""
 
 
 ABSENT = _Absent()
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One path whose value differs; `ABSENT` where there is none."""
+    """A path whose value differs; `ABSENT` stands for a missing value."""
 
     path: str
     before: Any
@@ -29,29 +29,29 @@
 
 
 def to_plain_document(document: ConfigurationDocument) -> dict[str, Any]:
-    """Return the part of the document that operators change."""
+    """Return the part of the document that operators can change."""
     return document.model_dump(mode="json", exclude=SYSTEM_KEYS)
 
 
 def compare_documents(before: Any, after: Any, path: str = "") -> Iterator[Change]:
-    """Yield the changed paths in order; names with dots are quoted."""
+    """Yield the changes, sorted by path; keys with dots are quoted."""
     if isinstance(before, dict) and isinstance(after, dict):
         for key in sorted(before.keys() | after.keys()):
-            below = f"{path}.{quote_key(key)}" if path else quote_key(key)
+            child = f"{path}.{quote_key(key)}" if path else quote_key(key)
             yield from compare_documents(
-                before.get(key, ABSENT), after.get(key, ABSENT), below
+                before.get(key, ABSENT), after.get(key, ABSENT), child
             )
     elif before != after:
         yield Change(path, before, after)
 
 
 def quote_key(key: str) -> str:
-    """Return the key as a path names it."""
+    """Return the key as it is written in a path."""
     return f'"{key}"' if "." in key else key
 
 
 def format_change(change: Change) -> str:
-    """Return a line that begins with +, - or ~ for added, removed and changed."""
+    """Return a line that begins with + (added), - (removed) or ~ (changed)."""
     if change.before is ABSENT:
         return f"+ {change.path}: {_show(change.after)}"
     if change.after is ABSENT:
@@ -60,7 +60,7 @@
 
 
 def change_to_json(change: Change) -> dict[str, Any]:
-    """Return a JSON object; a side that is absent is left out."""
+    """Return a JSON object; a missing side is omitted."""
     sides = {"before": change.before, "after": change.after}
     present = {name: value for name, value in sides.items() if value is not ABSENT}
     return {"path": change.path, **present}
--- a/reedspar/tool/exit_codes.py
+++ b/reedspar/tool/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes, which scripts may rely on."""
+"""Exit codes, a stable interface for scripts."""
 
 from enum import IntEnum
 
@@ -8,22 +8,22 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     OK = 0
     USAGE = 2
-    """The command line is wrong; nothing was asked."""
+    """The command line is invalid; no process was contacted."""
     REFUSED = 3
-    """The change breaks a rule; nothing was changed."""
+    """The change violates a rule; nothing was changed."""
     STALE = 4
-    """The configuration has a newer number; nothing was changed."""
+    """The configuration has a newer version; nothing was changed."""
     UNREACHABLE = 5
-    """No answer, or the key-value service is down; nothing was changed."""
+    """No response, or the key-value service is unavailable; nothing was changed."""
     OUTCOME_UNKNOWN = 6
-    """The change may or may not have been made; ask again with its patch id."""
+    """The change may or may not have been made; retry it with the same patch id."""
     NOT_FOUND = 7
     INCOMPLETE = 8
-    """The answer lacks some processes, or what was waited for did not come."""
+    """Some processes did not respond, or the awaited state was not reached."""
 
 
 CODES = {
@@ -38,5 +38,5 @@
 
 
 def exit_code_for(reason: Reason) -> ExitCode:
-    """Return the exit code of a failure."""
+    """Return the exit code for a failure's reason."""
     return CODES.get(reason, ExitCode.REFUSED)
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -1,4 +1,4 @@
-"""``reedspar explain``: one request's story from the logs of all processes."""
+"""``reedspar explain``: what happened to a request, from the logs of all processes."""
 
 import json
 from collections.abc import Sequence
@@ -23,50 +23,52 @@
 
 __all__ = ["Explain"]
 
-TIME_SLICE = slice(11, 23)
+CLOCK_TIME = slice(11, 23)
 
 
 @cappa.command(name="explain")
 @dataclass
 class Explain:
-    """Tell from logs alone what became of a request, and why.
+    """Explain the outcome of a request from logs alone.
 
-    Shows the lines that name it, the last word of each process on what matters to it,
-    and where to read on.
+    Shows the lines that name the request, the relevant state that each process last
+    logged before the request ended, and which lines to read next.
     """
 
-    request: Annotated[str, cappa.Arg(help="The caller's id, or the system's.")]
+    request: Annotated[
+        str, cappa.Arg(help="The caller's or the system's id of the request.")
+    ]
     logs: Annotated[
         list[Path],
         cappa.Arg(num_args=-1, required=True, help="Log files of all processes."),
     ]
 
     async def run(self, session: Session) -> ExitCode:
-        """Read, select and show."""
+        """Read the logs and write the explanation."""
         lines = read_log_lines(self.logs)
         if isinstance(lines, Failure):
             return session.fail(lines)
-        story = explain_request(lines, self.request)
-        if story is None:
-            return session.fail(self._explain_silence(lines))
+        explanation = explain_request(lines, self.request)
+        if explanation is None:
+            return session.fail(self._explain_missing_lines(lines))
         if session.is_json:
-            session.show_json(asdict(story))
+            session.show_json(asdict(explanation))
             return ExitCode.OK
         session.show_line("Known before it ended:")
-        self._show_lines(session, story.known)
+        self._show_lines(session, explanation.known)
         session.show_line("The request:")
-        self._show_lines(session, story.own)
-        session.show_line(make_printable(story.conclusion))
+        self._show_lines(session, explanation.own)
+        session.show_line(make_printable(explanation.conclusion))
         return ExitCode.OK
 
     def _show_lines(self, session: Session, lines: Sequence[LogLine]) -> None:
         for line in lines:
-            clock = format_time(line.time_s)[TIME_SLICE]
+            clock = format_time(line.time_s)[CLOCK_TIME]
             fields = json.dumps(line.fields, ensure_ascii=False)
             text = f"{clock}  {line.process}  {line.message}  {fields}"
             session.show_line(f"  {make_printable(text)}")
 
-    def _explain_silence(self, lines: Sequence[LogLine]) -> Failure:
+    def _explain_missing_lines(self, lines: Sequence[LogLine]) -> Failure:
         detail = (
             f"no line of {len(lines)} names request {self.request}: it reached none of "
             "these processes, or it was answered (one answer in 50 has a line), or it "
--- a/reedspar/tool/fleet.py
+++ b/reedspar/tool/fleet.py
@@ -1,4 +1,4 @@
-"""Ask many daemons at once, and tell which did not answer."""
+"""Concurrent queries to many daemons, with the failures of single ones."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer(Generic[ValueT]):
-    """What one daemon answered, or how asking it failed."""
+    """The answer of a daemon, or the failure of the query."""
 
     member: MemberStatus
     value: ValueT | Failure
 
 
 def member_url(member: MemberStatus) -> str:
-    """Return where the daemon's operators' interface listens."""
+    """Return the URL of the daemon's operators' interface."""
     return f"http://{member.host}:{member.http_port}"
 
 
 def select_role(members: Iterable[MemberStatus], role: Role) -> list[MemberStatus]:
-    """Return the daemons of a role by name."""
+    """Return the daemons with a role, sorted by name."""
     return sorted((m for m in members if m.role is role), key=lambda m: m.name)
 
 
@@ -46,7 +46,7 @@
     members: Iterable[MemberStatus],
     ask: Callable[[str], Awaitable[ValueT | Failure]],
 ) -> list[Answer[ValueT]]:
-    """Call `ask` with each daemon's address, a bounded number at a time."""
+    """Call `ask` with the URL of each daemon, with limited concurrency."""
     limiter = anyio.CapacityLimiter(CONCURRENCY)
     answers: list[Answer[ValueT]] = []
 
@@ -63,7 +63,7 @@
 async def read_fleet(
     client: AdminClient, role: Role | None = None
 ) -> list[Answer[DaemonStatus]] | Failure:
-    """Return the state of every daemon, or of those of one role."""
+    """Return the state of all daemons, or of those with a role."""
     members = await client.list_members()
     if isinstance(members, Failure):
         return members
--- a/reedspar/tool/fleet_commands.py
+++ b/reedspar/tool/fleet_commands.py
@@ -17,7 +17,7 @@
 
 __all__ = ["Entries", "Targets", "name_version"]
 
-DIGEST_SHOWN = 12
+SHOWN_DIGEST_LENGTH = 12
 STATE_COLUMN = 2
 
 RowMaker = Callable[[MemberStatus, DaemonStatus], list[str]]
@@ -26,15 +26,15 @@
 def name_version(
     document: ConfigurationDocument | None, model: str, root_digest: str
 ) -> str:
-    """Return the operator's label for a digest, or the digest's start."""
+    """Return the operator's label for a digest, or the start of the digest."""
     known = document.models.get(model) if document else None
     if known is not None and known.root_digest == root_digest:
         return known.label
-    return root_digest[:DIGEST_SHOWN]
+    return root_digest[:SHOWN_DIGEST_LENGTH]
 
 
 def describe_state(status: DaemonStatus) -> str:
-    """Return a daemon's state in a word."""
+    """Return a short name of a daemon's state."""
     if status.is_draining:
         return "draining"
     if not status.is_ready:
@@ -43,7 +43,7 @@
 
 
 def format_age(age_s: float | None) -> str:
-    """Return the age in seconds, or that there was no confirmation yet."""
+    """Return the age in seconds, or ``never`` without a confirmation."""
     return "never" if age_s is None else f"{age_s:.1f} s"
 
 
@@ -53,7 +53,7 @@
     columns: list[str],
     make_row: RowMaker,
 ) -> ExitCode:
-    """Write a row for each process; those that did not answer say so."""
+    """Write a row per process, also for unreachable ones."""
     lost = [answer for answer in answers if isinstance(answer.value, Failure)]
     if session.is_json:
         session.show_json([_to_json(answer) for answer in answers])
@@ -90,7 +90,7 @@
     """List the targets with their state and the versions that they offer."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Ask each agent."""
+        """Query all agents."""
         answers = await read_fleet(session.client, Role.AGENT)
         if isinstance(answers, Failure):
             return session.fail(answers)
@@ -127,7 +127,7 @@
     """List the entries with their state and configuration."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Ask each entry."""
+        """Query all entries."""
         answers = await read_fleet(session.client, Role.ENTRY)
         if isinstance(answers, Failure):
             return session.fail(answers)
--- a/reedspar/tool/main.py
+++ b/reedspar/tool/main.py
@@ -1,4 +1,4 @@
-"""The entry point of `reedspar`."""
+"""The command `reedspar`: common options and entry point."""
 
 import sys
 from dataclasses import dataclass
@@ -44,32 +44,33 @@
             default=cappa.Env(ENTRY_VARIABLE, default=""),
             propagate=True,
             help="Addresses of entries, such as http://10.0.0.1:8000, separated by "
-            "commas; asked in this order.",
+            "commas; tried in this order.",
         ),
     ] = ""
     is_json: Annotated[
         bool, cappa.Arg(long="--json", propagate=True, help="Write JSON.")
     ] = False
     timeout: Annotated[
-        float, cappa.Arg(long=True, propagate=True, help="Seconds for one answer.")
+        float,
+        cappa.Arg(long=True, propagate=True, help="Timeout of a query in seconds."),
     ] = 3.0
 
     @property
     def urls(self) -> list[str]:
-        """Return the entries' addresses."""
+        """Return the addresses of the entries."""
         addresses = [address.strip() for address in self.entry.split(",")]
         return [address.rstrip("/") for address in addresses if address]
 
 
 def needs_entry(command: object) -> bool:
-    """Tell whether a command asks processes at all."""
+    """Return whether a command queries processes."""
     if isinstance(command, Explain):
         return False
     return not (isinstance(command, Timeline) and command.from_logs)
 
 
 def find_usage_error(tool: Tool) -> str | None:
-    """Return what is wrong with the options that all commands share."""
+    """Return an error in the options common to all commands, if any."""
     if needs_entry(tool.command) and not tool.urls:
         return f"no entry is named: give --entry URL or set {ENTRY_VARIABLE}"
     for url in tool.urls:
@@ -81,12 +82,12 @@
 
 
 async def run_command(command: Command, session: Session) -> ExitCode:
-    """Carry a parsed command out."""
+    """Run a parsed command."""
     return await command.run(session)
 
 
 async def _run(tool: Tool) -> ExitCode:
-    # Reading the certificates takes longer than most commands do otherwise.
+    # Loading the CA certificates would take longer than most commands.
     needs_tls = any(url.startswith("https:") for url in tool.urls)
     async with httpx.AsyncClient(
         timeout=tool.timeout, trust_env=False, verify=needs_tls
@@ -108,7 +109,7 @@
     except KeyboardInterrupt:
         return ExitCode.INCOMPLETE
     except BrokenPipeError:
-        # The reader of a pipe, such as `head`, went away: no error of ours.
+        # The reader of the pipe, such as `head`, has exited; this is not an error.
         sys.stderr.close()
         return ExitCode.OK
 
--- a/reedspar/tool/patch_input.py
+++ b/reedspar/tool/patch_input.py
@@ -1,4 +1,4 @@
-"""Patches as operators write them: a file, or assignments to paths."""
+"""Parsing of patches from a file or from assignments to paths."""
 
 import json
 import re
@@ -11,16 +11,16 @@
 
 __all__ = ["create_patch_id", "parse_assignment", "read_patch"]
 
-KEY = re.compile(r'"([^"]+)"|([^".]+)')
+KEY_PATTERN = re.compile(r'"([^"]+)"|([^".]+)')
 
 
 def create_patch_id() -> str:
-    """Return an id that no other patch has."""
+    """Return a unique patch id."""
     return uuid.uuid4().hex
 
 
 def read_patch(file: Path | None, assignments: list[str]) -> dict[str, Any] | Failure:
-    """Return the merge patch (RFC 7386) of a file and assignments, in this order."""
+    """Return the merge patch (RFC 7386) of a file, updated by assignments."""
     patch: dict[str, Any] = {}
     if file is not None:
         loaded = _load_file(file)
@@ -45,14 +45,14 @@
 def parse_assignment(text: str) -> tuple[list[str], Any] | Failure:
     """Return the keys and the value of ``path=value``.
 
-    Keys are separated by dots; one with a dot in it stands in double quotes.
-    The value is JSON, or else a string as it stands; ``null`` removes.
+    Keys are separated by dots; a key that contains a dot is in double quotes.  The
+    value is JSON, or a plain string if it isn't valid JSON; ``null`` removes the path.
     """
-    path, sign, value_text = text.partition("=")
+    path, separator, value_text = text.partition("=")
     keys = []
     position = 0
     while position < len(path):
-        match = KEY.match(path, position)
+        match = KEY_PATTERN.match(path, position)
         if match is None:
             break
         keys.append(match[1] or match[2])
@@ -63,7 +63,7 @@
                 return _invalid(f"{text}: a key is missing after the last dot")
         elif position < len(path):
             break
-    if not sign or not keys or position < len(path):
+    if not separator or not keys or position < len(path):
         return _invalid(f"{text}: not of the form path=value")
     try:
         return keys, json.loads(value_text)
--- a/reedspar/tool/patching.py
+++ b/reedspar/tool/patching.py
@@ -1,4 +1,4 @@
-"""``reedspar config patch``, and how every command sends its patch."""
+"""``reedspar config patch``, and the sending of patches."""
 
 import getpass
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 
 def read_author() -> str:
-    """Return the name that a patch bears unless one is given."""
+    """Return the default author of a patch: the name of the user."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -37,32 +37,36 @@
 @cappa.command(name="patch")
 @dataclass
 class Patch:
-    """Change the configuration against a named number."""
+    """Change the configuration, based on a given version."""
 
     base: Annotated[
-        int, cappa.Arg(long=True, help="The number that the patch is made against.")
+        int, cappa.Arg(long=True, help="The version number that the patch is based on.")
     ]
     file: Annotated[
-        Path | None, cappa.Arg(long=True, help="A merge patch, JSON or .toml.")
+        Path | None,
+        cappa.Arg(long=True, help="A file with a merge patch, JSON or .toml."),
     ] = None
     assignments: Annotated[
         list[str],
-        cappa.Arg(long="--set", help="path=value, as often as needed; null removes."),
+        cappa.Arg(long="--set", help="path=value, repeatable; null removes the path."),
     ] = field(default_factory=list)
-    author: Annotated[str, cappa.Arg(long=True, help="Who makes it.")] = ""
-    summary: Annotated[str, cappa.Arg(long=True, help="Why, for the history.")] = ""
+    author: Annotated[str, cappa.Arg(long=True, help="The author of the patch.")] = ""
+    summary: Annotated[
+        str, cappa.Arg(long=True, help="The reason for the patch, for the history.")
+    ] = ""
     patch_id: Annotated[
-        str, cappa.Arg(long=True, help="The id of a patch to ask again.")
+        str, cappa.Arg(long=True, help="The id of an earlier patch, to send it again.")
     ] = ""
     dry_run: Annotated[
-        bool, cappa.Arg(long=True, help="Show the difference, change nothing.")
+        bool, cappa.Arg(long=True, help="Show the differences without applying them.")
     ] = False
     wait: Annotated[
-        float, cappa.Arg(long=True, help="Seconds to wait until all confirmed it.")
+        float,
+        cappa.Arg(long=True, help="Seconds to wait until all processes confirm it."),
     ] = 0.0
 
     async def run(self, session: Session) -> ExitCode:
-        """Show the difference and send the patch."""
+        """Show the differences and send the patch."""
         patch = read_patch(self.file, self.assignments)
         if isinstance(patch, Failure):
             session.fail(patch)
@@ -90,7 +94,7 @@
     summary: str,
     patch_id: str = "",
 ) -> PatchRequest | Failure:
-    """Return a request with an id and an author of its own where none is given."""
+    """Return a request; a missing id or author is filled in."""
     try:
         return PatchRequest(
             base_version=base_version,
@@ -108,7 +112,7 @@
 async def send_patch(
     session: Session, request: PatchRequest, wait_s: float = 0.0
 ) -> ExitCode:
-    """Send a patch and tell how it ended, also what changed if it is stale."""
+    """Send a patch and report its outcome; if it is stale, also the newer changes."""
     result = await session.client.apply_patch(request)
     if isinstance(result, PatchAccepted):
         show_accepted(session, result, request)
@@ -129,7 +133,7 @@
 def show_accepted(
     session: Session, accepted: PatchAccepted, request: PatchRequest
 ) -> None:
-    """Tell the number that the patch got."""
+    """Report the version number of an accepted patch."""
     if session.is_json:
         session.show_json({"version": accepted.version, "patch_id": request.patch_id})
     else:
@@ -137,7 +141,7 @@
 
 
 async def _show_newer(session: Session, base_version: int) -> None:
-    """Tell what others changed since the number that a stale patch names."""
+    """Report the changes since the base version of a stale patch."""
     current = await session.client.read_configuration()
     if isinstance(current, Failure):
         return
--- a/reedspar/tool/publish_command.py
+++ b/reedspar/tool/publish_command.py
@@ -1,4 +1,4 @@
-"""``reedspar publish``: upload a version of a model, then put it in force."""
+"""``reedspar publish``: upload a version of a model, then put it into use."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 class UploadSink:
-    """What `publish_weights` uploads to, with a progress display."""
+    """A `WeightSink` that displays the progress of the upload."""
 
     def __init__(self, store: WeightSink, progress: Progress, size_bytes: int) -> None:
         self._store = store
@@ -30,11 +30,11 @@
         self._task = progress.add_task("uploading", total=size_bytes)
 
     async def has(self, name: str) -> bool | Failure:
-        """Tell whether the origin has the object."""
+        """Return whether the origin has the object."""
         return await self._store.has(name)
 
     async def put(self, name: str, data: bytes) -> Failure | None:
-        """Store an object; storing the same one again changes nothing."""
+        """Store an object; storing it again has no effect."""
         failure = await self._store.put(name, data)
         if failure is None:
             self._progress.advance(self._task, len(data))
@@ -49,7 +49,7 @@
     sequence: int,
     file: Path,
 ) -> Publication | Failure:
-    """Upload what the origin lacks, with a progress bar on a terminal."""
+    """Upload what is missing at the origin, with a progress bar on a terminal."""
     try:
         size_bytes = file.stat().st_size
     except OSError as error:
@@ -68,10 +68,10 @@
         return await publish_weights(sink, model, label, sequence, file)
 
 
-def find_published(
+def is_published(
     document: ConfigurationDocument, model: str, published: ModelVersion
 ) -> bool:
-    """Tell whether the same weights under the same label are in force already."""
+    """Return whether the same weights with the same label are in use already."""
     current = document.models.get(model)
     return (
         current is not None
@@ -83,7 +83,7 @@
 @cappa.command(name="publish")
 @dataclass
 class Publish:
-    """Upload a version of a model to the origin and put it in force."""
+    """Upload a version of a model to the origin and put it into use."""
 
     model: Annotated[str, cappa.Arg(help="The model's name.")]
     file: Annotated[Path, cappa.Arg(long=True, help="The file with the weights.")]
@@ -110,12 +110,12 @@
         return await self._put_in_force(session, published.version)
 
     async def _put_in_force(self, session: Session, version: ModelVersion) -> ExitCode:
-        """Patch the configuration; what others change meanwhile does not matter."""
+        """Patch the configuration; unrelated concurrent patches are no conflict."""
 
         def make_patch(
             document: ConfigurationDocument,
         ) -> dict[str, Any] | Failure | None:
-            if find_published(document, self.model, version):
+            if is_published(document, self.model, version):
                 return None
             current = document.models.get(self.model)
             if current is not None and current.sequence >= version.sequence:
--- a/reedspar/tool/session.py
+++ b/reedspar/tool/session.py
@@ -1,4 +1,4 @@
-"""What every command works with: the client, and where its output goes."""
+"""State common to all commands: the client and the output streams."""
 
 import json
 import sys
@@ -17,12 +17,12 @@
 
 __all__ = ["Command", "Session", "create_session", "plain"]
 
-FILE_WIDTH = 1000
-"""Columns of a pipe or file: wide enough that no row is broken or cut."""
+UNWRAPPED_WIDTH = 1000
+"""Width of output to a pipe or file, wide enough for any row."""
 
 
 def plain(value: Any) -> Any:
-    """Return what `json` can write."""
+    """Convert a model to types that `json` can write."""
     return value.model_dump(mode="json") if isinstance(value, BaseModel) else value
 
 
@@ -41,14 +41,14 @@
         self.output.file.write(text + "\n")
 
     def show_line(self, text: str) -> None:
-        """Write a line as it is, however long."""
+        """Write a line without wrapping it."""
         self.output.file.write(text + "\n")
 
     def show_table(self, columns: list[str], rows: list[list[str]]) -> None:
-        """Write aligned columns; those named with a leading ``#`` hold numbers.
+        """Write a table; a leading ``#`` marks a column of numbers, aligned right.
 
-        Cells are never folded or cut, so that names can be copied; a terminal
-        that is too narrow breaks the line itself.
+        Cells are never wrapped or truncated, so names can be copied.  A terminal that
+        is too narrow wraps the whole line.
         """
         table = Table(box=None, pad_edge=False, padding=(0, 2, 0, 0))
         for column in columns:
@@ -59,11 +59,11 @@
             )
         for row in rows:
             table.add_row(*[Text(cell) for cell in row])
-        # rich fits tables to the terminal by cutting cells; this console is
-        # wider than any row.
+        # rich truncates cells to fit a table to the terminal, so this console is wider
+        # than any row.
         wide = Console(
             file=self.output.file,
-            width=FILE_WIDTH,
+            width=UNWRAPPED_WIDTH,
             force_terminal=self.output.is_terminal,
             highlight=False,
             markup=False,
@@ -75,7 +75,7 @@
         self.errors.file.write(text + "\n")
 
     def fail(self, failure: Failure) -> ExitCode:
-        """Tell what failed, with step and peer, and return its exit code."""
+        """Report a failure with step and peer, and return its exit code."""
         if self.is_json:
             document = {
                 "reason": failure.reason.value,
@@ -89,7 +89,7 @@
         return exit_code_for(failure.reason)
 
     def fail_patch(self, refused: PatchRefused) -> ExitCode:
-        """Tell why a patch was not accepted, and return its exit code."""
+        """Report why a patch was not accepted, and return the exit code."""
         if self.is_json:
             self.warn(json.dumps({"error": refused.model_dump(mode="json")}))
             return exit_code_for(refused.reason)
@@ -103,16 +103,16 @@
 
 
 class Command(Protocol):
-    """A command of the tool, already parsed."""
+    """A parsed command of the tool."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Carry it out."""
+        """Run the command."""
         ...
 
 
 def create_console(file: TextIO) -> Console:
-    """Make a console that colours terminals only and never breaks a pipe's rows."""
-    width = None if file.isatty() else FILE_WIDTH
+    """Create a console that colours terminals only and never wraps rows in a pipe."""
+    width = None if file.isatty() else UNWRAPPED_WIDTH
     return Console(file=file, width=width, highlight=False, markup=False)
 
 
@@ -123,7 +123,7 @@
     output: TextIO | None = None,
     errors: TextIO | None = None,
 ) -> Session:
-    """Make a session that writes to the given streams, or the standard ones."""
+    """Create a session that writes to the given or else the standard streams."""
     return Session(
         client,
         is_json,
--- a/reedspar/tool/tests/fleet.py
+++ b/reedspar/tool/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of fake daemons behind the tool, without sockets."""
+"""A fleet of fake daemons for tests of the tool, without sockets."""
 
 import io
 import json
@@ -29,14 +29,14 @@
 
 
 class FrozenTransport(httpx.AsyncBaseTransport):
-    """A daemon that is stopped: it takes connections and never answers."""
+    """A frozen daemon: it accepts connections and never responds."""
 
     async def handle_async_request(self, request):
         await anyio.sleep_forever()
 
 
 class LostAnswerTransport(httpx.AsyncBaseTransport):
-    """Hands requests on and loses the first answers to patches."""
+    """Forward requests, and lose the responses to the first patches."""
 
     def __init__(self, inner: httpx.AsyncBaseTransport, lost: int) -> None:
         self.inner = inner
@@ -52,7 +52,7 @@
 
 @dataclass
 class Outcome:
-    """What a run of the tool gave."""
+    """Exit code and output of a run of the tool."""
 
     code: int
     output: str
@@ -68,7 +68,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Two entries and two agents in two zones, which share one configuration."""
+    """Two entries and two agents in two zones, with a common configuration."""
 
     def setUp(self) -> None:
         document = ConfigurationDocument.model_validate({"version": 4, "pools": POOLS})
@@ -93,7 +93,7 @@
             agent = AgentStatus(pool="quotes", target_status="ready", limit=4)
         return FakeDaemon(name, role, zone, port, self.configuration, agent=agent)
 
-    def cut_off(self, address: str) -> None:
+    def make_unreachable(self, address: str) -> None:
         self.transports[address] = UnreachableTransport()
 
     def run_tool(self, *arguments: str, entry: str = ENTRY) -> Outcome:
--- a/reedspar/tool/tests/test_config.py
+++ b/reedspar/tool/tests/test_config.py
@@ -11,17 +11,17 @@
 
 
 class PatchCommandTest(FleetTest):
-    def test_difference_is_shown_and_the_patch_accepted(self) -> None:
+    def test_differences_are_shown_and_the_patch_is_accepted(self) -> None:
         run = self.run_tool("config", "patch", "--base", "4", "--set", OUT)
         self.assertEqual(run.code, ExitCode.OK)
         lines = run.output.splitlines()
         self.assertEqual(lines[0], '+ zones.kingston-a: "out"')
         self.assertEqual(lines[1], "accepted as version 5")
 
-    def test_stale_number_is_refused_with_what_changed(self) -> None:
-        # Two operators patch against the same number.  The second must learn
-        # that the first was faster, what they changed, and that the own
-        # change was not made.
+    def test_stale_patch_is_refused_with_the_newer_changes(self) -> None:
+        # Two operators base patches on the same version.  The second must be told that
+        # another patch was accepted first, what it changed, and that their own change
+        # was not made.
         self.run_tool("config", "patch", "--base", "4", "--set", OUT)
         late = self.run_tool(
             "config", "patch", "--base", "4", "--set", "zones.kingston-b=out"
@@ -32,10 +32,10 @@
         document = self.configuration.read_document()
         self.assertTrue(document.is_zone_in("kingston-b"))
 
-    def test_lost_answer_is_asked_again_with_the_same_id(self) -> None:
-        # The connection breaks after the daemon took the patch.  Told that
-        # the outcome is unknown, the operator would try by hand, hit a stale
-        # number, and not know whose change it was.
+    def test_patch_is_retried_with_the_same_id_after_a_lost_response(self) -> None:
+        # The connection breaks after the daemon accepted the patch.  If the tool only
+        # reported an unknown outcome, the operator would retry by hand, get a stale
+        # version, and not know whose change it was.
         inner = self.transports[ENTRY]
         self.transports[ENTRY] = LostAnswerTransport(inner, lost=2)
         run = self.run_tool("config", "patch", "--base", "4", "--set", OUT)
@@ -44,9 +44,9 @@
         self.assertEqual(len({c.patch_id for c in self.configuration.calls}), 1)
         self.assertEqual(len(self.configuration.documents), 2)
 
-    def test_unknown_outcome_stays_unknown_when_the_rest_is_refused(self) -> None:
-        # The key-value service takes the write, loses the answer, and goes
-        # down: "not applied" would be a lie.
+    def test_unknown_outcome_is_reported_after_failed_retries(self) -> None:
+        # The key-value service applies the write, loses the response and fails.  The
+        # patch must not be reported as not applied.
         self.configuration.lost_answers = 1
         inner = self.configuration.apply_patch
 
@@ -72,8 +72,8 @@
         empty = self.run_tool("config", "patch", "--base", "4")
         self.assertEqual(empty.code, ExitCode.USAGE)
 
-    def test_next_entry_is_asked_when_one_is_gone(self) -> None:
-        self.cut_off(ENTRY)
+    def test_next_entry_is_tried_when_one_is_unreachable(self) -> None:
+        self.make_unreachable(ENTRY)
         both = f"{ENTRY},http://127.0.0.1:8002"
         run = self.run_tool("config", "patch", "--base", "4", "--set", OUT, entry=both)
         self.assertEqual(run.code, ExitCode.OK)
@@ -81,7 +81,7 @@
         self.assertEqual(alone.code, ExitCode.UNREACHABLE)
         self.assertIn(f"link failed at {ENTRY}", alone.errors)
 
-    def test_files_and_assignments_join(self) -> None:
+    def test_file_and_assignments_are_combined(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "patch.toml"
             file.write_text('[workspaces."shop.1"]\nshare = 2.0\n')
@@ -98,7 +98,7 @@
         workspace = self.configuration.read_document().workspaces["shop.1"]
         self.assertEqual((workspace.share, workspace.priority), (2.0, 3))
 
-    def test_malformed_assignments_are_named(self) -> None:
+    def test_malformed_assignments_are_reported(self) -> None:
         for text in ("zones", "=out", "zones..a=1", "zones.=1", 'zones."a=1', 'a"b"=1'):
             run = self.run_tool("config", "patch", "--base", "4", "--set", text)
             self.assertEqual(run.code, ExitCode.USAGE, text)
@@ -106,11 +106,11 @@
 
 
 class ReadingTest(FleetTest):
-    def test_first_patch_is_against_the_empty_document(self) -> None:
+    def test_first_patch_is_based_on_the_empty_document(self) -> None:
         run = self.run_tool("config", "patch", "--base", "0", "--set", OUT, "--dry-run")
         self.assertEqual(run.output, '+ zones.kingston-a: "out"\n')
 
-    def test_history_diff_and_earlier_versions(self) -> None:
+    def test_history_diff_and_earlier_versions_are_shown(self) -> None:
         self.run_tool(
             "config", "patch", "--base", "4", "--set", OUT, "--summary", "cooling"
         )
@@ -127,11 +127,11 @@
         missing = self.run_tool("config", "show", "--version", "2")
         self.assertEqual(missing.code, ExitCode.NOT_FOUND)
 
-    def test_confirmed_tells_behind_from_unreachable(self) -> None:
-        # One agent is cut off and another lags: the operator needs to see
-        # which, since only the one behind will come by itself.
+    def test_confirmed_distinguishes_behind_from_unreachable(self) -> None:
+        # One agent is unreachable and another lags.  The operator must be able to tell
+        # them apart, since only the lagging one will catch up by itself.
         self.daemons[2].config_version = 3
-        self.cut_off("http://127.0.0.1:8004")
+        self.make_unreachable("http://127.0.0.1:8004")
         run = self.run_tool("config", "confirmed", "4")
         self.assertEqual(run.code, ExitCode.INCOMPLETE)
         _, first, second, *_, last = run.output.splitlines()
@@ -148,7 +148,7 @@
 
 
 class ZoneCommandTest(FleetTest):
-    def test_out_and_in_until_confirmed(self) -> None:
+    def test_zone_is_taken_out_and_brought_in_until_confirmed(self) -> None:
         out = self.run_tool("zone", "out", "kingston-a")
         self.assertEqual(out.code, ExitCode.OK)
         self.assertIn("pool quotes: 1 of 2 targets left", out.output)
@@ -158,9 +158,9 @@
         self.run_tool("zone", "in", "kingston-a")
         self.assertEqual(self.configuration.read_document().version, 6)
 
-    def test_slips_are_refused_unless_forced(self) -> None:
-        # A zone's name is mistyped in a hurry: accepted, it would change
-        # nothing while the operator believes that the zone is out.
+    def test_mistakes_are_refused_unless_forced(self) -> None:
+        # A mistyped zone name would change nothing, while the operator believes that
+        # the zone is out.
         typo = self.run_tool("zone", "out", "kingstno-a")
         self.assertEqual(typo.code, ExitCode.REFUSED)
         self.assertIn("known: kingston-a, kingston-b", typo.errors)
@@ -173,9 +173,9 @@
         repeated = self.run_tool("zone", "out", "kingston-b", "--base", "6")
         self.assertIn("out already, version 6", repeated.output)
 
-    def test_pool_without_any_target_blocks_nothing(self) -> None:
-        # A pool's last targets are leaving when a zone has to go out in a
-        # hurry.  It has nothing to lose, so it must not need --force.
+    def test_pool_without_live_targets_needs_no_force(self) -> None:
+        # The last targets of a pool are shutting down when a zone has to be taken out
+        # in a hurry.  The pool loses no live target, so --force must not be needed.
         leaving = (
             self.daemons[3]
             .to_member_status()
@@ -188,7 +188,7 @@
         run = self.run_tool("zone", "out", "kingston-a", "--wait", "0")
         self.assertEqual(run.code, ExitCode.OK)
 
-    def test_base_makes_it_strict_and_races_are_retried_without(self) -> None:
+    def test_conflicts_are_retried_unless_a_base_is_given(self) -> None:
         strict = self.run_tool("zone", "out", "kingston-a", "--base", "3")
         self.assertEqual(strict.code, ExitCode.STALE)
         inner = self.configuration.apply_patch
@@ -208,9 +208,9 @@
         self.assertEqual(run.code, ExitCode.OK)
         self.assertIn("accepted as version 6", run.output)
 
-    def test_wait_names_who_lacks_the_version(self) -> None:
-        # One agent is frozen and another lags.  The frozen one must not keep
-        # the tool from seeing that the rest have confirmed.
+    def test_wait_names_processes_without_the_version(self) -> None:
+        # One agent is frozen and another lags.  The frozen one must not prevent the
+        # tool from seeing the confirmations of the others.
         self.daemons[3].config_version = 4
         self.transports["http://127.0.0.1:8003"] = FrozenTransport()
         run = self.run_tool("zone", "out", "kingston-a", "--wait", "1")
--- a/reedspar/tool/tests/test_explain.py
+++ b/reedspar/tool/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of `reedspar explain` as its users call it."""
+"""Tests of `reedspar explain` through the command line."""
 
 import contextlib
 import io
@@ -43,23 +43,23 @@
             code = main(["explain", *arguments])
         return code, output.getvalue(), errors.getvalue()
 
-    def test_refusal_is_explained_without_asking_any_process(self) -> None:
+    def test_refusal_is_explained_without_querying_processes(self) -> None:
         code, output, _ = self.run_tool("r1", str(self.log))
         self.assertEqual(code, ExitCode.OK)
         self.assertIn("it has not run", output)
         self.assertIn("expected in 0.61 s", output)
 
-    def test_story_can_be_read_by_programs(self) -> None:
+    def test_explanation_is_available_as_json(self) -> None:
         code, output, _ = self.run_tool("--json", "r1", str(self.log))
         self.assertEqual(code, ExitCode.OK)
         self.assertEqual(json.loads(output)["own"][0]["process"], "entry-1")
 
-    def test_id_without_a_line_tells_why_there_may_be_none(self) -> None:
+    def test_unknown_id_is_reported_with_possible_reasons(self) -> None:
         code, _, errors = self.run_tool("r2", str(self.log))
         self.assertEqual(code, ExitCode.NOT_FOUND)
         self.assertIn("12", errors)
 
-    def test_file_that_is_not_there_is_named(self) -> None:
+    def test_missing_file_is_named(self) -> None:
         code, _, errors = self.run_tool("r1", "/nowhere/a.log")
         self.assertEqual(code, ExitCode.NOT_FOUND)
         self.assertIn("/nowhere/a.log", errors)
--- a/reedspar/tool/tests/test_fleet.py
+++ b/reedspar/tool/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of what is shown of the fleet: targets, entries, progress, time line."""
+"""Tests of the commands targets, entries, watch and timeline."""
 
 import contextlib
 import io
@@ -28,7 +28,7 @@
 
 from .fleet import POOLS, FleetTest
 
-NEW, OLD = "ab" * 32, "cd" * 32
+NEW_DIGEST, OLD_DIGEST = "ab" * 32, "cd" * 32
 
 
 class FleetCommandsTest(FleetTest):
@@ -38,7 +38,7 @@
             "label": "march",
             "sequence": 2,
             "manifest_digest": "ef" * 32,
-            "root_digest": NEW,
+            "root_digest": NEW_DIGEST,
             "size_bytes": 1000,
         }
         document = {"version": 5, "pools": POOLS, "models": {"drafter": model}}
@@ -55,9 +55,9 @@
             transfers=transfers,
         )
 
-    def test_targets_show_versions_and_who_is_unreachable(self) -> None:
-        self.set_agent(2, OLD)
-        self.cut_off("http://127.0.0.1:8004")
+    def test_targets_show_versions_and_unreachable_agents(self) -> None:
+        self.set_agent(2, OLD_DIGEST)
+        self.make_unreachable("http://127.0.0.1:8004")
         run = self.run_tool("targets")
         self.assertEqual(run.code, ExitCode.INCOMPLETE)
         header, first, second, total = run.output.splitlines()
@@ -67,12 +67,14 @@
         self.assertEqual(header.index("STATE"), second.index("unreachable"))
         self.assertIn("link failed at http://127.0.0.1:8004", run.errors)
         found = self.run_tool("targets", "--json").json
-        self.assertEqual(found[0]["status"]["agent"]["offered"], {"drafter": OLD})
+        self.assertEqual(
+            found[0]["status"]["agent"]["offered"], {"drafter": OLD_DIGEST}
+        )
         self.assertIn("error", found[1])
 
-    def test_long_names_are_never_broken(self) -> None:
-        # Names are copied from the table into the next command.  On a narrow
-        # terminal they were folded into pieces that no command takes.
+    def test_long_names_are_not_wrapped(self) -> None:
+        # Names are copied from the table into other commands.  A name that is wrapped
+        # on a narrow terminal would not be accepted there.
         file = io.StringIO()
         session = create_session(AdminClient(None, []), output=file)
         narrow = Console(file=file, width=40, force_terminal=True)
@@ -81,7 +83,7 @@
         narrow_session.show_table(["target", "zone"], [[name, "kingston-a"]])
         self.assertIn(f"{name}  kingston-a", file.getvalue())
 
-    def test_entries(self) -> None:
+    def test_entries_show_the_age_of_the_confirmation(self) -> None:
         run = self.run_tool("entries")
         self.assertEqual(run.code, ExitCode.OK)
         self.assertIn("0.2 s", run.output.splitlines()[1])
@@ -89,40 +91,40 @@
     def test_watch_ends_when_all_targets_offer(self) -> None:
         moving = TransferStatus(
             model="drafter",
-            root_digest=NEW,
+            root_digest=NEW_DIGEST,
             phase="fetching",
             bytes_held=250,
             bytes_total=1000,
         )
-        self.set_agent(2, NEW)
-        self.set_agent(3, OLD, moving)
+        self.set_agent(2, NEW_DIGEST)
+        self.set_agent(3, OLD_DIGEST, moving)
         run = self.run_tool("watch", "drafter", "--until", "0", "--json")
         self.assertEqual(run.code, ExitCode.INCOMPLETE)
         shares = {t["target"]: t["share"] for t in run.json["targets"]}
         self.assertEqual(shares, {"agent-1": 1.0, "agent-2": 0.25})
-        self.set_agent(3, NEW)
+        self.set_agent(3, NEW_DIGEST)
         done = self.run_tool("watch", "drafter")
         self.assertEqual(done.code, ExitCode.OK)
         self.assertIn("2 of 2 targets offer drafter", done.output)
         unknown = self.run_tool("watch", "nothing")
         self.assertEqual(unknown.code, ExitCode.NOT_FOUND)
 
-    def test_timeline_joins_processes_and_tells_gaps(self) -> None:
+    def test_timeline_merges_processes_and_reports_gaps(self) -> None:
         for index in (0, 2):
             self.daemons[index].recorder.record(
                 EventKind.ATTEMPT_SENT, request_id="r1", attempt=1
             )
             self.daemons[index].recorder.record(EventKind.LINK_UP)
-        self.cut_off("http://127.0.0.1:8004")
+        self.make_unreachable("http://127.0.0.1:8004")
         run = self.run_tool("timeline", "--request", "r1")
         self.assertEqual(run.code, ExitCode.INCOMPLETE)
         self.assertEqual(len(run.output.splitlines()), 4)
         self.assertIn("missing from the time line: agent-2", run.errors)
 
-    def test_overflown_rings_are_a_note_and_not_a_gap(self) -> None:
-        # Rings of busy processes are always full.  Told as missing, each time
-        # line would end with a line for each process of the fleet, and the
-        # exit code of an incomplete one would mean nothing.
+    def test_overflown_rings_are_reported_as_a_note_not_a_gap(self) -> None:
+        # The rings of busy processes are always full.  If dropped events counted as
+        # missing, each time line would end with a line per process of the fleet, and
+        # the exit code of an incomplete time line would be meaningless.
         for index, start_s in ((0, 100.0), (2, 200.0)):
             clock = iter(range(1000))
             recorder = EventRecorder(
@@ -142,18 +144,18 @@
         self.assertIn("complete since 1970-01-01T00:03:23", run.errors)
         self.assertEqual(len(run.errors.splitlines()), 1)
 
-    def test_callers_own_id_finds_every_request_that_bears_it(self) -> None:
-        # A shop sends its order twice under one id and asks what became of
-        # it: both requests have to show, with what the agents did.
+    def test_callers_id_matches_all_requests_with_it(self) -> None:
+        # A caller sends an order twice with the same id.  A search for the id must show
+        # both requests, including the events of the agents.
         for number, index in ((1, 2), (2, 3)):
-            own_id = f"entry-1:3:{number}"
+            system_id = f"entry-1:3:{number}"
             self.daemons[0].recorder.record(
                 EventKind.REQUEST_RECEIVED,
-                request_id=own_id,
+                request_id=system_id,
                 detail="POST pool quotes " + format_caller_id("order-88"),
             )
             self.daemons[index].recorder.record(
-                EventKind.ATTEMPT_RUNNING, request_id=own_id, attempt=1
+                EventKind.ATTEMPT_RUNNING, request_id=system_id, attempt=1
             )
         run = self.run_tool("timeline", "--request", "order-88", "--json")
         self.assertEqual(run.code, ExitCode.OK)
@@ -161,7 +163,7 @@
         other = self.run_tool("timeline", "--request", "order-8", "--json")
         self.assertEqual(other.json, [])
 
-    def test_timeline_from_logs_needs_no_process(self) -> None:
+    def test_timeline_from_logs_queries_no_process(self) -> None:
         recorder = self.daemons[0].recorder
         recorder.record(EventKind.ZONE_OUT, detail="kingston-a")
         (event,) = recorder.after(0).events
@@ -193,7 +195,7 @@
         self.assertIn("0/30 offered", lines[2])
         self.assertTrue(all(len(line) <= 90 for line in lines))
 
-    def test_phase_stands_beside_the_bar(self) -> None:
+    def test_phase_is_shown_beside_the_bar(self) -> None:
         lines = self.render(
             [TargetProgress("agent-1", "a", "failed", 50, 100, "no memory")]
         )
@@ -215,7 +217,7 @@
                 code = error.code
         return code, errors.getvalue()
 
-    def test_no_entry_or_a_bad_one(self) -> None:
+    def test_missing_or_invalid_entry_is_a_usage_error(self) -> None:
         code, errors = self.run_main("targets")
         self.assertEqual(code, ExitCode.USAGE)
         self.assertIn("REEDSPAR_ENTRY", errors)
@@ -223,7 +225,7 @@
             self.run_main("targets", "--entry", "10.0.0.1")[0], ExitCode.USAGE
         )
 
-    def test_unknown_command(self) -> None:
+    def test_unknown_command_is_a_usage_error(self) -> None:
         self.assertEqual(self.run_main("nothing")[0], ExitCode.USAGE)
 
 
--- a/reedspar/tool/tests/test_publish.py
+++ b/reedspar/tool/tests/test_publish.py
@@ -1,4 +1,4 @@
-"""Tests of publishing a version."""
+"""Tests of `reedspar publish`."""
 
 import random
 import tempfile
@@ -15,7 +15,7 @@
 
 
 class FakeOrigin:
-    """Objects in memory; can stop taking more."""
+    """In-memory origin that fails after a given number of uploads."""
 
     def __init__(self) -> None:
         self.objects: dict[str, bytes] = {}
@@ -52,7 +52,7 @@
             "publish", "drafter", *arguments, "--origin", "http://origin:1", *more
         )
 
-    def test_version_is_whole_at_the_origin_before_it_is_in_force(self) -> None:
+    def test_version_is_complete_at_the_origin_once_in_use(self) -> None:
         run = self.publish("march")
         self.assertEqual(run.code, ExitCode.OK)
         version = self.configuration.read_document().models["drafter"]
@@ -62,9 +62,9 @@
         self.assertTrue(set(manifest.chunk_digests) <= self.origin.objects.keys())
         self.assertEqual((version.label, version.sequence), ("march", 1))
 
-    def test_broken_upload_changes_nothing_and_is_taken_up_again(self) -> None:
-        # The origin goes away in the middle of an upload.  A version put in
-        # force with chunks missing could never be loaded by any target.
+    def test_interrupted_upload_changes_nothing_and_is_resumed(self) -> None:
+        # The origin fails during an upload.  A version put into use with missing chunks
+        # could never be loaded by any target.
         self.origin.puts_left = 2
         broken = self.publish("march")
         self.assertEqual(broken.code, ExitCode.UNREACHABLE)
@@ -75,7 +75,7 @@
         self.assertEqual(again.code, ExitCode.OK)
         self.assertIn("3 chunks, 1 uploaded", again.output)
 
-    def test_same_version_again_is_no_change(self) -> None:
+    def test_publishing_the_same_version_again_changes_nothing(self) -> None:
         self.publish("march")
         again = self.publish("march")
         self.assertEqual(again.code, ExitCode.OK)
@@ -87,7 +87,7 @@
         self.assertEqual((version.label, version.sequence), ("april", 2))
 
     def change_while_uploading(self, patch: dict) -> None:
-        """Have another operator's patch accepted during the next upload."""
+        """Apply another operator's patch during the next upload."""
         put = self.origin.put
 
         async def put_and_race(name, data):
@@ -101,9 +101,9 @@
 
         self.origin.put = put_and_race
 
-    def test_upload_is_not_in_vain_when_others_change_something_else(self) -> None:
-        # An upload takes minutes.  Refused as stale at its end, because a
-        # zone was taken out meanwhile, it would all have to be asked again.
+    def test_unrelated_patch_during_the_upload_is_no_conflict(self) -> None:
+        # An upload takes minutes.  It must not be refused as stale at its end because a
+        # zone was taken out meanwhile, since it would have to be repeated.
         self.change_while_uploading({"zones": {"kingston-a": "out"}})
         run = self.publish("march")
         self.assertEqual(run.code, ExitCode.OK)
@@ -114,8 +114,8 @@
         self.assertFalse(document.is_zone_in("kingston-a"))
 
     def test_other_version_of_the_model_is_not_overwritten(self) -> None:
-        # Two operators publish different weights of one model at once.  The
-        # later patch must not silently take back the first one's version.
+        # Two operators publish different weights of a model at the same time.  The
+        # later patch must not silently replace the first one's version.
         other = {
             "label": "hotfix",
             "sequence": 1,
@@ -130,6 +130,6 @@
         label = self.configuration.read_document().models["drafter"].label
         self.assertEqual(label, "hotfix")
 
-    def test_missing_file(self) -> None:
+    def test_missing_file_is_refused(self) -> None:
         self.file.unlink()
         self.assertEqual(self.publish("march").code, ExitCode.REFUSED)
--- a/reedspar/tool/timeline_command.py
+++ b/reedspar/tool/timeline_command.py
@@ -1,4 +1,4 @@
-"""``reedspar timeline``: the events of all processes in one order."""
+"""``reedspar timeline``: the events of all processes in a common order."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
@@ -30,28 +30,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Collected:
-    """Events, and what is missing from them."""
+class CollectedEvents:
+    """Events, and descriptions of missing ones."""
 
     events: tuple[Event, ...]
     gaps: tuple[str, ...] = ()
     complete_since_s: float = 0.0
-    """Before this time, some process no longer holds its events."""
+    """Time before which at least one process no longer has all its events."""
 
 
-def read_logs(files: Iterable[Path]) -> Collected | Failure:
-    """Return the events in JSON-line logs; other lines are passed over."""
+def read_logs(files: Iterable[Path]) -> CollectedEvents | Failure:
+    """Return the events in JSON-line logs; other lines are ignored."""
     lines = read_log_lines(files)
     if isinstance(lines, Failure):
         return lines
     events = (line.event for line in lines)
-    return Collected(tuple(event for event in events if event is not None))
+    return CollectedEvents(tuple(event for event in events if event is not None))
 
 
 async def read_process(
     client: AdminClient, url: str, parameters: dict[str, str]
-) -> Collected | Failure:
-    """Return all events that a daemon still holds, page by page."""
+) -> CollectedEvents | Failure:
+    """Return all events that a daemon still has, read page by page."""
     events: list[Event] = []
     gaps: list[str] = []
     complete_since_s = 0.0
@@ -66,23 +66,23 @@
         if parsed.count(None):
             gaps.append(f"{page.process}: {parsed.count(None)} of an unknown kind")
         if page.next_after <= after or page.next_after >= page.last_sequence:
-            return Collected(tuple(events), tuple(gaps), complete_since_s)
+            return CollectedEvents(tuple(events), tuple(gaps), complete_since_s)
         after = page.next_after
 
 
 async def collect_events(
-    client: AdminClient, wanted: EventFilter
-) -> Collected | Failure:
-    """Return the wanted events of all processes that answer."""
+    client: AdminClient, event_filter: EventFilter
+) -> CollectedEvents | Failure:
+    """Return the matching events of all processes that respond."""
     members = await client.list_members()
     if isinstance(members, Failure):
         return members
-    asked = {
-        "request": wanted.request_id,
-        "target": wanted.target,
-        "version": wanted.version,
+    query = {
+        "request": event_filter.request_id,
+        "target": event_filter.target,
+        "version": event_filter.version,
     }
-    parameters = {name: value for name, value in asked.items() if value}
+    parameters = {name: value for name, value in query.items() if value}
     answers = await ask_members(
         members, lambda url: read_process(client, url, parameters)
     )
@@ -96,41 +96,43 @@
             events += answer.value.events
             gaps += answer.value.gaps
             complete_since_s = max(complete_since_s, answer.value.complete_since_s)
-    return Collected(tuple(events), tuple(gaps), complete_since_s)
+    return CollectedEvents(tuple(events), tuple(gaps), complete_since_s)
 
 
-def find_own_ids(events: Iterable[Event], wanted: EventFilter) -> set[str]:
-    """Return the system's ids of the requests that bear the wanted caller's id."""
-    if not wanted.request_id:
+def find_system_ids(events: Iterable[Event], event_filter: EventFilter) -> set[str]:
+    """Return the system's ids of the requests with the caller's id of the filter."""
+    if not event_filter.request_id:
         return set()
-    matching = EventFilter(request_id=wanted.request_id).select(events)
-    return {event.request_id for event in matching} - {wanted.request_id}
+    matching = EventFilter(request_id=event_filter.request_id).select(events)
+    return {event.request_id for event in matching} - {event_filter.request_id}
 
 
-async def collect_all(client: AdminClient, wanted: EventFilter) -> Collected | Failure:
-    """Return the wanted events; a caller's own id stands for all that bear it.
+async def collect_all(
+    client: AdminClient, event_filter: EventFilter
+) -> CollectedEvents | Failure:
+    """Return the matching events; a caller's id matches all requests that have it.
 
-    Only the entry's first event of a request names the caller's id, so the
-    rest is asked for by the ids that this event gives.
+    Only the entry's first event of a request contains the caller's id, so the other
+    events are queried by the system's id in that event.
     """
-    collected = await collect_events(client, wanted)
+    collected = await collect_events(client, event_filter)
     if isinstance(collected, Failure):
         return collected
     events, gaps = list(collected.events), list(collected.gaps)
-    for own_id in sorted(find_own_ids(events, wanted)):
-        more = await collect_events(client, replace(wanted, request_id=own_id))
+    for system_id in sorted(find_system_ids(events, event_filter)):
+        more = await collect_events(client, replace(event_filter, request_id=system_id))
         if isinstance(more, Failure):
             return more
         events += more.events
         gaps += [gap for gap in more.gaps if gap not in gaps]
-    return Collected(tuple(events), tuple(gaps), collected.complete_since_s)
+    return CollectedEvents(tuple(events), tuple(gaps), collected.complete_since_s)
 
 
-def select_events(events: Sequence[Event], wanted: EventFilter) -> list[Event]:
-    """Return the wanted events, with those of requests that bear a caller's id."""
-    filters = [wanted]
-    for own_id in find_own_ids(events, wanted):
-        filters.append(replace(wanted, request_id=own_id))
+def select_events(events: Sequence[Event], event_filter: EventFilter) -> list[Event]:
+    """Return the matching events, with those of requests with the caller's id."""
+    filters = [event_filter]
+    for system_id in find_system_ids(events, event_filter):
+        filters.append(replace(event_filter, request_id=system_id))
     return [e for e in events if any(chosen.matches(e) for chosen in filters)]
 
 
@@ -146,20 +148,31 @@
 @cappa.command(name="timeline")
 @dataclass
 class Timeline:
-    """Show the events of all processes in one order."""
+    """Show the events of all processes in a common order."""
 
-    request: Annotated[str, cappa.Arg(long=True, help="Only this request.")] = ""
-    target: Annotated[str, cappa.Arg(long=True, help="Only this target.")] = ""
+    request: Annotated[
+        str, cappa.Arg(long=True, help="Only events of this request.")
+    ] = ""
+    target: Annotated[str, cappa.Arg(long=True, help="Only events of this target.")] = (
+        ""
+    )
     version: Annotated[
-        str, cappa.Arg(long=True, help="Only this number or digest (or its start).")
+        str,
+        cappa.Arg(
+            long=True,
+            help="Only events of this version number or digest (or its start).",
+        ),
     ] = ""
     last: Annotated[
-        float, cappa.Arg(long=True, help="Only the last so many seconds; 0: all.")
+        float,
+        cappa.Arg(
+            long=True, help="Only this many seconds before the last event; 0: all."
+        ),
     ] = 0.0
     from_logs: Annotated[
         list[Path],
         cappa.Arg(
-            long=True, num_args=-1, help="Read log files instead of asking processes."
+            long=True, num_args=-1, help="Read log files instead of querying processes."
         ),
     ] = field(default_factory=list)
     picture: Annotated[
@@ -167,15 +180,15 @@
     ] = None
 
     async def run(self, session: Session) -> ExitCode:
-        """Collect, merge and show."""
-        wanted = EventFilter(self.request, self.target, self.version)
+        """Collect, merge and write the events."""
+        event_filter = EventFilter(self.request, self.target, self.version)
         if self.from_logs:
             collected = read_logs(self.from_logs)
         else:
-            collected = await collect_all(session.client, wanted)
+            collected = await collect_all(session.client, event_filter)
         if isinstance(collected, Failure):
             return session.fail(collected)
-        events = select_events(merge_events(collected.events), wanted)
+        events = select_events(merge_events(collected.events), event_filter)
         if self.last > 0 and events:
             newest_s = max(event.time_s for event in events)
             events = [e for e in events if e.time_s >= newest_s - self.last]
--- a/reedspar/tool/watch_command.py
+++ b/reedspar/tool/watch_command.py
@@ -1,4 +1,4 @@
-"""``reedspar watch``: a distribution while it goes on."""
+"""``reedspar watch``: the progress of a distribution."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -23,14 +23,14 @@
 
 __all__ = ["TargetProgress", "Watch", "read_progress"]
 
-ROWS_MAX = 30
+MAX_TARGET_ROWS = 30
 BAR_WIDTH = 20
 OFFERED = "offered"
 
 
 @dataclass(frozen=True, slots=True)
 class TargetProgress:
-    """How far one target has come with the version in force."""
+    """Progress of a target with the current version."""
 
     target: str
     zone: str
@@ -41,7 +41,7 @@
 
     @property
     def share(self) -> float:
-        """Return what is held, from 0 to 1."""
+        """Return the share of bytes that the target has, from 0 to 1."""
         if self.phase == OFFERED:
             return 1.0
         return self.bytes_held / self.bytes_total if self.bytes_total else 0.0
@@ -52,7 +52,7 @@
     document: ConfigurationDocument,
     model: str,
 ) -> list[TargetProgress]:
-    """Return the progress of each target whose pool serves the model."""
+    """Return the progress of all targets whose pool serves the model."""
     version = document.models[model]
     pools = {n for n, pool in document.pools.items() if model in pool.models}
     found = []
@@ -100,7 +100,7 @@
 
 
 def group_by_zone(progress: Iterable[TargetProgress]) -> list[TargetProgress]:
-    """Return a row for each zone, for fleets that don't fit a screen."""
+    """Return a row per zone, for fleets that don't fit on a screen."""
     zones: defaultdict[str, list[TargetProgress]] = defaultdict(list)
     for target in progress:
         zones[target.zone].append(target)
@@ -115,8 +115,8 @@
 
 
 def render_progress(progress: list[TargetProgress], heading: str) -> Table:
-    """Return the display: a bar for each target, or for each zone of many."""
-    rows = progress if len(progress) <= ROWS_MAX else group_by_zone(progress)
+    """Return a table with a progress bar per target, or per zone in a large fleet."""
+    rows = progress if len(progress) <= MAX_TARGET_ROWS else group_by_zone(progress)
     table = Table(box=None, pad_edge=False, padding=(0, 2, 0, 0), title=heading)
     table.title_justify = "left"
     for name in ("TARGET", "ZONE", "PROGRESS"):
@@ -135,14 +135,14 @@
 
 
 class _LineDisplay:
-    """Progress for a pipe or a log: a line whenever a target's phase changes."""
+    """Progress display for pipes and logs: a line per change of a target's phase."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
         self._phases: dict[str, str] = {}
 
     def show(self, progress: list[TargetProgress]) -> None:
-        """Write the changes since the last call."""
+        """Write the phases that changed since the last call."""
         for target in progress:
             if self._phases.get(target.target) == target.phase:
                 continue
@@ -154,43 +154,43 @@
 @cappa.command(name="watch")
 @dataclass
 class Watch:
-    """Watch until every target offers the version of a model that is in force."""
+    """Watch until all targets offer the current version of a model."""
 
     model: Annotated[str, cappa.Arg(help="The model's name.")]
     until: Annotated[
-        float, cappa.Arg(long=True, help="Give up after so many seconds.")
+        float, cappa.Arg(long=True, help="Seconds after which to give up.")
     ] = 600.0
     interval: Annotated[
-        float, cappa.Arg(long=True, help="Seconds between two looks.")
+        float, cappa.Arg(long=True, help="Seconds between two updates.")
     ] = 1.0
 
     async def run(self, session: Session) -> ExitCode:
-        """Look again and again."""
+        """Poll the targets and display their progress."""
         if session.is_json or not session.output.is_terminal:
             lines = _LineDisplay(session)
-            return await self._follow(session, lines, None)
+            return await self._poll(session, lines, None)
         with Live(console=session.output, auto_refresh=False) as live:
-            return await self._follow(session, None, live)
+            return await self._poll(session, None, live)
 
-    async def _follow(
+    async def _poll(
         self, session: Session, lines: _LineDisplay | None, live: Live | None
     ) -> ExitCode:
-        give_up_s = anyio.current_time() + self.until
+        deadline_s = anyio.current_time() + self.until
         while True:
-            progress = await self._look(session)
+            progress = await self._read_progress(session)
             if isinstance(progress, Failure):
                 return session.fail(progress)
             is_done = all(target.phase == OFFERED for target in progress)
-            is_over = is_done or anyio.current_time() + self.interval > give_up_s
+            is_finished = is_done or anyio.current_time() + self.interval > deadline_s
             if live is not None:
                 live.update(render_progress(progress, self.model), refresh=True)
             elif lines is not None and not session.is_json:
                 lines.show(progress)
-            if is_over:
+            if is_finished:
                 return self._finish(session, progress, is_done)
             await anyio.sleep(self.interval)
 
-    async def _look(self, session: Session) -> list[TargetProgress] | Failure:
+    async def _read_progress(self, session: Session) -> list[TargetProgress] | Failure:
         document = await session.client.read_configuration()
         if isinstance(document, Failure):
             return document
--- a/reedspar/tool/zone_commands.py
+++ b/reedspar/tool/zone_commands.py
@@ -1,8 +1,8 @@
 """``reedspar zone out`` and ``zone in``.
 
-Taking a zone out is done at short notice, so the tool guards against the two
-slips that hurt: a name that no process has, which would change nothing, and a
-zone without which some pool has no target left.
+Zones are taken out in a hurry, so the tool checks for two serious mistakes: a zone name
+that no process has, which would change nothing, and a zone without which a pool has no
+targets left.
 """
 
 from collections import Counter
@@ -18,19 +18,19 @@
 from reedspar.links.messages import Role
 
 from .confirmation import wait_until_confirmed
-from .current_patch import Changed, patch_current
+from .current_patch import PatchResult, patch_current
 from .exit_codes import ExitCode
 from .session import Session
 
-__all__ = ["Zone", "check_zone_change", "count_targets_left"]
+__all__ = ["Zone", "check_zone_change", "count_remaining_targets"]
 
-WAIT_S = 10.0
+CONFIRMATION_TIMEOUT_S = 10.0
 
 
-def count_targets_left(
+def count_remaining_targets(
     members: Iterable[MemberStatus], document: ConfigurationDocument, zone_out: str
 ) -> dict[str, tuple[int, int]]:
-    """Return by pool the targets left with that zone out, and those of all zones."""
+    """Return, by pool, the targets left without that zone, and all known targets."""
     left: Counter[str] = Counter()
     known: Counter[str] = Counter()
     for member in members:
@@ -49,7 +49,7 @@
     zone: str,
     state: ZoneState,
 ) -> Failure | None:
-    """Return why the change is likely a slip, if it is."""
+    """Return a failure if the change is probably a mistake."""
     members = tuple(members)
     zones = {member.zone for member in members}
     if zone not in zones and zone not in document.zones:
@@ -57,28 +57,28 @@
         return Failure(Reason.INVALID, Step.CONFIGURE, detail=detail)
     if state is ZoneState.IN:
         return None
-    now = count_targets_left(members, document, "")
-    left = count_targets_left(members, document, zone)
+    now = count_remaining_targets(members, document, "")
+    left = count_remaining_targets(members, document, zone)
     empty = [pool for pool, (count, _) in left.items() if count == 0 < now[pool][0]]
     if empty:
-        detail = f"no target would be left in: {', '.join(empty)} (--force does it)"
+        detail = f"no target would be left in: {', '.join(empty)} (--force overrides)"
         return Failure(Reason.INVALID, Step.CONFIGURE, detail=detail)
     return None
 
 
-async def set_zone(
+async def set_zone_state(
     session: Session, change: "ZoneChange", state: ZoneState
 ) -> ExitCode:
-    """Patch the zone's state, and wait until it is in force."""
+    """Patch the zone's state, and wait until all processes confirm it."""
     members = await session.client.list_members()
     if isinstance(members, Failure):
         return session.fail(members)
     zone = change.zone
 
     def make_patch(document: ConfigurationDocument) -> dict[str, Any] | Failure | None:
-        slip = check_zone_change(members, document, zone, state)
-        if slip and not change.force:
-            return slip
+        mistake = check_zone_change(members, document, zone, state)
+        if mistake and not change.force:
+            return mistake
         if document.zones.get(zone, ZoneState.IN) is state:
             return None
         return {"zones": {zone: state.value}}
@@ -89,14 +89,14 @@
         return result
     _show_change(session, result, zone, state)
     if state is ZoneState.OUT and result.patch_id and not session.is_json:
-        _show_left(session, members, result.before, zone)
+        _show_remaining_targets(session, members, result.before, zone)
     if change.wait <= 0:
         return ExitCode.OK
     return await wait_until_confirmed(session, result.version, change.wait)
 
 
 def _show_change(
-    session: Session, result: Changed, zone: str, state: ZoneState
+    session: Session, result: PatchResult, zone: str, state: ZoneState
 ) -> None:
     if session.is_json:
         session.show_json({"version": result.version, "patch_id": result.patch_id})
@@ -108,32 +108,35 @@
         )
 
 
-def _show_left(
+def _show_remaining_targets(
     session: Session,
     members: Iterable[MemberStatus],
     document: ConfigurationDocument,
     zone: str,
 ) -> None:
-    for pool, (left, known) in count_targets_left(members, document, zone).items():
+    for pool, (left, known) in count_remaining_targets(members, document, zone).items():
         session.show_line(f"  pool {pool}: {left} of {known} targets left")
 
 
 @dataclass
 class ZoneChange:
-    """What both commands take."""
+    """Arguments of both commands."""
 
     zone: Annotated[str, cappa.Arg(help="The availability zone's name.")]
     base: Annotated[
         int | None,
-        cappa.Arg(long=True, help="Refuse unless this is the current number."),
+        cappa.Arg(long=True, help="Fail unless this is the current version number."),
     ] = None
-    force: Annotated[bool, cappa.Arg(long=True, help="Skip the checks for slips.")] = (
-        False
-    )
+    force: Annotated[
+        bool, cappa.Arg(long=True, help="Skip the checks for mistakes.")
+    ] = False
     wait: Annotated[
         float,
-        cappa.Arg(long=True, help="Seconds to wait until all confirmed; 0: not."),
-    ] = WAIT_S
+        cappa.Arg(
+            long=True,
+            help="Seconds to wait until all processes confirm; 0: don't wait.",
+        ),
+    ] = CONFIRMATION_TIMEOUT_S
 
 
 @cappa.command(name="out")
@@ -142,8 +145,8 @@
     """Take an availability zone out: no new work goes to it."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Patch the zone out."""
-        return await set_zone(session, self, ZoneState.OUT)
+        """Set the zone's state to out."""
+        return await set_zone_state(session, self, ZoneState.OUT)
 
 
 @cappa.command(name="in")
@@ -152,8 +155,8 @@
     """Bring an availability zone back in."""
 
     async def run(self, session: Session) -> ExitCode:
-        """Patch the zone in."""
-        return await set_zone(session, self, ZoneState.IN)
+        """Set the zone's state to in."""
+        return await set_zone_state(session, self, ZoneState.IN)
 
 
 @cappa.command(name="zone")
@@ -164,5 +167,5 @@
     command: cappa.Subcommands[ZoneOut | ZoneIn]
 
     async def run(self, session: Session) -> ExitCode:
-        """Run the command below."""
+        """Run the subcommand."""
         return await self.command.run(session)
