--- a/reedspar/admin/app.py
+++ b/reedspar/admin/app.py
@@ -148,7 +148,7 @@
         if isinstance(found, Failure):
             return _create_failure_response(found)
         if found is None:
-            detail = f"version {version} is not kept"
+            detail = f"version {version} is not available here"
             return _create_failure_response(
                 Failure(Reason.NOT_FOUND, Step.CONFIGURE, detail=detail)
             )
--- a/reedspar/observation/members.py
+++ b/reedspar/observation/members.py
@@ -10,7 +10,7 @@
 
 
 class _Record(Protocol):
-    """The attributes that are used of a daemon's record."""
+    """The attributes of a daemon's record that the observer uses."""
 
     @property
     def name(self) -> str:
@@ -24,7 +24,7 @@
 
 
 class _Member(Protocol):
-    """The attributes that are used of a member."""
+    """The attributes of a member that the observer uses."""
 
     @property
     def record(self) -> _Record:
--- a/reedspar/observation/weights.py
+++ b/reedspar/observation/weights.py
@@ -1,4 +1,4 @@
-"""Metrics of chunk bytes, by the distance from their source."""
+"""Metrics of the bytes of chunks, received ones by their source."""
 
 from collections import Counter
 from collections.abc import Callable
--- a/reedspar/settings/loading.py
+++ b/reedspar/settings/loading.py
@@ -1,4 +1,4 @@
-"""Load settings files, and name key, value and rule of invalid settings."""
+"""Load settings files; errors name the key, the value and the broken rule."""
 
 import tomllib
 from pathlib import Path
--- a/reedspar/settings/reloading.py
+++ b/reedspar/settings/reloading.py
@@ -57,6 +57,7 @@
             listener(settings)
 
     def _read_stamp(self) -> tuple[int, int] | None:
+        """Return the file's modification time and size; None if it is missing."""
         try:
             status = self._path.stat()
         except OSError:
--- a/reedspar/tool/confirmation.py
+++ b/reedspar/tool/confirmation.py
@@ -10,7 +10,7 @@
 from reedspar.errors import Failure
 
 from .exit_codes import ExitCode
-from .fleet import CONCURRENCY, member_url, read_fleet
+from .fleet import MAX_CONCURRENT_QUERIES, member_url, read_fleet
 from .session import Session
 
 __all__ = ["Confirmed", "wait_until_confirmed"]
@@ -74,7 +74,7 @@
     if isinstance(members, Failure):
         return session.fail(members)
     missing = {member.name: UNREACHABLE for member in members}
-    limiter = anyio.CapacityLimiter(CONCURRENCY)
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
 
     async def poll(member: MemberStatus) -> None:
         # Each process is polled independently: a frozen one responds late or never, and
--- a/reedspar/tool/current_patch.py
+++ b/reedspar/tool/current_patch.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PatchResult:
-    """Version of the configuration in which the goal is reached."""
+    """The version in which the goal is reached, and the document before the patch."""
 
     version: int
     before: ConfigurationDocument
--- a/reedspar/tool/exit_codes.py
+++ b/reedspar/tool/exit_codes.py
@@ -26,7 +26,7 @@
     """Some processes did not respond, or the awaited state was not reached."""
 
 
-CODES = {
+EXIT_CODE_BY_REASON = {
     Reason.CONFLICT: ExitCode.STALE,
     Reason.OUTCOME_UNKNOWN: ExitCode.OUTCOME_UNKNOWN,
     Reason.NOT_FOUND: ExitCode.NOT_FOUND,
@@ -39,4 +39,4 @@
 
 def exit_code_for(reason: Reason) -> ExitCode:
     """Return the exit code for a failure's reason."""
-    return CODES.get(reason, ExitCode.REFUSED)
+    return EXIT_CODE_BY_REASON.get(reason, ExitCode.REFUSED)
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -23,7 +23,7 @@
 
 __all__ = ["Explain"]
 
-CLOCK_TIME = slice(11, 23)
+CLOCK_TIME_SLICE = slice(11, 23)
 
 
 @cappa.command(name="explain")
@@ -63,7 +63,7 @@
 
     def _show_lines(self, session: Session, lines: Sequence[LogLine]) -> None:
         for line in lines:
-            clock = format_time(line.time_s)[CLOCK_TIME]
+            clock = format_time(line.time_s)[CLOCK_TIME_SLICE]
             fields = json.dumps(line.fields, ensure_ascii=False)
             text = f"{clock}  {line.process}  {line.message}  {fields}"
             session.show_line(f"  {make_printable(text)}")
--- a/reedspar/tool/fleet.py
+++ b/reedspar/tool/fleet.py
@@ -1,4 +1,4 @@
-"""Concurrent queries to many daemons, with the failures of single ones."""
+"""Concurrent queries to many daemons, with a failure per unreachable daemon."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from reedspar.links.messages import Role
 
 __all__ = [
-    "CONCURRENCY",
+    "MAX_CONCURRENT_QUERIES",
     "Answer",
     "ask_members",
     "member_url",
@@ -19,7 +19,7 @@
     "select_role",
 ]
 
-CONCURRENCY = 64
+MAX_CONCURRENT_QUERIES = 64
 
 ValueT = TypeVar("ValueT")
 
@@ -47,7 +47,7 @@
     ask: Callable[[str], Awaitable[ValueT | Failure]],
 ) -> list[Answer[ValueT]]:
     """Call `ask` with the URL of each daemon, with limited concurrency."""
-    limiter = anyio.CapacityLimiter(CONCURRENCY)
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
     answers: list[Answer[ValueT]] = []
 
     async def run(member: MemberStatus) -> None:
--- a/reedspar/tool/patching.py
+++ b/reedspar/tool/patching.py
@@ -121,10 +121,10 @@
         return ExitCode.OK
     code = session.fail_patch(result)
     if result.reason is Reason.CONFLICT and not session.is_json:
-        await _show_newer(session, request.base_version)
+        await _show_newer_changes(session, request.base_version)
     if result.reason is Reason.OUTCOME_UNKNOWN and not session.is_json:
         session.warn(
-            "  it may or may not be in force; ask again, safely, with the same "
+            "  it may or may not be in force; it is safe to retry with the same "
             f"command and --patch-id {request.patch_id}"
         )
     return code
@@ -140,7 +140,7 @@
         session.show_line(f"accepted as version {accepted.version}")
 
 
-async def _show_newer(session: Session, base_version: int) -> None:
+async def _show_newer_changes(session: Session, base_version: int) -> None:
     """Report the changes since the base version of a stale patch."""
     current = await session.client.read_configuration()
     if isinstance(current, Failure):
--- a/reedspar/tool/timeline_command.py
+++ b/reedspar/tool/timeline_command.py
@@ -100,7 +100,7 @@
 
 
 def find_system_ids(events: Iterable[Event], event_filter: EventFilter) -> set[str]:
-    """Return the system's ids of the requests with the caller's id of the filter."""
+    """Return the system's ids of the requests that have the filter's caller id."""
     if not event_filter.request_id:
         return set()
     matching = EventFilter(request_id=event_filter.request_id).select(events)
@@ -129,7 +129,7 @@
 
 
 def select_events(events: Sequence[Event], event_filter: EventFilter) -> list[Event]:
-    """Return the matching events, with those of requests with the caller's id."""
+    """Return the matching events, including those of requests with the caller's id."""
     filters = [event_filter]
     for system_id in find_system_ids(events, event_filter):
         filters.append(replace(event_filter, request_id=system_id))
