--- a/reedspar/direct/tests/test_identify.py
+++ b/reedspar/direct/tests/test_identify.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from reedspar.direct.filters import IdentifyRoute
+from reedspar.direct.filters import RouteIdentificationFilter
 from reedspar.direct.tests.fakes import make_table
 from reedspar.errors import Reason
 from reedspar.fleet import FleetView, RoutesChange
@@ -14,12 +14,12 @@
 from reedspar.timers import TimerService, VirtualClock
 
 
-class IdentifyRouteTest(unittest.TestCase):
+class RouteIdentificationFilterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = FleetView(TimerService(VirtualClock()))
         self.view.apply(RoutesChange(make_table()))
         self.is_store_slow = False
-        self.filter = IdentifyRoute(
+        self.filter = RouteIdentificationFilter(
             self.view, lambda: self.is_store_slow, random.Random(1)
         )
 
@@ -42,8 +42,8 @@
         self.assertIs(failure.reason, Reason.NOT_FOUND)
 
     def test_unknown_route_is_refused_for_now_while_the_store_is_slow(self) -> None:
-        # Operators add a route while the store answers late.  An entry that has
-        # not heard of it yet told callers for good that there is no such route.
+        # Guards against a permanent refusal of a new route that a slow store has not
+        # delivered to this entry yet.
         self.is_store_slow = True
         failure = self.ask("nobody.example").failure
         assert failure is not None
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -1,4 +1,8 @@
-"""The agent's side of requests: admit, queue, run, keep answers, report, drain."""
+"""Controller of the target beside an agent.
+
+It polls the target's state, decides whether attempts may start, reports the target's
+status to the entries, and drains it.
+"""
 
 import logging
 from collections.abc import Callable
@@ -20,8 +24,8 @@
 from reedspar.settings import DaemonSettings, TargetSettings
 from reedspar.timers import TimerService
 
-from .crashes import CrashLedger
-from .desk import AttemptDesk
+from .crashes import CrashSuspects
+from .dispatcher import AttemptDispatcher
 from .gate import ColdStartGate, GateSettings
 from .queue import AttemptQueue
 from .reports import ReportPublisher
@@ -32,34 +36,36 @@
 
 POLL_INTERVAL_S = 0.25
 IDLE_POLL_INTERVAL_S = 1.0
-"""Without requests; a poll is most of what an idle agent spends, and the first
-request after a quiet moment has the target's state read anew."""
-MISSED_REPORTS_MAX = 3
-OVERDUE_S = 1.0
-"""Wait for a report after which only the cold limit may start."""
-SILENT_S = 3.0
-"""Wait for a report after which the target gets no work at all."""
-LOGGER = logging.getLogger(__name__)
+"""Interval without requests.
+
+Polling causes most of an idle agent's load, and the target's state is read again when
+requests arrive after an idle period."""
+MISSED_POLLS_MAX = 3
+POLL_OVERDUE_S = 1.0
+"""Duration of an unanswered poll after which the cold limit applies."""
+POLL_TIMEOUT_S = 3.0
+"""Duration of an unanswered poll after which the target gets no work."""
+_logger = logging.getLogger(__name__)
 
 
 class OfferSource(Protocol):
-    """What weights the target is confirmed to hold."""
+    """Source of the weights that the target is confirmed to hold."""
 
     def offered(self) -> tuple[LoadedWeights, ...]:
         """Return the confirmed weights."""
         ...
 
     def is_offering(self) -> bool:
-        """Tell whether all that the pool needs is confirmed."""
+        """Return whether all weights that the pool needs are confirmed."""
         ...
 
-    def note_engine_state(self, state: EngineState | None) -> None:
-        """Take in the target's report, or None if it can't be reached."""
+    def record_engine_state(self, state: EngineState | None) -> None:
+        """Process the target's state, or None if it is unreachable."""
         ...
 
 
 class TargetController:
-    """Stand before one target and decide all that concerns it alone."""
+    """Polls one target, admits its attempts and reports its status."""
 
     def __init__(
         self,
@@ -87,13 +93,13 @@
         )
         self._gate = ColdStartGate(gate_settings)
         self._incarnation = incarnation
-        self._crashes = CrashLedger()
+        self._crashes = CrashSuspects()
         self._is_reachable = False
         self._is_draining = False
         self._switching: set[str] = set()
         self._is_polling = False
         self._polled_s = float("-inf")
-        self._missed_reports = 0
+        self._missed_polls = 0
         runner = AttemptRunner(
             target,
             timers.clock,
@@ -101,7 +107,7 @@
             self._accepts_digest,
             self._gate.note_first_byte,
         )
-        self._desk = AttemptDesk(
+        self._dispatcher = AttemptDispatcher(
             AttemptTable(incarnation, target_settings.answer_ttl_s),
             self._gate,
             AttemptQueue(limit),
@@ -111,18 +117,18 @@
             self,
             spawn,
         )
-        self._reports = ReportPublisher(network, timers, self._describe)
+        self._reports = ReportPublisher(network, timers, self._build_report)
         timers.call_every(POLL_INTERVAL_S, self._poll_if_due)
-        timers.on_pause(self._note_pause)
+        timers.on_pause(self._handle_pause)
 
     @property
     def gate(self) -> ColdStartGate:
-        """Return the gate before the target."""
+        """Return the concurrency gate of the target."""
         return self._gate
 
     @property
     def status(self) -> TargetStatus:
-        """Return whether the target may be given work."""
+        """Return the target's status as entries see it."""
         if self._is_draining:
             return TargetStatus.LEAVING
         if not self._is_reachable or not self._offers.is_offering():
@@ -133,53 +139,56 @@
 
     @property
     def running_count(self) -> int:
-        """Return how many attempts are at the target."""
-        return self._desk.running_count
+        """Return the number of attempts running at the target."""
+        return self._dispatcher.running_count
 
     @property
     def queued_count(self) -> int:
-        """Return how many attempts wait."""
-        return self._desk.queued_count
+        """Return the number of queued attempts."""
+        return self._dispatcher.queued_count
 
     def publish(self) -> None:
-        """Tell the entries how the target is."""
+        """Send a report to all linked entries."""
         self._reports.publish()
 
     def note_offers_changed(self) -> None:
-        """Take in that other weights are confirmed, or none."""
+        """Report a change of the confirmed weights."""
         self._reports.publish_if_changed()
 
     async def begin_switch(self, model: str) -> None:
         """Refuse new work and wait until nothing uses the model's old weights."""
         self._switching.add(model)
-        self._desk.refuse_queued(Reason.DRAINING, "switching weights")
+        self._dispatcher.refuse_queued(Reason.DRAINING, "switching weights")
         self._reports.publish_if_changed()
-        await self._desk.wait_idle()
+        await self._dispatcher.wait_idle()
 
     def end_switch(self, model: str) -> None:
-        """Take work again."""
+        """Accept new work again."""
         self._switching.discard(model)
         self._reports.publish_if_changed()
 
     def begin_drain(self) -> None:
-        """Refuse new work from now on; what runs goes on to its end."""
+        """Refuse new work from now on; running attempts continue."""
         if self._is_draining:
             return
         self._is_draining = True
-        self._desk.refuse_queued(Reason.DRAINING, "leaving")
+        self._dispatcher.refuse_queued(Reason.DRAINING, "leaving")
         self._reports.publish()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait until the last answer was delivered; tell whether it was."""
+        """Refuse new work and wait for delivery of all answers.
+
+        Returns whether all attempts have ended within the timeout.
+        """
         self.begin_drain()
         with anyio.move_on_after(timeout_s):
-            await self._desk.wait_delivered()
-        return self._desk.running_count == 0
+            await self._dispatcher.wait_delivered()
+        return self._dispatcher.running_count == 0
 
     def _accepts_digest(self, digest: str) -> bool:
         return any(weights.root_digest == digest for weights in self._offers.offered())
 
-    def _describe(self, sequence: int) -> TargetReport:
+    def _build_report(self, sequence: int) -> TargetReport:
         return TargetReport(
             target=self._settings.name,
             pool=self._target_settings.pool,
@@ -187,7 +196,7 @@
             status=self.status,
             boot_id=self._gate.boot_id,
             in_flight=self._gate.in_flight,
-            queued=self._desk.queued_count,
+            queued=self._dispatcher.queued_count,
             limit=self._gate.limit,
             offered=self._offers.offered(),
             sequence=sequence,
@@ -195,38 +204,42 @@
         )
 
     def check(self, start: AttemptStart) -> Failure | None:
-        """Return why this attempt may not start now."""
+        """Return why this attempt may not start now, or None if it may."""
         self._timers.check_pause()
         step = Step.AGENT_ADMIT
         if start.agent_incarnation not in (0, self._incarnation):
-            return Failure(Reason.STALE, step, detail="meant for a predecessor")
+            return Failure(
+                Reason.STALE, step, detail="addressed to an earlier agent process"
+            )
         if start.pool != self._target_settings.pool:
-            return Failure(Reason.NO_TARGET, step, detail=f"not of pool {start.pool}")
+            return Failure(
+                Reason.NO_TARGET, step, detail=f"target is not in pool {start.pool}"
+            )
         if self._is_draining or self._switching:
             return Failure(Reason.DRAINING, step)
         failure = self._check_work_allowed()
         if failure is not None:
             return failure
         if not self._is_reachable or not self._offers.is_offering():
-            return Failure(Reason.NOT_READY, step, detail="target or weights")
+            return Failure(Reason.NOT_READY, step, detail="target or weights not ready")
         if start.weights_digest and not self._accepts_digest(start.weights_digest):
-            return Failure(Reason.NO_TARGET, step, detail="other weights")
-        # A request alone may start without: a poll for each would cost about as
-        # much as the request.  Any beside it wait for the poll.
-        is_alone = not self._gate.in_flight and not self._desk.queued_count
+            return Failure(Reason.NO_TARGET, step, detail="target holds other weights")
+        # A single request starts without a poll, which would cost about as much as
+        # the request itself.  Further concurrent requests wait for a poll.
+        is_alone = not self._gate.in_flight and not self._dispatcher.queued_count
         if not self._gate.is_confirmed and not is_alone:
             self._start_poll()
         return None
 
     def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
-        """Take in how an attempt ended."""
+        """Process the outcome of an attempt."""
         if outcome.kind is EndKind.COMPLETE:
             self._gate.note_completed()
         elif outcome.reason is not Reason.CANCELLED:
-            self._note_broken(start, outcome.reason)
+            self._handle_broken_attempt(start, outcome.reason)
         self._reports.publish_if_changed()
 
-    def _note_broken(self, start: AttemptStart, reason: Reason) -> None:
+    def _handle_broken_attempt(self, start: AttemptStart, reason: Reason) -> None:
         if reason is Reason.TIMEOUT:
             return
         self._gate.note_broken()
@@ -236,9 +249,9 @@
     def _poll_if_due(self) -> None:
         now_s = self._timers.now_s()
         if self._is_polling:
-            self._note_overdue(now_s - self._polled_s)
+            self._handle_overdue_poll(now_s - self._polled_s)
             return
-        is_busy = self._desk.running_count > 0 or not self._offers.is_offering()
+        is_busy = self._dispatcher.running_count > 0 or not self._offers.is_offering()
         interval_s = POLL_INTERVAL_S if is_busy else IDLE_POLL_INTERVAL_S
         if now_s - self._polled_s >= interval_s:
             self._start_poll()
@@ -255,65 +268,65 @@
         finally:
             self._is_polling = False
         if isinstance(state, Failure):
-            self._note_no_report(state)
+            self._handle_failed_poll(state)
         else:
-            self._take_state(state)
-        self._desk.pump()
+            self._apply_state(state)
+        self._dispatcher.dispatch_queued()
         self._reports.publish_if_changed()
 
-    def _note_no_report(self, failure: Failure) -> None:
-        """Take in that the target gave no report.
+    def _handle_failed_poll(self, failure: Failure) -> None:
+        """Process a poll that returned no state.
 
-        A refused connection proves that its process is gone; a late report
-        may only mean that it is busy, so it takes several.
+        A refused connection proves that the target's process is gone.  A timeout may
+        only mean that it is busy, so the target counts as unreachable after several.
         """
-        self._missed_reports += 1
+        self._missed_polls += 1
         is_gone = failure.reason is Reason.UNAVAILABLE
-        if is_gone or self._missed_reports >= MISSED_REPORTS_MAX:
-            self._lose_target()
+        if is_gone or self._missed_polls >= MISSED_POLLS_MAX:
+            self._mark_unreachable()
 
-    def _note_overdue(self, waited_s: float) -> None:
-        """Act on a report that does not come.
+    def _handle_overdue_poll(self, waited_s: float) -> None:
+        """Reduce the limit, or stop giving work, while a poll is unanswered.
 
-        The path to the target may be silent and hold what was handed over; or
-        the target has turned cold meanwhile.  Were the warm limit to go on, all
-        of it would meet the target at once when the path clears.
+        A stalled network path may hold back requests, and the target may turn cold
+        meanwhile.  With the warm limit still in force, all held requests would reach
+        the cold target at once when the path recovers.
         """
-        if waited_s >= OVERDUE_S:
+        if waited_s >= POLL_OVERDUE_S:
             self._gate.note_overdue()
-        if waited_s >= SILENT_S and self._is_reachable:
-            self._lose_target()
+        if waited_s >= POLL_TIMEOUT_S and self._is_reachable:
+            self._mark_unreachable()
             self._reports.publish_if_changed()
 
-    def _lose_target(self) -> None:
-        """Give the target no work, and offer nothing, until it reports again."""
-        self._lapse()
-        self._offers.note_engine_state(None)
+    def _mark_unreachable(self) -> None:
+        """Give no work to the target and offer no weights until it responds again."""
+        self._invalidate_state()
+        self._offers.record_engine_state(None)
 
-    def _lapse(self) -> None:
-        """Trust nothing that was known of the target until it reports again."""
+    def _invalidate_state(self) -> None:
+        """Treat the target's state as unknown until the next successful poll."""
         self._is_reachable = False
         self._gate.drop()
 
-    def _note_pause(self, gap_s: float) -> None:
-        # While this process was stopped the target may have been restarted.
-        self._lapse()
+    def _handle_pause(self, gap_s: float) -> None:
+        # The target may have restarted while this process was paused.
+        self._invalidate_state()
         self._start_poll()
 
-    def _take_state(self, state: EngineState) -> None:
+    def _apply_state(self, state: EngineState) -> None:
         now_s = self._timers.now_s()
         previous = self._gate.boot_id
         if self._gate.note_boot(state.boot_id, now_s) and previous:
-            self._announce_crash(previous)
+            self._report_crash(previous)
         self._gate.note_report(is_cold=state.is_cold, now_s=now_s)
         self._is_reachable = True
-        self._missed_reports = 0
-        self._offers.note_engine_state(state)
+        self._missed_polls = 0
+        self._offers.record_engine_state(state)
 
-    def _announce_crash(self, boot_id: str) -> None:
-        in_flight = self._desk.running_fingerprints()
-        suspects = self._crashes.take_suspects(in_flight, self._timers.now_s())
-        LOGGER.warning(
+    def _report_crash(self, boot_id: str) -> None:
+        in_flight = self._dispatcher.running_fingerprints()
+        suspects = self._crashes.pop_suspects(in_flight, self._timers.now_s())
+        _logger.warning(
             "target restarted", extra={"boot_id": boot_id, "suspects": len(suspects)}
         )
         if not suspects:
@@ -335,7 +348,7 @@
     check_work_allowed: Callable[[], Failure | None],
     spawn: Callable[..., object],
 ) -> TargetController:
-    """Make the controller of the target that the settings describe."""
+    """Create the controller of the target described by the settings."""
     if settings.target is None:
         raise ValueError("an entry daemon has no target")
     return TargetController(
