--- a/reedspar/settings/models.py
+++ b/reedspar/settings/models.py
@@ -123,8 +123,8 @@
     )
     freshness_s: Seconds = Field(
         4.0,
-        description="Age of the last confirmation of the configuration at which new "
-        "work stops being started.",
+        description="Maximum age of the last confirmation of the configuration for "
+        "new work to start.",
     )
     drain_timeout_s: Seconds = Field(
         60.0,
