--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -207,7 +207,7 @@
         observed_counter(
             "weights.replaced_begun",
             "{request}",
-            "Requests that started on replaced weights, by time: in_time, near (in the "
+            "Requests that started on replaced weights, by when: in_time, near (in the "
             "last second before the bound), past.",
             "when",
         ),
