--- a/stand_ins/promises.py
+++ b/stand_ins/promises.py
@@ -146,12 +146,16 @@
         for run in self.runs:
             if run.method == "POST":
                 runs[run.key].append(run)
-        for key, times in runs.items():
-            if len(times) > 1:
-                text = ", ".join(f"{r.target} at {r.started_at:.3f}" for r in times)
+        for key, order_runs in runs.items():
+            if len(order_runs) > 1:
+                text = ", ".join(
+                    f"{r.target} at {r.started_at:.3f}" for r in order_runs
+                )
                 promise = "a non-idempotent order runs at most once"
-                at = times[1].started_at
-                yield Violation(at, promise, f"{key} ran {len(times)} times: {text}")
+                at = order_runs[1].started_at
+                yield Violation(
+                    at, promise, f"{key} ran {len(order_runs)} times: {text}"
+                )
         yield from self._check_endings(runs)
 
     def _check_endings(self, runs: dict[str, list[TargetRun]]) -> Iterable[Violation]:
--- a/stand_ins/tests/test_faults.py
+++ b/stand_ins/tests/test_faults.py
@@ -9,8 +9,8 @@
 GATE_TIMEOUT_S = 5.0
 
 
-class SilenceTest(unittest.TestCase):
-    def test_silence_set_twice_ends_for_all_that_wait(self) -> None:
+class ResponseGateTest(unittest.TestCase):
+    def test_second_block_still_releases_earlier_waiters(self) -> None:
         # Changing another setting of a silent stand-in blocks it again.  Requests
         # that already wait must still be released when the silence ends.
         async def scenario() -> None:
--- a/stand_ins/tests/test_launcher.py
+++ b/stand_ins/tests/test_launcher.py
@@ -59,7 +59,7 @@
         folder, *pids = parent.stdout.readline().split()
         return parent, Path(folder), [int(pid) for pid in pids]
 
-    def test_nothing_outlives_a_closed_terminal(self) -> None:
+    def test_hangup_of_launcher_stops_all_processes(self) -> None:
         # Closing the terminal of a trial sends SIGHUP to the launcher.  Servers that
         # keep running would hold their ports and memory.
         parent, folder, pids = self.start_parent()
@@ -69,7 +69,7 @@
         self.assertEqual(wait_until_gone(pids), [])
         self.assertFalse(folder.exists())
 
-    def test_nothing_outlives_a_killed_launcher(self) -> None:
+    def test_kill_of_launcher_stops_all_processes(self) -> None:
         # A launcher killed with SIGKILL can't stop its processes itself.
         parent, folder, pids = self.start_parent()
         self.addCleanup(shutil.rmtree, folder, ignore_errors=True)
--- a/stand_ins/tests/test_promises.py
+++ b/stand_ins/tests/test_promises.py
@@ -36,7 +36,7 @@
         )
         self.assertEqual(self.find(ledger), [])
 
-    def test_doubled_order_is_found(self) -> None:
+    def test_order_that_ran_twice_is_found(self) -> None:
         # Two targets run the same order, although the caller gets one answer.
         ledger = Ledger([make_order("k", Ending.ANSWERED)])
         ledger.runs = [make_run("k", 1.0), make_run("k", 2.0)]
@@ -56,7 +56,7 @@
         ledger = Ledger([make_order("k", Ending.ANSWERED)])
         self.assertEqual(self.find(ledger), ["an answered order has run"])
 
-    def test_work_held_by_a_silent_path_is_not_taken_for_new(self) -> None:
+    def test_work_delayed_by_silent_path_is_not_new_work(self) -> None:
         # The agent sends an order to its target, the path between them goes silent,
         # and the zone is taken out.  The path delivers the order when it recovers:
         # the target records a late run, but the agent started no new work.
@@ -88,7 +88,7 @@
         answer = json.dumps({"choices": [{"text": text}]}).encode()
         return check_text(call, answer, "oak", 3, stream=False)
 
-    def test_whole_answer_passes(self) -> None:
+    def test_complete_answer_passes(self) -> None:
         self.assertEqual(self.check(expect_text("oak", "old", 3)), "")
 
     def test_partial_and_mixed_answers_are_found(self) -> None:
--- a/stand_ins/tests/test_states.py
+++ b/stand_ins/tests/test_states.py
@@ -12,7 +12,7 @@
 
 
 class KeyValueStateTest(unittest.TestCase):
-    def test_ended_lease_takes_its_keys_along(self) -> None:
+    def test_expired_lease_deletes_its_keys(self) -> None:
         # A daemon dies without deleting its entries.  The entries under its lease
         # must expire, or its zone would count it as live indefinitely.
         state = KeyValueState()
@@ -41,7 +41,7 @@
 
 
 class EngineModelTest(unittest.TestCase):
-    def test_report_after_the_second_load_can_be_read(self) -> None:
+    def test_report_after_second_load_can_be_parsed(self) -> None:
         # Each load has a higher fencing number.  When the report had the number in
         # another field, agents could not parse the value 2: an agent that had ordered
         # its second load waited for a report indefinitely, and all others for it.
@@ -54,7 +54,7 @@
 
 
 class RateLimitTest(unittest.TestCase):
-    def test_waits_add_up_over_all_readers(self) -> None:
+    def test_reservation_waits_for_earlier_ones(self) -> None:
         limit = RateLimit(100.0)
         self.assertAlmostEqual(limit.reserve(50, now_s=10.0), 0.5)
         self.assertAlmostEqual(limit.reserve(50, now_s=10.0), 1.0)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -95,7 +95,7 @@
             await fault(agent)
         return calls[0]
 
-    def test_repeat_after_the_kill_of_its_entry_runs_nothing(self) -> None:
+    def test_retry_after_kill_of_entry_does_not_run_again(self) -> None:
         # The entry is killed while the order runs, which breaks the caller's
         # connection.  The caller retries twice with the same key at another entry.
         # It may get "unknown", but the order must run only once.
@@ -117,16 +117,16 @@
         anyio.run(scenario)
         self.assertEqual(self.count_runs("kill-entry"), 1)
 
-    def test_frozen_agent_delivers_the_answer_after_it_thaws(self) -> None:
+    def test_frozen_agent_delivers_the_answer_after_it_resumes(self) -> None:
         # SIGSTOP pauses the agent while its target works, as a pause of its machine
         # does.  After SIGCONT the caller gets the answer of the only run.
-        async def freeze(agent: Daemon) -> None:
+        async def pause(agent: Daemon) -> None:
             self.launcher.processes.kill(agent.name, signal.SIGSTOP)
             await anyio.sleep(4.0)
             self.launcher.processes.kill(agent.name, signal.SIGCONT)
 
         async def scenario() -> None:
-            call = await self.place("freeze-agent", freeze)
+            call = await self.place("freeze-agent", pause)
             self.assertIs(call.ending, Ending.ANSWERED, call.describe())
             self.assertEqual(call.problem, "")
 
@@ -152,7 +152,7 @@
         anyio.run(scenario)
         self.assertEqual(self.count_runs("kill-agent"), 1)
 
-    def test_planned_stop_of_the_agent_cuts_nothing_off(self) -> None:
+    def test_planned_stop_of_agent_completes_its_order(self) -> None:
         # The agent gets SIGTERM while its target works, and again 0.3 s later, as
         # some supervisors do.  It must not exit before the caller has its answer.
         async def stop(agent: Daemon) -> None:
--- a/tests/test_silent_link.py
+++ b/tests/test_silent_link.py
@@ -70,7 +70,7 @@
         self.assertEqual(attempt.assembly.read_available(), COMPLETE_ANSWER)
         self.assertEqual(self.target.runs, ["r1.1"])
 
-    def test_connection_that_goes_silent_both_ways_loses_nothing(self) -> None:
+    def test_attempt_resumes_after_silence_in_both_directions(self) -> None:
         # A device between entry and agent drops all packets of the open connection
         # during an answer; new connections work.  The caller must get the complete
         # answer, and the order must run once.
@@ -84,7 +84,7 @@
 
         self.run_scenario(scenario)
 
-    def test_connection_that_goes_silent_towards_the_agent_only(self) -> None:
+    def test_attempt_resumes_after_silence_towards_the_agent(self) -> None:
         # The entry still receives from the agent, so it can't detect the fault alone.
         async def scenario() -> None:
             attempt = await self.start_attempt()
@@ -95,7 +95,7 @@
 
         self.run_scenario(scenario)
 
-    def test_connection_that_is_cut_in_mid_answer_is_resumed(self) -> None:
+    def test_attempt_resumes_after_connection_reset(self) -> None:
         async def scenario() -> None:
             attempt = await self.start_attempt()
             self.relay.cut_all()
@@ -104,7 +104,7 @@
 
         self.run_scenario(scenario)
 
-    def test_corrupt_frames_end_the_connection_not_the_answer(self) -> None:
+    def test_attempt_resumes_after_corrupt_frames(self) -> None:
         # The open connection corrupts bytes.  No corrupt byte may reach the caller;
         # the attempt must be resumed on a new connection.
         async def scenario() -> None:
