--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -21,11 +21,11 @@
 from .paced_links import LinkRates
 from .weight_agents import Fleet, make_weights
 
-__all__ = ["CACHED_CASES", "CASES", "Case", "Outcome", "play"]
+__all__ = ["CACHED_CASES", "CASES", "Case", "Outcome", "simulate"]
 
 MODEL = "quotes"
 REGIONS = ("centro", "occidente", "oriente")
-BYTES_PER_S = 1_000_000 / 8
+BYTES_PER_MEGABIT = 1_000_000 / 8
 """Of one Mbit/s."""
 PACKET_BYTES = 1460
 PROBE_S = 0.01
@@ -123,9 +123,9 @@
         for i in range(count)
     ]
     rates = LinkRates(
-        machine=case.link_mbps * BYTES_PER_S,
-        region=case.region_mbps * BYTES_PER_S,
-        origin=case.origin_mbps * BYTES_PER_S,
+        machine=case.link_mbps * BYTES_PER_MEGABIT,
+        region=case.region_mbps * BYTES_PER_MEGABIT,
+        origin=case.origin_mbps * BYTES_PER_MEGABIT,
     )
 
     def create(peer: WeightPeer) -> SwarmDistribution:
@@ -137,7 +137,7 @@
     )
     for agent in fleet.live:
         if agent.peer.is_cache:
-            agent.set_link(case.cache_mbps * BYTES_PER_S)
+            agent.set_link(case.cache_mbps * BYTES_PER_MEGABIT)
     return fleet
 
 
@@ -157,7 +157,7 @@
     return create_swarm_limits(settings)
 
 
-def play(
+def simulate(
     case: Case,
     lost_cache: str = "",
     lost_s: float = 0.0,
@@ -173,9 +173,9 @@
     fleet.set_views(MODEL)
     for agent in fleet.live:
         if agent.peer.is_cache:
-            agent.decide.register_version(manifest, 0.0)
+            agent.distribution.register_version(manifest, 0.0)
         else:
-            agent.want(manifest)
+            agent.fetch_version(manifest)
     targets = [agent for agent in fleet.live if not agent.peer.is_cache]
     if lost_cache:
         lost = fleet.agents[lost_cache]
@@ -194,7 +194,7 @@
     times = [agent.finished_s or 0.0 for agent in targets]
     return Outcome(
         case.name,
-        manifest.size_bytes / (case.link_mbps * BYTES_PER_S),
+        manifest.size_bytes / (case.link_mbps * BYTES_PER_MEGABIT),
         min(times),
         max(times),
         sum(waits) / len(waits),
@@ -204,7 +204,7 @@
 
 def main() -> None:
     """Play every case."""
-    outcomes = [play(case) for case in (*CASES, *CACHED_CASES)]
+    outcomes = [simulate(case) for case in (*CASES, *CACHED_CASES)]
     for outcome in outcomes:
         print(
             f"{outcome.name:20} all whole {outcome.last_s:.2f} s, "
--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -31,7 +31,7 @@
 from reedspar.requests.request import Answer, Outcome, Request, Responder
 from reedspar.timers import TimerService, VirtualClock
 
-__all__ = ["Load", "Outcomes", "play"]
+__all__ = ["Load", "Outcomes", "simulate"]
 
 NETWORK_S = 0.004
 AIM_S = 0.5
@@ -322,7 +322,7 @@
         """Do nothing."""
 
 
-def play(load: Load, seconds: float, seed: int = 1) -> Outcomes:
+def simulate(load: Load, seconds: float, seed: int = 1) -> Outcomes:
     """Play a load, and return what became of the requests."""
     model = _Model(load, seconds, seed)
     model.run()
@@ -340,7 +340,7 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    rows = [play(load, options.seconds, options.seed) for load in LOADS]
+    rows = [simulate(load, options.seconds, options.seed) for load in LOADS]
     for row in rows:
         print(
             f"{row.load:32} in time {row.in_time:.3f}  late {row.late:.3f}  "
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -28,10 +28,12 @@
 class FleetAgent:
     """One agent: its decisions, its two links, and what its engine was given."""
 
-    def __init__(self, fleet: "Fleet", peer: WeightPeer, decide: Distribution) -> None:
+    def __init__(
+        self, fleet: "Fleet", peer: WeightPeer, distribution: Distribution
+    ) -> None:
         self.fleet = fleet
         self.peer = peer
-        self.decide = decide
+        self.distribution = distribution
         self.up = QueueLink(fleet.events, fleet.rates.machine)
         self.down = QueueLink(fleet.events, fleet.rates.machine)
         self.missing: set[str] = set()
@@ -47,13 +49,13 @@
         self.up = QueueLink(self.fleet.events, bytes_per_s)
         self.down = QueueLink(self.fleet.events, bytes_per_s)
 
-    def want(self, manifest: Manifest) -> None:
+    def fetch_version(self, manifest: Manifest) -> None:
         """Start to get a version."""
         self.missing = set(manifest.chunk_digests)
         self.fleet.note_pending(self)
         self.finished_s = None
-        self.decide.fetch_chunks(manifest, self.fleet.events.now_s)
-        self.pump()
+        self.distribution.fetch_chunks(manifest, self.fleet.events.now_s)
+        self.run_actions()
 
     def receive(self, sender: str, message: WeightMessage) -> None:
         """Take a message, later if frozen, never if dead."""
@@ -63,25 +65,25 @@
         if events.now_s < self.frozen_until_s:
             events.at(self.frozen_until_s, lambda: self.receive(sender, message))
             return
-        self.decide.receive(sender, message, events.now_s)
-        self.pump()
+        self.distribution.receive(sender, message, events.now_s)
+        self.run_actions()
 
     def handle_link_lost(self, peer: str) -> None:
         """Learn that a peer's machine refuses connections, or has ended them."""
         if not self.is_dead:
-            self.decide.handle_link_lost(peer, self.fleet.events.now_s)
-            self.pump()
+            self.distribution.handle_link_lost(peer, self.fleet.events.now_s)
+            self.run_actions()
 
     def complete_read(self, digest: str, result: bytes | Failure) -> None:
         """Take an object of the origin."""
         if not self.is_dead:
-            self.decide.complete_read(digest, result, self.fleet.events.now_s)
-            self.pump()
+            self.distribution.complete_read(digest, result, self.fleet.events.now_s)
+            self.run_actions()
 
-    def pump(self) -> None:
+    def run_actions(self) -> None:
         """Carry out what was decided."""
         now_s = self.fleet.events.now_s
-        while actions := self.decide.take_actions():
+        while actions := self.distribution.take_actions():
             for action in actions:
                 if isinstance(action, SendMessage):
                     self.fleet.send(self, action.peer, action.message)
@@ -89,7 +91,7 @@
                     self.fleet.read_origin(self, action.digest)
                 elif isinstance(action, ObjectReady):
                     self._take(action.digest)
-        due_s = self.decide.due_s(now_s)
+        due_s = self.distribution.due_s(now_s)
         if due_s < self._next_tick_s or self._next_tick_s <= now_s:
             self._next_tick_s = due_s
             self.fleet.events.at(due_s, self._tick)
@@ -99,7 +101,7 @@
         self.missing.discard(digest)
         if not self.missing and self.finished_s is None:
             self.finished_s = now_s
-        self.decide.release(digest, now_s)
+        self.distribution.release(digest, now_s)
 
     def _tick(self) -> None:
         events = self.fleet.events
@@ -110,8 +112,8 @@
             events.at(self.frozen_until_s, self._tick)
             return
         self._next_tick_s = -1.0
-        self.decide.tick(events.now_s)
-        self.pump()
+        self.distribution.tick(events.now_s)
+        self.run_actions()
 
 
 class Fleet:
@@ -122,7 +124,7 @@
         peers: Iterable[WeightPeer],
         rates: LinkRates,
         piece_bytes: int,
-        create: DistributionFactory,
+        create_distribution: DistributionFactory,
         *,
         corrupt_share: float = 0.0,
         seed: int = 1,
@@ -131,13 +133,15 @@
         self.events = Events()
         self.rates = rates
         self.rng = random.Random(seed)
-        self.create = create
+        self.create_distribution = create_distribution
         self.objects: dict[str, bytes] = {}
         self.origin = FairLink(self.events, rates.origin, piece_bytes)
-        self.origin_is_away = False
+        self.is_origin_unavailable = False
         self.origin_region = origin_region
-        self.regions: dict[tuple[str, str], QueueLink] = {}
-        self.agents = {p.name: FleetAgent(self, p, create(p)) for p in peers}
+        self.region_links: dict[tuple[str, str], QueueLink] = {}
+        self.agents = {
+            p.name: FleetAgent(self, p, create_distribution(p)) for p in peers
+        }
         self._pending: list[FleetAgent] = []
         self.message_counts: Counter[str] = Counter()
         self._corrupt_share = corrupt_share
@@ -176,8 +180,8 @@
         peers = [agent.peer for agent in self.live]
         for agent in self.live:
             others = [peer for peer in peers if peer != agent.peer]
-            agent.decide.set_peers(model, others, now_s)
-            agent.pump()
+            agent.distribution.set_peers(model, others, now_s)
+            agent.run_actions()
 
     def kill(
         self, agents: Iterable[FleetAgent], model: str, lag_s: float = VIEW_LAG_S
@@ -232,13 +236,13 @@
 
     def _region_link(self, sender: str, receiver: str) -> QueueLink:
         key = (sender, receiver)
-        if key not in self.regions:
-            self.regions[key] = QueueLink(self.events, self.rates.region)
-        return self.regions[key]
+        if key not in self.region_links:
+            self.region_links[key] = QueueLink(self.events, self.rates.region)
+        return self.region_links[key]
 
     def read_origin(self, agent: FleetAgent, digest: str) -> None:
         """Bring an object from the origin."""
-        if self.origin_is_away:
+        if self.is_origin_unavailable:
             failure = Failure(Reason.UNAVAILABLE, Step.ORIGIN_DRAW, "origin")
             late_s = self.events.now_s + self.rates.far_delay_s
             self.events.at(late_s, lambda: agent.complete_read(digest, failure))
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -103,7 +103,7 @@
     bound_s = bounds["exchange_s"]
     fleet.set_views(MODEL)
     for agent in fleet.live:
-        agent.want(manifest)
+        agent.fetch_version(manifest)
     copy = manifest.size_bytes
     changed_s = 0.0
     if case.event == "kill":
@@ -116,8 +116,10 @@
         manifest, objects = make_weights(case.chunks, CHUNK_BYTES, 2, case.chunks // 2)
         fleet.objects.update(objects)
         for agent in fleet.live:
-            agent.decide.remove_version(fleet_root(agent, manifest), fleet.events.now_s)
-            agent.want(manifest)
+            agent.distribution.remove_version(
+                fleet_root(agent, manifest), fleet.events.now_s
+            )
+            agent.fetch_version(manifest)
     is_done = fleet.events.run(fleet.is_finished, TIME_LIMIT_S)
     return describe(case, fleet, bounds, copy, is_done, changed_s)
 
@@ -139,7 +141,9 @@
     """Return the figures of a run."""
     times = sorted(a.finished_s for a in fleet.live if a.finished_s is not None)
     last_s = times[-1] - changed_s if is_done else None
-    links = {f"{a}>{b}": r.sent_bytes / copy for (a, b), r in fleet.regions.items()}
+    links = {
+        f"{a}>{b}": r.sent_bytes / copy for (a, b), r in fleet.region_links.items()
+    }
     control = [agent.control_bytes for agent in fleet.live]
     result = {
         "design": case.design,
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from bench.many_deciders import LOADS, Outcomes, play
+from bench.many_deciders import LOADS, Outcomes, simulate
 
 SIMULATED_S = 12.0
 
@@ -16,25 +16,25 @@
     def setUp(self) -> None:
         self.loads = {load.name: load for load in LOADS}
 
-    def play(self, name: str) -> Outcomes:
-        return play(self.loads[name], SIMULATED_S)
+    def simulate(self, name: str) -> Outcomes:
+        return simulate(self.loads[name], SIMULATED_S)
 
     def test_load_within_capacity_is_served(self) -> None:
-        outcomes = self.play("borne, nine entries")
+        outcomes = self.simulate("borne, nine entries")
         self.assertGreater(outcomes.worth, 0.95)
 
     def test_load_above_capacity_is_refused_and_not_late(self) -> None:
         # Guards against late answers when five engines have weights but ten are needed.
         # Entries that filled the engines up to the latency goal by their own knowledge
         # made one answer in eight late.
-        outcomes = self.play("a quarter over, five engines")
+        outcomes = self.simulate("a quarter over, five engines")
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.7)
 
     def test_many_entries_refuse_excess_load(self) -> None:
         # Guards against taking engines for idle: each of 46 entries sends an engine a
         # fortieth of its load.  Without refusals half of the answers were late.
-        outcomes = self.play("at the limit, 46 entries")
+        outcomes = self.simulate("at the limit, 46 entries")
         self.assertLess(outcomes.late, 0.4)
         self.assertGreater(outcomes.worth, 0.64)
 
@@ -42,7 +42,7 @@
         # Guards against taking engines for idle between reports: with 38 entries and 29
         # engines, an entry gets a report of one engine every few seconds.  Four answers
         # in ten began late although the engines have the capacity.
-        outcomes = self.play("heavy, 38 entries")
+        outcomes = self.simulate("heavy, 38 entries")
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.8)
 
--- a/reedspar/weights/tests/test_beside_answers.py
+++ b/reedspar/weights/tests/test_beside_answers.py
@@ -8,7 +8,7 @@
 import unittest
 from dataclasses import replace
 
-from bench.inbound_queues import CACHED_CASES, CASES, Case, Outcome, play
+from bench.inbound_queues import CACHED_CASES, CASES, Case, Outcome, simulate
 
 BOUND_FACTOR_MAX = 1.2
 """Maximum time until every target has a version, relative to the bound."""
@@ -23,7 +23,7 @@
         self.cases = {case.name: case for case in (*CASES, *CACHED_CASES)}
 
     def assert_short_waits(self, case: Case) -> Outcome:
-        outcome = play(case)
+        outcome = simulate(case)
         self.assertLessEqual(outcome.mean_wait_s, MEAN_WAIT_MAX_S)
         self.assertLess(outcome.worst_wait_s, WORST_WAIT_MAX_S)
         return outcome
@@ -59,7 +59,7 @@
         # stays in the view because the store is unavailable.  Other regions continued
         # to send their requests to it.
         case = self.cases["large chunks, caches"]
-        outcome = play(case, "centro-cache-0", 0.5)
+        outcome = simulate(case, "centro-cache-0", 0.5)
         self.assertLess(outcome.over_bound, LOSS_BOUND_FACTOR_MAX)
 
     def test_silent_entries_delay_versions_little(self) -> None:
@@ -71,7 +71,7 @@
             self.cases["small chunks, caches"],
             caches={"centro": 4, "occidente": 3, "oriente": 2},
         )
-        outcome = play(case, frozen_caches=("centro-cache-1", "centro-cache-2"))
+        outcome = simulate(case, frozen_caches=("centro-cache-1", "centro-cache-2"))
         self.assertLess(outcome.over_bound, LOSS_BOUND_FACTOR_MAX)
 
 
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -29,9 +29,11 @@
     def begin(self, late: str = "") -> None:
         for agent in self.fleet.live:
             if not agent.peer.is_cache:
-                agent.want(self.manifest)
+                agent.fetch_version(self.manifest)
             elif agent.peer.name != late:
-                agent.decide.register_version(self.manifest, self.fleet.events.now_s)
+                agent.distribution.register_version(
+                    self.manifest, self.fleet.events.now_s
+                )
 
     def finish(self) -> float:
         self.assertTrue(self.fleet.events.run(self.fleet.is_finished, TIME_LIMIT_S))
@@ -49,7 +51,7 @@
         self.assertEqual(self.fleet.origin_bytes, drawn)
         self.assertEqual(count_across(self.fleet), across)
         self.assertEqual(
-            successor.decide.object_bytes(self.manifest.chunks[0].digest), None
+            successor.distribution.object_bytes(self.manifest.chunks[0].digest), None
         )
 
     def test_entry_that_reads_a_manifest_late_serves_requests_immediately(self) -> None:
@@ -60,8 +62,8 @@
         cache = self.fleet.agents[CACHE]
 
         def learn() -> None:
-            cache.decide.register_version(self.manifest, events.now_s)
-            cache.pump()
+            cache.distribution.register_version(self.manifest, events.now_s)
+            cache.run_actions()
 
         events.at(MANIFEST_DELAY_S, learn)
         late_s = self.finish()
@@ -99,7 +101,7 @@
         fleet.objects.update(objects)
         for agent in fleet.live:
             if not agent.peer.is_cache:
-                agent.decide.remove_version(older.root_digest, fleet.events.now_s)
+                agent.distribution.remove_version(older.root_digest, fleet.events.now_s)
         self.begin()
         fleet.events.run(lambda: False, 0.8)
         with mock.patch.object(fleet, "read_origin", wraps=fleet.read_origin) as read:
@@ -141,13 +143,13 @@
         self.begin()
         fleet.events.run(lambda: False, 2.0)
         for agent in fleet.live:
-            agent.decide.register_version(second, fleet.events.now_s)
-            agent.decide.fetch_chunks(second, fleet.events.now_s)
-            agent.pump()
+            agent.distribution.register_version(second, fleet.events.now_s)
+            agent.distribution.fetch_chunks(second, fleet.events.now_s)
+            agent.run_actions()
         fleet.events.run(lambda: False, 2.5)
-        fleet.origin_is_away = True
+        fleet.is_origin_unavailable = True
         fleet.events.run(lambda: False, 8.5)
-        fleet.origin_is_away = False
+        fleet.is_origin_unavailable = False
         fleet.events.run(lambda: False, 20.0)
         held = [
             set(second.chunk_digests) - missing_digests(agent, second)
@@ -170,24 +172,26 @@
 
 
 def missing_digests(agent: FleetAgent, manifest: Manifest) -> set[str]:
-    return {d for d in manifest.chunk_digests if agent.decide.object_bytes(d) is None}
+    return {
+        d for d in manifest.chunk_digests if agent.distribution.object_bytes(d) is None
+    }
 
 
 def count_across(fleet: Fleet) -> int:
-    return sum(link.sent_bytes for link in fleet.regions.values())
+    return sum(link.sent_bytes for link in fleet.region_links.values())
 
 
 def restart(fleet: Fleet, name: str, manifest: Manifest) -> FleetAgent:
     """Restart a cache with empty memory under the same name."""
     before = fleet.agents[name]
     before.is_dead = True
-    successor = FleetAgent(fleet, before.peer, fleet.create(before.peer))
+    successor = FleetAgent(fleet, before.peer, fleet.create_distribution(before.peer))
     successor.up, successor.down = before.up, before.down
     fleet.agents[name] = successor
     others = [a.peer for a in fleet.live if a is not successor]
-    successor.decide.set_peers(MODEL, others, fleet.events.now_s)
-    successor.decide.register_version(manifest, fleet.events.now_s)
-    successor.pump()
+    successor.distribution.set_peers(MODEL, others, fleet.events.now_s)
+    successor.distribution.register_version(manifest, fleet.events.now_s)
+    successor.run_actions()
     return successor
 
 
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from functools import cache
 
-from bench.inbound_queues import BYTES_PER_S, MODEL, REGIONS, Case, create_fleet
+from bench.inbound_queues import BYTES_PER_MEGABIT, MODEL, REGIONS, Case, create_fleet
 from bench.weight_agents import FleetAgent, make_weights
 from reedspar.errors import Failure, Reason, Step
 from reedspar.weights import Manifest, WeightPeer
@@ -80,12 +80,12 @@
 
     def _name(self, manifest: Manifest) -> None:
         for agent in self.fleet.live:
-            agent.decide.register_version(manifest, self.fleet.events.now_s)
-            agent.decide.fetch_chunks(manifest, self.fleet.events.now_s)
-            agent.pump()
+            agent.distribution.register_version(manifest, self.fleet.events.now_s)
+            agent.distribution.fetch_chunks(manifest, self.fleet.events.now_s)
+            agent.run_actions()
 
     def _set_unavailable(self, is_unavailable: bool) -> None:
-        self.fleet.origin_is_away = is_unavailable
+        self.fleet.is_origin_unavailable = is_unavailable
 
     def run_until(self, time_s: float) -> None:
         self.fleet.events.run(lambda: False, time_s)
@@ -93,7 +93,10 @@
     def count_missing_chunks(self, manifest: Manifest, *regions: str) -> int:
         """Return the maximum number of chunks that a target lacks."""
         return max(
-            sum(agent.decide.object_bytes(d) is None for d in manifest.chunk_digests)
+            sum(
+                agent.distribution.object_bytes(d) is None
+                for d in manifest.chunk_digests
+            )
             for agent in self.targets
             if agent.peer.region in regions
         )
@@ -112,7 +115,7 @@
     @property
     def bound_s(self) -> float:
         """Return the time limit for the missing chunks over a target's link."""
-        chunk_s = CASE.chunk_bytes / (CASE.link_mbps * BYTES_PER_S)
+        chunk_s = CASE.chunk_bytes / (CASE.link_mbps * BYTES_PER_MEGABIT)
         return BOUND_FACTOR_MAX * self.missing_chunks * chunk_s + ORIGIN_BACKOFF_MAX_S
 
 
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -88,7 +88,7 @@
         self.manifest, fleet.objects = make_weights(chunks, chunk_bytes)
         fleet.set_views(MODEL)
         for agent in fleet.live:
-            agent.want(self.manifest)
+            agent.fetch_version(self.manifest)
 
     def run_for(self, seconds: float) -> None:
         events = self.fleet.events
@@ -106,11 +106,13 @@
         elif fault == "freeze":
             agent.frozen_until_s = now_s + self.rng.uniform(0.5, 15.0)
         elif fault == "origin_away":
-            fleet.origin_is_away = True
+            fleet.is_origin_unavailable = True
             until_s = now_s + self.rng.uniform(0.1, 10.0)
-            fleet.events.at(until_s, lambda: setattr(fleet, "origin_is_away", False))
+            fleet.events.at(
+                until_s, lambda: setattr(fleet, "is_origin_unavailable", False)
+            )
         elif fault == "restart_engine":
-            agent.want(self.manifest)
+            agent.fetch_version(self.manifest)
         elif fault == "change":
             self.change_version()
         elif fault == "return":
@@ -123,18 +125,18 @@
         self.manifest, objects = make_weights(CHUNKS, CHUNK_BYTES, sequence, shared)
         self.fleet.objects.update(objects)
         for agent in self.fleet.live:
-            agent.decide.remove_version(older, self.fleet.events.now_s)
-            agent.want(self.manifest)
+            agent.distribution.remove_version(older, self.fleet.events.now_s)
+            agent.fetch_version(self.manifest)
 
     def restart_agent(self, agent: FleetAgent) -> None:
         """Restart an agent with empty memory under the same name."""
         fleet = self.fleet
         agent.is_dead = True
-        successor = FleetAgent(fleet, agent.peer, fleet.create(agent.peer))
+        successor = FleetAgent(fleet, agent.peer, fleet.create_distribution(agent.peer))
         fleet.agents[agent.peer.name] = successor
         others = [a.peer for a in fleet.live if a is not successor]
-        successor.decide.set_peers(MODEL, others, fleet.events.now_s)
-        successor.want(self.manifest)
+        successor.distribution.set_peers(MODEL, others, fleet.events.now_s)
+        successor.fetch_version(self.manifest)
 
 
 class SwarmTest(unittest.TestCase):
@@ -145,7 +147,7 @@
         copy = scenario.manifest.size_bytes
         self.assertEqual(fleet.origin_bytes, copy)
         into = dict.fromkeys(REGIONS[1:], 0)
-        for (_, region), link in fleet.regions.items():
+        for (_, region), link in fleet.region_links.items():
             into[region] += link.sent_bytes
         self.assertEqual(into, dict.fromkeys(REGIONS[1:], copy))
 
@@ -175,10 +177,10 @@
         # Guards against agents that avoid each other for minutes because their requests
         # timed out during an outage of 10 s at the start of a distribution.
         fleet = create_fleet(5, 5)
-        fleet.origin_is_away = True
+        fleet.is_origin_unavailable = True
         scenario = Scenario(fleet, 5)
         scenario.run_for(10.0)
-        fleet.origin_is_away = False
+        fleet.is_origin_unavailable = False
         self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 30.0)
 
@@ -193,9 +195,9 @@
         scenario = Scenario(fleet, 1, chunks=96, chunk_bytes=24_576)
         scenario.run_for(2.45)
         self.assertGreater(fleet.origin_bytes, 0.85 * scenario.manifest.size_bytes)
-        fleet.origin_is_away = True
+        fleet.is_origin_unavailable = True
         scenario.run_for(6.05)
-        fleet.origin_is_away = False
+        fleet.is_origin_unavailable = False
         self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 11.0)
 
@@ -224,11 +226,11 @@
         scenario.run_for(2.3)
         fleet.kill([fleet.live[0]], MODEL)
         scenario.run_for(0.15)
-        fleet.origin_is_away = True
+        fleet.is_origin_unavailable = True
         scenario.run_for(6.05)
         missing_counts = [len(agent.missing) for agent in fleet.live]
         self.assertLess(max(missing_counts), min(missing_counts) + 6)
-        fleet.origin_is_away = False
+        fleet.is_origin_unavailable = False
         self.assertTrue(scenario.finish())
         self.assertLess(fleet.events.now_s, 11.0)
 
@@ -270,11 +272,11 @@
             scenario = Scenario(fleet, 1)
             self.assertTrue(scenario.finish())
             drawn = fleet.origin_bytes
-            across = sum(link.sent_bytes for link in fleet.regions.values())
+            across = sum(link.sent_bytes for link in fleet.region_links.values())
             scenario.restart_agent(fleet.agents[f"agent-{place}"])
             self.assertTrue(scenario.finish())
             self.assertEqual(fleet.origin_bytes, drawn)
-            now_across = sum(link.sent_bytes for link in fleet.regions.values())
+            now_across = sum(link.sent_bytes for link in fleet.region_links.values())
             self.assertEqual(now_across, across)
 
     def test_version_change_during_transfer_fetches_shared_chunks_once(self) -> None:
@@ -294,11 +296,11 @@
         scenario = Scenario(fleet, 1)
         self.assertTrue(scenario.finish())
         drawn = fleet.origin_bytes
-        across = sum(link.sent_bytes for link in fleet.regions.values())
+        across = sum(link.sent_bytes for link in fleet.region_links.values())
         for agent in list(fleet.agents.values()):
             if agent.peer.region == REGIONS[2]:
                 scenario.restart_agent(agent)
         self.assertTrue(scenario.finish())
         self.assertEqual(fleet.origin_bytes, drawn)
-        now_across = sum(link.sent_bytes for link in fleet.regions.values())
+        now_across = sum(link.sent_bytes for link in fleet.region_links.values())
         self.assertLessEqual(now_across - across, 1.1 * scenario.manifest.size_bytes)
