--- a/bench/hashed.py
+++ b/bench/hashed.py
@@ -1,8 +1,10 @@
-"""The design before: every target asks each chunk's hashed drawer.
+"""Baseline distribution: one agent per region fetches each chunk for all others.
 
-The drawer of a chunk is the first of its region's live agents by rendezvous
-hashing.  In the origin's region it draws from the origin; elsewhere it asks
-the drawer of the origin's region.  Each further attempt goes one rank down.
+The live agents of a region are ranked by rendezvous hashing of the chunk's digest.
+Agents request a chunk from the first in rank of their region, which reads it from
+the origin in the origin's region, and elsewhere requests it from the first in rank of
+the origin's region.  Each further attempt uses the next rank.  The swarm replaced
+this design.
 """
 
 import itertools
@@ -30,15 +32,14 @@
 
 __all__ = ["HashedDistribution"]
 
-WINDOW = 8
-"""Objects asked for at a time."""
-RETRY_S = 0.2
-TICK_S = 0.05
+MAX_OPEN_FETCHES = 8
+RETRY_DELAY_S = 0.2
+TICK_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
-class _Want:
-    """An object that is needed, and how getting it goes."""
+class _Fetch:
+    """State of the fetch of one object."""
 
     digest: str
     model: str
@@ -58,18 +59,18 @@
 
 
 class HashedDistribution:
-    """Decide by rendezvous hashing, without knowing what the peers hold."""
+    """Choose sources by rendezvous hashing, without knowing what peers hold."""
 
     def __init__(
-        self, me: WeightPeer, origin_region: str, request_timeout_s: float
+        self, local_peer: WeightPeer, origin_region: str, request_timeout_s: float
     ) -> None:
-        self._me = me
+        self._local_peer = local_peer
         self._origin_region = origin_region
         self._timeout_s = request_timeout_s
         self._peers: dict[str, tuple[WeightPeer, ...]] = {}
-        self._wants: dict[str, _Want] = {}
+        self._fetches: dict[str, _Fetch] = {}
         self._objects: dict[str, bytes] = {}
-        self._waiting: dict[str, list[tuple[str, int]]] = {}
+        self._waiting_requests: dict[str, list[tuple[str, int]]] = {}
         self._request_ids = itertools.count(1)
         self._actions: list[Action] = []
 
@@ -78,45 +79,45 @@
         self._peers[model] = tuple(peers)
 
     def fetch_object(self, model: str, digest: str, now_s: float) -> None:
-        """Get one object."""
-        self._want(model, digest, None, digest)
-        self._fill(now_s)
+        """Fetch one object."""
+        self._add_fetch(model, digest, None, digest)
+        self._start_fetches(now_s)
 
     def register_version(self, manifest: Manifest, now_s: float) -> None:
         """Do nothing: any object in memory is served."""
 
     def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
-        """Get every chunk of a version."""
+        """Fetch every chunk of a version."""
         for chunk in manifest.chunks:
             root_digest = manifest.root_digest
-            self._want(manifest.model, chunk.digest, chunk.size_bytes, root_digest)
-        self._fill(now_s)
+            self._add_fetch(manifest.model, chunk.digest, chunk.size_bytes, root_digest)
+        self._start_fetches(now_s)
 
     def remove_version(self, root_digest: str, now_s: float) -> None:
-        """Stop getting chunks that only this version needs."""
-        for want in list(self._wants.values()):
-            want.roots.discard(root_digest)
-            if not want.roots:
-                del self._wants[want.digest]
+        """Stop fetching chunks that only this version needs."""
+        for fetch in list(self._fetches.values()):
+            fetch.roots.discard(root_digest)
+            if not fetch.roots:
+                del self._fetches[fetch.digest]
 
     def receive(self, peer: str, message: WeightMessage, now_s: float) -> None:
-        """Take a message of a peer."""
+        """Handle a message of a peer."""
         if isinstance(message, ChunkRequest):
-            self._serve(peer, message)
+            self._handle_request(peer, message)
         elif isinstance(message, ChunkPiece):
-            self._take_piece(peer, message, now_s)
+            self._handle_piece(peer, message, now_s)
         elif isinstance(message, ChunkRefused):
-            want = self._wants.get(message.digest)
-            if want and want.request_id == message.request_id:
-                self._try_later(want, now_s)
+            fetch = self._fetches.get(message.digest)
+            if fetch and fetch.request_id == message.request_id:
+                self._schedule_retry(fetch, now_s)
 
     def complete_read(self, digest: str, result: bytes | Failure, now_s: float) -> None:
-        """Take the outcome of a read from the origin."""
-        want = self._wants.get(digest)
+        """Handle the outcome of a read from the origin."""
+        fetch = self._fetches.get(digest)
         if not isinstance(result, Failure) and digest_bytes(result) == digest:
-            self._finish(digest, result, now_s)
-        elif want is not None:
-            self._try_later(want, now_s)
+            self._complete_fetch(digest, result, now_s)
+        elif fetch is not None:
+            self._schedule_retry(fetch, now_s)
 
     def object_bytes(self, digest: str) -> bytes | None:
         """Return an object that is in memory."""
@@ -131,83 +132,86 @@
         """Do nothing: the deadline covers it."""
 
     def handle_link_lost(self, peer: str, now_s: float) -> None:
-        """Do nothing: the view tells of it later."""
+        """Do nothing: the view drops the peer later."""
 
     def handle_pause(self, now_s: float) -> None:
-        """Ask again for whatever is open: answers may have been missed."""
-        for want in self._wants.values():
-            if want.is_open:
-                self._try_later(want, now_s)
+        """Retry all open fetches: answers may have been lost during the pause."""
+        for fetch in self._fetches.values():
+            if fetch.is_open:
+                self._schedule_retry(fetch, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Overtake requests past their deadline, and ask for more."""
-        for want in self._wants.values():
-            if want.is_open and now_s >= want.deadline_s:
-                self._try_later(want, now_s)
-        self._fill(now_s)
+        """Retry fetches past their deadline, and start further ones."""
+        for fetch in self._fetches.values():
+            if fetch.is_open and now_s >= fetch.deadline_s:
+                self._schedule_retry(fetch, now_s)
+        self._start_fetches(now_s)
 
     def due_s(self, now_s: float) -> float:
         """Return when `tick` should be called next."""
-        return now_s + TICK_S
+        return now_s + TICK_INTERVAL_S
 
     def take_actions(self) -> list[Action]:
-        """Return and forget the actions decided since the last call."""
+        """Return the actions added since the last call, and clear them."""
         actions, self._actions = self._actions, []
         return actions
 
-    def _want(
+    def _add_fetch(
         self, model: str, digest: str, size_bytes: int | None, root_digest: str
     ) -> None:
         if digest in self._objects:
             self._actions.append(ObjectReady(digest))
             return
-        want = self._wants.setdefault(digest, _Want(digest, model, size_bytes))
-        want.roots.add(root_digest)
+        fetch = self._fetches.setdefault(digest, _Fetch(digest, model, size_bytes))
+        fetch.roots.add(root_digest)
 
-    def _fill(self, now_s: float) -> None:
-        free = WINDOW - sum(want.is_open for want in self._wants.values())
-        for want in self._wants.values():
+    def _start_fetches(self, now_s: float) -> None:
+        free = MAX_OPEN_FETCHES - sum(fetch.is_open for fetch in self._fetches.values())
+        for fetch in self._fetches.values():
             if free <= 0:
                 return
-            if not want.is_open and now_s >= want.not_before_s:
-                self._ask(want, now_s)
+            if not fetch.is_open and now_s >= fetch.not_before_s:
+                self._start_fetch(fetch, now_s)
                 free -= 1
 
-    def _ask(self, want: _Want, now_s: float) -> None:
-        ranked = self._rank(want, self._me.region)
-        name = ranked[want.attempts % len(ranked)]
-        want.deadline_s = now_s + self._timeout_s
-        if name == self._me.name:
-            sources = self._rank(want, self._origin_region)
-            name = sources[want.attempts % len(sources)]
-            if self._me.region == self._origin_region or name == self._me.name:
-                want.is_reading = True
-                self._actions.append(ReadOrigin(want.digest))
+    def _start_fetch(self, fetch: _Fetch, now_s: float) -> None:
+        ranked = self._rank_agents(fetch, self._local_peer.region)
+        name = ranked[fetch.attempts % len(ranked)]
+        fetch.deadline_s = now_s + self._timeout_s
+        if name == self._local_peer.name:
+            sources = self._rank_agents(fetch, self._origin_region)
+            name = sources[fetch.attempts % len(sources)]
+            if (
+                self._local_peer.region == self._origin_region
+                or name == self._local_peer.name
+            ):
+                fetch.is_reading = True
+                self._actions.append(ReadOrigin(fetch.digest))
                 return
-        want.peer = name
-        want.request_id = next(self._request_ids)
-        want.assembly = Assembly(want.digest, want.size_bytes)
-        message = ChunkRequest(want.digest, want.request_id)
+        fetch.peer = name
+        fetch.request_id = next(self._request_ids)
+        fetch.assembly = Assembly(fetch.digest, fetch.size_bytes)
+        message = ChunkRequest(fetch.digest, fetch.request_id)
         self._actions.append(SendMessage(name, message))
 
-    def _rank(self, want: _Want, region: str) -> list[str]:
-        """Return the agents of a region for an object; this one if it has none."""
-        agents = [self._me, *self._peers.get(want.model, ())]
+    def _rank_agents(self, fetch: _Fetch, region: str) -> list[str]:
+        """Return a region's agents ranked for an object, or this agent if none."""
+        agents = [self._local_peer, *self._peers.get(fetch.model, ())]
         names = [agent.name for agent in agents if agent.region == region]
-        return rank_by_rendezvous(want.digest, names) or [self._me.name]
+        return rank_by_rendezvous(fetch.digest, names) or [self._local_peer.name]
 
-    def _try_later(self, want: _Want, now_s: float) -> None:
-        want.attempts += 1
-        want.assembly = None
-        want.is_reading = False
-        want.not_before_s = now_s + RETRY_S
+    def _schedule_retry(self, fetch: _Fetch, now_s: float) -> None:
+        fetch.attempts += 1
+        fetch.assembly = None
+        fetch.is_reading = False
+        fetch.not_before_s = now_s + RETRY_DELAY_S
 
-    def _serve(self, peer: str, request: ChunkRequest) -> None:
+    def _handle_request(self, peer: str, request: ChunkRequest) -> None:
         data = self._objects.get(request.digest)
         if data is not None:
             self._send_object(peer, request.request_id, request.digest, data)
-        elif request.digest in self._wants:
-            waiting = self._waiting.setdefault(request.digest, [])
+        elif request.digest in self._fetches:
+            waiting = self._waiting_requests.setdefault(request.digest, [])
             waiting.append((peer, request.request_id))
         else:
             refusal = ChunkRefused(
@@ -221,23 +225,23 @@
         for piece in split_into_pieces(digest, request_id, data):
             self._actions.append(SendMessage(peer, piece))
 
-    def _take_piece(self, peer: str, piece: ChunkPiece, now_s: float) -> None:
-        want = self._wants.get(piece.digest)
-        if want is None or want.assembly is None or want.peer != peer:
+    def _handle_piece(self, peer: str, piece: ChunkPiece, now_s: float) -> None:
+        fetch = self._fetches.get(piece.digest)
+        if fetch is None or fetch.assembly is None or fetch.peer != peer:
             return
-        if want.request_id != piece.request_id:
+        if fetch.request_id != piece.request_id:
             return
-        result = want.assembly.add(piece, peer)
+        result = fetch.assembly.add(piece, peer)
         if isinstance(result, Failure):
-            self._try_later(want, now_s)
+            self._schedule_retry(fetch, now_s)
         elif result is not None:
-            self._finish(want.digest, result, now_s)
+            self._complete_fetch(fetch.digest, result, now_s)
 
-    def _finish(self, digest: str, data: bytes, now_s: float) -> None:
-        if self._wants.pop(digest, None) is None:
+    def _complete_fetch(self, digest: str, data: bytes, now_s: float) -> None:
+        if self._fetches.pop(digest, None) is None:
             return
         self._objects[digest] = data
         self._actions.append(ObjectReady(digest))
-        for peer, request_id in self._waiting.pop(digest, ()):
+        for peer, request_id in self._waiting_requests.pop(digest, ()):
             self._send_object(peer, request_id, digest, data)
-        self._fill(now_s)
+        self._start_fetches(now_s)
--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -1,10 +1,11 @@
-"""What a prompt waits before a target's link while a version arrives there.
+"""Measure how long prompts wait for a target's link while a version arrives over it.
 
-Agents as light objects over links that queue: the real decisions, virtual time.  A
-prompt that came to a target now would wait for all that is queued before its machine's
-link; that is noted every 10 ms at each target that still lacks chunks.
+The agents run the real distribution code in virtual time, over simulated links with
+queues.  A prompt that arrives at a target waits for everything that is queued on the
+link to its machine.  This wait is sampled every 10 ms at each target that still lacks
+chunks.
 
-Run ``python -m bench.inbound_queues``; the last line is one JSON object.
+Run ``python -m bench.inbound_queues``; the last line is one JSON array.
 """
 
 import json
@@ -26,15 +27,14 @@
 MODEL = "quotes"
 REGIONS = ("centro", "occidente", "oriente")
 BYTES_PER_MEGABIT = 1_000_000 / 8
-"""Of one Mbit/s."""
 PACKET_BYTES = 1460
-PROBE_S = 0.01
+SAMPLE_INTERVAL_S = 0.01
 TIME_LIMIT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Targets by region, their links in Mbit/s, and a copy."""
+    """Number of targets by region, rates of links in Mbit/s, and size of a version."""
 
     name: str
     targets: Mapping[str, int]
@@ -44,17 +44,17 @@
     chunk_count: int
     chunk_bytes: int
     caches: Mapping[str, int] = field(default_factory=dict)
-    """Entries by region that hold copies for the targets."""
+    """Number of entries by region that cache versions for the targets."""
     cache_mbps: float = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Times in seconds; waits are those of prompts at targets that lack chunks."""
+    """Times until targets have the version, and waits of prompts at other targets."""
 
     name: str
     bound_s: float
-    """A copy over one target's link."""
+    """Physical bound: the time for one copy over a target's link."""
     first_s: float
     last_s: float
     mean_wait_s: float
@@ -62,7 +62,7 @@
 
     @property
     def over_bound(self) -> float:
-        """Return how many times the bound passed until all targets were whole."""
+        """Return the time until all targets had the version, relative to the bound."""
         return self.last_s / self.bound_s
 
 
@@ -109,7 +109,7 @@
 
 
 def create_fleet(case: Case) -> Fleet:
-    """Return the agents of a case, and their links."""
+    """Return the agents of a case with their links."""
     limits = _create_limits(case, case.link_mbps)
     cache_limits = _create_limits(case, case.cache_mbps)
     caches = [
@@ -129,8 +129,8 @@
     )
 
     def create(peer: WeightPeer) -> SwarmDistribution:
-        own = cache_limits if peer.is_cache else limits
-        return SwarmDistribution(peer, own, random.Random(peer.name))
+        peer_limits = cache_limits if peer.is_cache else limits
+        return SwarmDistribution(peer, peer_limits, random.Random(peer.name))
 
     fleet = Fleet(
         [*caches, *targets], rates, PACKET_BYTES, create, origin_region=REGIONS[0]
@@ -163,10 +163,10 @@
     lost_s: float = 0.0,
     frozen_caches: Collection[str] = (),
 ) -> Outcome:
-    """Bring a version to every target, and return what prompts would have waited.
+    """Distribute a version to every target, and return the times and waits.
 
-    `lost_cache` is killed at `lost_s`; the view keeps it all the time.  Frozen ones do
-    nothing all the time, and their links stay open.
+    `lost_cache` is killed at `lost_s`, but stays in the views.  `frozen_caches` handle
+    no message during the run, and their links stay open.
     """
     fleet = create_fleet(case)
     manifest, fleet.objects = make_weights(case.chunk_count, case.chunk_bytes)
@@ -182,13 +182,13 @@
         fleet.events.at(lost_s, lambda: fleet.kill([lost], MODEL, TIME_LIMIT_S))
     waits: list[float] = []
 
-    def probe() -> None:
+    def sample_waits() -> None:
         waits.extend(agent.down.wait_s() for agent in targets if agent.missing)
-        fleet.events.at(fleet.events.now_s + PROBE_S, probe)
+        fleet.events.at(fleet.events.now_s + SAMPLE_INTERVAL_S, sample_waits)
 
     for name in frozen_caches:
         fleet.agents[name].frozen_until_s = TIME_LIMIT_S
-    probe()
+    sample_waits()
     if not fleet.events.run(fleet.is_finished, TIME_LIMIT_S):
         raise RuntimeError(f"{case.name}: not every target has the version")
     times = [agent.finished_s or 0.0 for agent in targets]
@@ -203,14 +203,14 @@
 
 
 def main() -> None:
-    """Play every case."""
+    """Simulate every case."""
     outcomes = [simulate(case) for case in (*CASES, *CACHED_CASES)]
     for outcome in outcomes:
         print(
-            f"{outcome.name:20} all whole {outcome.last_s:.2f} s, "
-            f"{outcome.over_bound:.2f} of the bound; a prompt waits "
-            f"{outcome.mean_wait_s * 1000:.0f} ms, "
-            f"{outcome.worst_wait_s * 1000:.0f} at worst"
+            f"{outcome.name:20} all complete after {outcome.last_s:.2f} s, "
+            f"{outcome.over_bound:.2f} of the bound; prompts wait "
+            f"{outcome.mean_wait_s * 1000:.0f} ms on average, "
+            f"{outcome.worst_wait_s * 1000:.0f} ms at most"
         )
     print(json.dumps([asdict(outcome) for outcome in outcomes]))
 
--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -1,12 +1,14 @@
-"""Many entries, each with its own beliefs, before model engines that batch.
+"""Simulate many entries that choose among batching model engines independently.
 
-The real choice of targets in virtual time, without a network.  Arrivals are random
-(Poisson), prompts and answers of the usual sizes; an engine works in passes: five
-steps for all that write, and between them prompts in the order of arrival.  A request
-is in time if its first event comes within 0.5 s and no pause is over 0.4 s; late, it
-counts a quarter, as to its caller.
+Each entry runs the real choice of targets on the loads that it knows, in virtual time
+and without a network.  Arrivals are a Poisson process; prompts and answers have
+typical sizes.  An engine works in passes: five decoding steps for all running
+requests, and between them the prefill of prompts in the order of arrival.  A request
+is in time if its first event comes within 0.5 s and no gap between events exceeds
+0.4 s.  A late answer has a quarter of the value to its caller, and counts as such in
+`worth`.
 
-Run ``python -m bench.many_deciders [--seconds 20]``; the last line is one JSON object.
+Run ``python -m bench.many_deciders [--seconds 20]``; the last line is one JSON array.
 """
 
 import argparse
@@ -34,27 +36,27 @@
 __all__ = ["Load", "Outcomes", "simulate"]
 
 NETWORK_S = 0.004
-AIM_S = 0.5
-ROUTE_AIM_S = 0.43
-"""What routes say: the aimed time less the callers' way here."""
-GAP_S = 0.4
-PATIENCE_S = 6.0
+LATENCY_GOAL_S = 0.5
+ROUTE_LATENCY_GOAL_S = 0.43
+"""Goal in the routes: `LATENCY_GOAL_S` less the network time from caller to entry."""
+MAX_EVENT_GAP_S = 0.4
+DEADLINE_S = 6.0
 WARM_UP_S = 3.0
-LATE_WORTH = 0.25
-PROMPT_MEANS = (1290, 787, 607)
-PROMPT_SPREAD = 0.8
+LATE_ANSWER_VALUE = 0.25
+PROMPT_MEAN_TOKENS = (1290, 787, 607)
+PROMPT_SIGMA = 0.8
 PROMPT_LIMIT_FACTOR = 3.0
-SHARED_TOKENS = 40
-ANSWER_MEAN = 95
-ANSWER_SPREAD = 0.77
-ANSWER_MAX = 250
-CONTEXT_S = 0.0000322
-"""What each 1,000 tokens of a request's context add to a step."""
+SHARED_PROMPT_TOKENS = 40
+ANSWER_MEAN_TOKENS = 95
+ANSWER_SIGMA = 0.77
+ANSWER_MAX_TOKENS = 250
+CONTEXT_S_PER_1000_TOKENS = 0.0000322
+"""Time that each 1,000 tokens of a request's context add to a decoding step."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """How many requests a second come to how many entries and engines."""
+    """Number of entries and engines, and the rate of requests to all of them."""
 
     name: str
     entries: int
@@ -84,8 +86,8 @@
 
     @property
     def worth(self) -> float:
-        """Return what was served, late answers for a quarter."""
-        return self.in_time + LATE_WORTH * self.late
+        """Return the share that was served, with late answers at reduced value."""
+        return self.in_time + LATE_ANSWER_VALUE * self.late
 
 
 @dataclass(slots=True, eq=False)
@@ -100,15 +102,15 @@
     gap_s: float = 0.0
 
     def is_in_time(self) -> bool:
-        """Tell whether the caller got it as it hoped to."""
+        """Return whether the answer met the limits of latency and event gaps."""
         if self.first_s is None:
             return False
         waited_s = self.first_s - self.request.arrived_s
-        return waited_s <= AIM_S and self.gap_s <= GAP_S
+        return waited_s <= LATENCY_GOAL_S and self.gap_s <= MAX_EVENT_GAP_S
 
 
 class _Entry:
-    """One decider, with a clock of its own that the model moves."""
+    """An entry that chooses targets, with a clock that the simulation advances."""
 
     def __init__(self, name: str, targets: list[str], seed: int) -> None:
         self._clock = VirtualClock()
@@ -133,29 +135,29 @@
         )
 
     def at(self, now_s: float) -> DirectChooser:
-        """Return the decider at a time."""
+        """Advance the clock to a time and return the chooser."""
         self._clock.advance(now_s - self._clock.now_s())
         return self.chooser
 
 
 class _Engine:
-    """A batch that reads prompts between the passes of those that write."""
+    """Model engine that prefills prompts between the decoding steps of its batch."""
 
-    def __init__(self, model: "_Model") -> None:
-        self._model = model
+    def __init__(self, simulation: "_Simulation") -> None:
+        self._simulation = simulation
         self._queue: list[_Job] = []
-        self._reading: list[tuple[_Job, int]] = []
-        self._writing: list[_Job] = []
+        self._prefilling: list[tuple[_Job, int]] = []
+        self._decoding: list[_Job] = []
         self._is_busy = False
 
     @property
     def report(self) -> LoadReport:
-        """Return what the engine tells with an answer."""
-        running = len(self._reading) + len(self._writing)
+        """Return the load report that the engine sends with an answer."""
+        running = len(self._prefilling) + len(self._decoding)
         return LoadReport(running, len(self._queue), ENGINE.slots)
 
-    def take(self, job: _Job) -> None:
-        """Queue a request."""
+    def enqueue(self, job: _Job) -> None:
+        """Queue a request, and start a pass if the engine is idle."""
         self._queue.append(job)
         if not self._is_busy:
             self._is_busy = True
@@ -164,29 +166,31 @@
     def _begin_pass(self) -> None:
         while self._queue and self.report.running < ENGINE.slots:
             job = self._queue.pop(0)
-            self._reading.append((job, job.request.prompt_tokens))
+            self._prefilling.append((job, job.request.prompt_tokens))
         if not self.report.running:
             self._is_busy = False
             return
-        read, reading_s = self._read()
-        pass_s = reading_s + self._write_time_s()
-        self._model.after(pass_s, lambda: self._end_pass(read))
+        prefilled, prefill_s = self._run_prefill()
+        pass_s = prefill_s + self._compute_decode_s()
+        self._simulation.after(pass_s, lambda: self._end_pass(prefilled))
 
-    def _write_time_s(self) -> float:
-        writing = len(self._writing)
-        if not writing:
+    def _compute_decode_s(self) -> float:
+        decoding = len(self._decoding)
+        if not decoding:
             return 0.0
-        step_s = ENGINE.step_s + writing * (ENGINE.step_per_request_s + CONTEXT_S)
+        step_s = ENGINE.step_s + decoding * (
+            ENGINE.step_per_request_s + CONTEXT_S_PER_1000_TOKENS
+        )
         return ENGINE.steps_per_pass * step_s
 
-    def _read(self) -> tuple[list[_Job], float]:
-        """Return the prompts that are read by the end of this pass, and the time."""
-        steps = ENGINE.steps_per_pass if self._writing else 1
+    def _run_prefill(self) -> tuple[list[_Job], float]:
+        """Return the prompts whose prefill ends in this pass, and the time it takes."""
+        steps = ENGINE.steps_per_pass if self._decoding else 1
         budget = steps * ENGINE.prefill_tokens_per_pass
-        read: list[_Job] = []
+        prefilled: list[_Job] = []
         time_s = 0.0
-        while budget > 0 and self._reading:
-            job, left = self._reading.pop(0)
+        while budget > 0 and self._prefilling:
+            job, left = self._prefilling.pop(0)
             tokens = min(left, budget)
             budget -= tokens
             pairs = job.request.prompt_tokens * tokens / 2
@@ -195,36 +199,36 @@
                 + pairs * ENGINE.attention_s_per_pair
             )
             if tokens == left:
-                read.append(job)
+                prefilled.append(job)
             else:
-                self._reading.insert(0, (job, left - tokens))
-        return read, time_s
+                self._prefilling.insert(0, (job, left - tokens))
+        return prefilled, time_s
 
-    def _end_pass(self, read: list[_Job]) -> None:
-        for job in list(self._writing):
+    def _end_pass(self, prefilled: list[_Job]) -> None:
+        for job in list(self._decoding):
             job.left_tokens -= ENGINE.steps_per_pass
-            self._model.note_event(job, self)
+            self._simulation.record_event(job, self)
             if job.left_tokens <= 0:
-                self._writing.remove(job)
-                self._model.note_end(job)
-        for job in read:
+                self._decoding.remove(job)
+                self._simulation.record_end(job)
+        for job in prefilled:
             job.left_tokens = job.answer_tokens
-            self._writing.append(job)
-            self._model.note_event(job, self)
+            self._decoding.append(job)
+            self._simulation.record_event(job, self)
         self._begin_pass()
 
 
-class _Model:
-    """Arrivals, entries and engines in one order of events."""
+class _Simulation:
+    """Event-driven simulation of arrivals, entries and engines."""
 
     def __init__(self, load: Load, seconds: float, seed: int) -> None:
         self.jobs: list[_Job] = []
         self._now_s = 0.0
-        self._until_s = seconds
+        self._arrivals_end_s = seconds
         self._rate_per_s = load.rate_per_s
         self._rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._engines = {f"q{i}": _Engine(self) for i in range(load.engines)}
         names = list(self._engines)
         self._entries = [
@@ -232,54 +236,54 @@
         ]
 
     def run(self) -> None:
-        """Play until every request has ended."""
+        """Run until every request has ended."""
         self._arrive()
         while self._events:
             self._now_s, _, call = heapq.heappop(self._events)
             call()
 
     def after(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Call after a while."""
-        item = (self._now_s + delay_s, next(self._order), call)
+        """Schedule a call after a delay."""
+        item = (self._now_s + delay_s, next(self._sequence), call)
         heapq.heappush(self._events, item)
 
-    def note_event(self, job: _Job, engine: _Engine) -> None:
-        """Note that an event of an answer was made."""
+    def record_event(self, job: _Job, engine: _Engine) -> None:
+        """Record that an engine produced an event of an answer."""
         now_s = self._now_s + NETWORK_S
         if job.first_s is None:
             job.first_s = now_s
             report = engine.report
-            self.after(NETWORK_S, lambda: self._tell_first(job, report))
+            self.after(NETWORK_S, lambda: self._report_first_event(job, report))
         else:
             job.gap_s = max(job.gap_s, now_s - job.last_s)
         job.last_s = now_s
 
-    def note_end(self, job: _Job) -> None:
-        """Note that an answer is whole."""
-        self.after(NETWORK_S, lambda: self._tell_end(job))
+    def record_end(self, job: _Job) -> None:
+        """Record that an answer is complete."""
+        self.after(NETWORK_S, lambda: self._report_end(job))
 
     def _arrive(self) -> None:
-        if self._now_s > self._until_s:
+        if self._now_s > self._arrivals_end_s:
             return
         self.after(self._rng.expovariate(self._rate_per_s), self._arrive)
         entry = self._rng.choice(self._entries)
         request = self._make_request()
         chooser = entry.at(self._now_s)
         chosen = chooser.choose(request, ())
-        job = _Job(request, entry, chosen, self._draw_answer_tokens())
+        job = _Job(request, entry, chosen, self._sample_answer_tokens())
         self.jobs.append(job)
         if isinstance(chosen, Failure):
             return
         chooser.on_started(request, chosen)
         engine = self._engines[chosen.name]
-        self.after(NETWORK_S, lambda: engine.take(job))
+        self.after(NETWORK_S, lambda: engine.enqueue(job))
 
     def _make_request(self) -> Request:
-        mean = self._rng.choice(PROMPT_MEANS)
-        drawn = self._rng.lognormvariate(math.log(mean) - 0.35, PROMPT_SPREAD)
-        tokens = min(drawn, PROMPT_LIMIT_FACTOR * mean) + SHARED_TOKENS
+        mean = self._rng.choice(PROMPT_MEAN_TOKENS)
+        sampled = self._rng.lognormvariate(math.log(mean) - 0.35, PROMPT_SIGMA)
+        tokens = min(sampled, PROMPT_LIMIT_FACTOR * mean) + SHARED_PROMPT_TOKENS
         request = Request(
-            str(next(self._order)),
+            str(next(self._sequence)),
             "",
             "POST",
             "quotes",
@@ -291,29 +295,31 @@
         )
         request.model = "m"
         request.prompt_tokens = int(tokens)
-        request.latency_goal_s = ROUTE_AIM_S
-        request.gap_s = GAP_S
-        request.deadline_s = self._now_s + PATIENCE_S
+        request.latency_goal_s = ROUTE_LATENCY_GOAL_S
+        request.gap_s = MAX_EVENT_GAP_S
+        request.deadline_s = self._now_s + DEADLINE_S
         return request
 
-    def _draw_answer_tokens(self) -> int:
-        drawn = self._rng.lognormvariate(math.log(ANSWER_MEAN) - 0.3, ANSWER_SPREAD)
-        return int(min(max(drawn, ENGINE.steps_per_pass), ANSWER_MAX))
+    def _sample_answer_tokens(self) -> int:
+        sampled = self._rng.lognormvariate(
+            math.log(ANSWER_MEAN_TOKENS) - 0.3, ANSWER_SIGMA
+        )
+        return int(min(max(sampled, ENGINE.steps_per_pass), ANSWER_MAX_TOKENS))
 
-    def _tell_first(self, job: _Job, report: LoadReport) -> None:
+    def _report_first_event(self, job: _Job, report: LoadReport) -> None:
         assert not isinstance(job.chosen, Failure)
         chooser = job.entry.at(self._now_s)
         chooser.on_first_byte(job.request, job.chosen)
         chooser.note_report(job.chosen.name, report)
 
-    def _tell_end(self, job: _Job) -> None:
+    def _report_end(self, job: _Job) -> None:
         assert not isinstance(job.chosen, Failure)
         chooser = job.entry.at(self._now_s)
         chooser.on_ended(job.request, job.chosen, Answer(Outcome.ANSWERED))
 
 
 class _NoResponder(Responder):
-    """Takes no answer: the model counts events itself."""
+    """Discards answers: the simulation counts events itself."""
 
     async def start(self, status: int, headers: object) -> None:
         """Do nothing."""
@@ -323,10 +329,10 @@
 
 
 def simulate(load: Load, seconds: float, seed: int = 1) -> Outcomes:
-    """Play a load, and return what became of the requests."""
-    model = _Model(load, seconds, seed)
-    model.run()
-    jobs = [job for job in model.jobs if job.request.arrived_s > WARM_UP_S]
+    """Simulate a load and return the outcomes of its requests."""
+    simulation = _Simulation(load, seconds, seed)
+    simulation.run()
+    jobs = [job for job in simulation.jobs if job.request.arrived_s > WARM_UP_S]
     refused = sum(isinstance(job.chosen, Failure) for job in jobs)
     in_time = sum(job.is_in_time() for job in jobs)
     late = len(jobs) - refused - in_time
@@ -335,7 +341,7 @@
 
 
 def main() -> None:
-    """Play every load."""
+    """Simulate every load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/bench/origin_only.py
+++ b/bench/origin_only.py
@@ -1,4 +1,4 @@
-"""The first baseline: every target reads every chunk from the origin."""
+"""Baseline distribution: every target reads every chunk from the origin."""
 
 from collections.abc import Iterable
 
@@ -10,15 +10,15 @@
 
 __all__ = ["OriginOnlyDistribution"]
 
-WINDOW = 4
+MAX_OPEN_READS = 4
 
 
 class OriginOnlyDistribution:
-    """Read chunks in order, some at a time."""
+    """Read chunks in order, at most `MAX_OPEN_READS` at a time."""
 
     def __init__(self) -> None:
         self._to_read: list[str] = []
-        self._open = 0
+        self._open_reads = 0
         self._actions: list[Action] = []
 
     def set_peers(self, model: str, peers: Iterable[WeightPeer], now_s: float) -> None:
@@ -27,15 +27,15 @@
     def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Read an object."""
         self._to_read.append(digest)
-        self._fill()
+        self._start_reads()
 
     def register_version(self, manifest: Manifest, now_s: float) -> None:
-        """Ignore versions that are not wanted."""
+        """Do nothing: only chunks that are fetched are read."""
 
     def fetch_chunks(self, manifest: Manifest, now_s: float) -> None:
         """Read every chunk."""
         self._to_read = list(reversed(manifest.chunk_digests))
-        self._fill()
+        self._start_reads()
 
     def remove_version(self, root_digest: str, now_s: float) -> None:
         """Stop reading."""
@@ -45,16 +45,16 @@
         """Ignore messages."""
 
     def complete_read(self, digest: str, result: bytes | Failure, now_s: float) -> None:
-        """Take an object, or read it again."""
-        self._open -= 1
+        """Report an object as ready, or read it again if the read failed."""
+        self._open_reads -= 1
         if isinstance(result, Failure) or digest_bytes(result) != digest:
             self._to_read.append(digest)
         else:
             self._actions.append(ObjectReady(digest))
-        self._fill()
+        self._start_reads()
 
     def object_bytes(self, digest: str) -> bytes | None:
-        """Return nothing: the engine takes each chunk at once."""
+        """Return None: objects are passed to the engine and not kept."""
         return None
 
     def release(self, digest: str, now_s: float) -> None:
@@ -63,10 +63,10 @@
     def handle_send_failure(
         self, peer: str, message: WeightMessage, now_s: float
     ) -> None:
-        """Do nothing: the deadline covers it."""
+        """Do nothing: no message is sent."""
 
     def handle_link_lost(self, peer: str, now_s: float) -> None:
-        """Do nothing: the view tells of it later."""
+        """Do nothing: no peer is used."""
 
     def handle_pause(self, now_s: float) -> None:
         """Do nothing."""
@@ -75,15 +75,15 @@
         """Do nothing."""
 
     def due_s(self, now_s: float) -> float:
-        """Return a time far away."""
+        """Return a time one second ahead; `tick` does nothing."""
         return now_s + 1.0
 
     def take_actions(self) -> list[Action]:
-        """Return and forget the actions."""
+        """Return the actions added since the last call, and clear them."""
         actions, self._actions = self._actions, []
         return actions
 
-    def _fill(self) -> None:
-        while self._to_read and self._open < WINDOW:
-            self._open += 1
+    def _start_reads(self) -> None:
+        while self._to_read and self._open_reads < MAX_OPEN_READS:
+            self._open_reads += 1
             self._actions.append(ReadOrigin(self._to_read.pop()))
--- a/bench/paced_links.py
+++ b/bench/paced_links.py
@@ -1,4 +1,4 @@
-"""Links on virtual time: an event-driven fake with a rate, a delay and a queue each."""
+"""Event-driven simulation of rate-limited links with delays and queues."""
 
 import heapq
 import itertools
@@ -6,35 +6,35 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-__all__ = ["Events", "FairLink", "LinkRates", "QueueLink"]
+__all__ = ["EventQueue", "FairLink", "LinkRates", "QueueLink"]
 
 
 @dataclass(frozen=True, slots=True)
 class LinkRates:
-    """Bytes a second of each kind of link, and one-way delays in seconds."""
+    """Rates in bytes per second by kind of link, and one-way delays."""
 
     machine: float
     region: float
     origin: float
-    near_delay_s: float = 0.001
-    far_delay_s: float = 0.002
+    intra_region_delay_s: float = 0.001
+    inter_region_delay_s: float = 0.002
 
 
-class Events:
-    """Calls in the order of their times."""
+class EventQueue:
+    """Virtual time: runs scheduled calls in the order of their times."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._orders = itertools.count()
+        self._sequence = itertools.count()
 
     def at(self, time_s: float, call: Callable[[], None]) -> None:
-        """Call at a time, or now if it is past."""
+        """Schedule a call for a time, or for now if that time has passed."""
         time_s = max(time_s, self.now_s)
-        heapq.heappush(self._heap, (time_s, next(self._orders), call))
+        heapq.heappush(self._heap, (time_s, next(self._sequence), call))
 
     def run(self, is_over: Callable[[], bool], limit_s: float) -> bool:
-        """Run until it is over; False if the time limit came first."""
+        """Run until `is_over` returns true; return whether it did within the limit."""
         while self._heap and not is_over():
             if self._heap[0][0] > limit_s:
                 self.now_s = max(self.now_s, limit_s)
@@ -45,20 +45,20 @@
 
 
 class QueueLink:
-    """Sends one message after the other."""
+    """Link that sends messages one at a time, in the order of arrival."""
 
-    def __init__(self, events: Events, rate: float) -> None:
+    def __init__(self, events: EventQueue, rate: float) -> None:
         self._events = events
         self._rate = rate
         self._free_s = 0.0
         self.sent_bytes = 0
 
     def wait_s(self) -> float:
-        """Return how long a message would wait that came now."""
+        """Return the queueing delay of a message that arrives now."""
         return max(0.0, self._free_s - self._events.now_s)
 
     def send(self, size_bytes: int, delay_s: float, call: Callable[[], None]) -> None:
-        """Call once the message has gone over the link."""
+        """Queue a message, and call `delay_s` after its last byte is sent."""
         start_s = max(self._events.now_s, self._free_s)
         self._free_s = start_s + size_bytes / self._rate
         self.sent_bytes += size_bytes
@@ -66,38 +66,38 @@
 
 
 class FairLink:
-    """Shares its rate among streams, piece by piece, as a server of downloads does."""
+    """Link shared by streams, piece by piece in turn, like a download server's."""
 
-    def __init__(self, events: Events, rate: float, piece_bytes: int) -> None:
+    def __init__(self, events: EventQueue, rate: float, piece_bytes: int) -> None:
         self._events = events
         self._rate = rate
         self._piece_bytes = piece_bytes
-        self._streams: deque[tuple[int, Callable[[int, bool], None]]] = deque()
+        self._queue: deque[tuple[int, Callable[[int, bool], None]]] = deque()
         self._is_busy = False
         self.sent_bytes: Counter[str] = Counter()
 
     def send(
         self, name: str, size_bytes: int, on_piece: Callable[[int, bool], None]
     ) -> None:
-        """Call `on_piece` with the size of each piece, and whether it is the last."""
+        """Call `on_piece` for each piece, with its size and whether it is the last."""
         self.sent_bytes[name] += size_bytes
-        self._streams.append((size_bytes, on_piece))
+        self._queue.append((size_bytes, on_piece))
         if not self._is_busy:
-            self._serve()
+            self._send_piece()
 
-    def _serve(self) -> None:
-        if not self._streams:
+    def _send_piece(self) -> None:
+        if not self._queue:
             self._is_busy = False
             return
         self._is_busy = True
-        left, on_piece = self._streams.popleft()
+        left, on_piece = self._queue.popleft()
         size_bytes = min(left, self._piece_bytes)
         left -= size_bytes
 
         def done() -> None:
             on_piece(size_bytes, not left)
             if left:
-                self._streams.append((left, on_piece))
-            self._serve()
+                self._queue.append((left, on_piece))
+            self._send_piece()
 
         self._events.at(self._events.now_s + size_bytes / self._rate, done)
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -1,4 +1,7 @@
-"""Agents as light objects over paced links: real decisions, engines that only take."""
+"""Simulated agents over rate-limited links.
+
+Each agent runs a real `Distribution`; its engine only accepts the chunks.
+"""
 
 import random
 from collections import Counter
@@ -15,7 +18,7 @@
 )
 from reedspar.weights.messages import ChunkPiece, HaveMap, HaveUpdate, WeightMessage
 
-from .paced_links import Events, FairLink, LinkRates, QueueLink
+from .paced_links import EventQueue, FairLink, LinkRates, QueueLink
 
 __all__ = ["Fleet", "FleetAgent", "make_weights"]
 
@@ -26,7 +29,7 @@
 
 
 class FleetAgent:
-    """One agent: its decisions, its two links, and what its engine was given."""
+    """One agent: its distribution, its links, and the chunks its engine lacks."""
 
     def __init__(
         self, fleet: "Fleet", peer: WeightPeer, distribution: Distribution
@@ -45,20 +48,20 @@
         self._next_tick_s = -1.0
 
     def set_link(self, bytes_per_s: float) -> None:
-        """Give this agent's machine a link of its own rate."""
+        """Replace the links of this agent's machine by links of another rate."""
         self.up = QueueLink(self.fleet.events, bytes_per_s)
         self.down = QueueLink(self.fleet.events, bytes_per_s)
 
     def fetch_version(self, manifest: Manifest) -> None:
-        """Start to get a version."""
+        """Start to fetch a version."""
         self.missing = set(manifest.chunk_digests)
-        self.fleet.note_pending(self)
+        self.fleet.add_incomplete(self)
         self.finished_s = None
         self.distribution.fetch_chunks(manifest, self.fleet.events.now_s)
         self.run_actions()
 
     def receive(self, sender: str, message: WeightMessage) -> None:
-        """Take a message, later if frozen, never if dead."""
+        """Handle a message; delay it while frozen, drop it if dead."""
         events = self.fleet.events
         if self.is_dead:
             return
@@ -69,19 +72,19 @@
         self.run_actions()
 
     def handle_link_lost(self, peer: str) -> None:
-        """Learn that a peer's machine refuses connections, or has ended them."""
+        """Handle that a peer's machine refused or closed its connections."""
         if not self.is_dead:
             self.distribution.handle_link_lost(peer, self.fleet.events.now_s)
             self.run_actions()
 
     def complete_read(self, digest: str, result: bytes | Failure) -> None:
-        """Take an object of the origin."""
+        """Handle the outcome of a read from the origin."""
         if not self.is_dead:
             self.distribution.complete_read(digest, result, self.fleet.events.now_s)
             self.run_actions()
 
     def run_actions(self) -> None:
-        """Carry out what was decided."""
+        """Run the actions of the distribution, and schedule its next tick."""
         now_s = self.fleet.events.now_s
         while actions := self.distribution.take_actions():
             for action in actions:
@@ -90,13 +93,13 @@
                 elif isinstance(action, ReadOrigin):
                     self.fleet.read_origin(self, action.digest)
                 elif isinstance(action, ObjectReady):
-                    self._take(action.digest)
+                    self._handle_object_ready(action.digest)
         due_s = self.distribution.due_s(now_s)
         if due_s < self._next_tick_s or self._next_tick_s <= now_s:
             self._next_tick_s = due_s
             self.fleet.events.at(due_s, self._tick)
 
-    def _take(self, digest: str) -> None:
+    def _handle_object_ready(self, digest: str) -> None:
         now_s = self.fleet.events.now_s
         self.missing.discard(digest)
         if not self.missing and self.finished_s is None:
@@ -117,7 +120,7 @@
 
 
 class Fleet:
-    """Agents in regions, their links, and the origin."""
+    """The agents of all regions, their links, and the origin."""
 
     def __init__(
         self,
@@ -130,7 +133,7 @@
         seed: int = 1,
         origin_region: str = "",
     ) -> None:
-        self.events = Events()
+        self.events = EventQueue()
         self.rates = rates
         self.rng = random.Random(seed)
         self.create_distribution = create_distribution
@@ -142,7 +145,7 @@
         self.agents = {
             p.name: FleetAgent(self, p, create_distribution(p)) for p in peers
         }
-        self._pending: list[FleetAgent] = []
+        self._incomplete: list[FleetAgent] = []
         self.message_counts: Counter[str] = Counter()
         self._corrupt_share = corrupt_share
 
@@ -153,29 +156,29 @@
 
     @property
     def origin_bytes(self) -> int:
-        """Return what was drawn from the origin."""
+        """Return the number of bytes read from the origin."""
         return self.origin.sent_bytes.total()
 
     def is_finished(self) -> bool:
-        """Tell whether every live agent's engine has everything."""
-        return not any(agent.missing for agent in self._unfinished())
+        """Return whether the engines of all live agents have all chunks."""
+        return not any(agent.missing for agent in self._find_incomplete())
 
-    def _unfinished(self) -> Iterable[FleetAgent]:
-        """Yield the live agents that lack something, the last one first."""
-        while self._pending:
-            agent = self._pending[-1]
+    def _find_incomplete(self) -> Iterable[FleetAgent]:
+        """Yield at most one live agent that lacks chunks, the last one added."""
+        while self._incomplete:
+            agent = self._incomplete[-1]
             if agent.is_dead or not agent.missing:
-                self._pending.pop()
+                self._incomplete.pop()
             else:
                 yield agent
                 return
 
-    def note_pending(self, agent: FleetAgent) -> None:
-        """Note that an agent lacks something."""
-        self._pending.append(agent)
+    def add_incomplete(self, agent: FleetAgent) -> None:
+        """Add an agent that lacks chunks."""
+        self._incomplete.append(agent)
 
     def set_views(self, model: str) -> None:
-        """Tell every live agent of the live others."""
+        """Set the peers of every live agent to all other live agents."""
         now_s = self.events.now_s
         peers = [agent.peer for agent in self.live]
         for agent in self.live:
@@ -186,7 +189,7 @@
     def kill(
         self, agents: Iterable[FleetAgent], model: str, lag_s: float = VIEW_LAG_S
     ) -> None:
-        """Kill agents; links to them are lost, and the others' views learn later."""
+        """Kill agents: their links close now; views drop them after `lag_s`."""
         for agent in agents:
             agent.is_dead = True
         for other in self.live:
@@ -195,13 +198,17 @@
         self.events.at(self.events.now_s + lag_s, lambda: self.set_views(model))
 
     def send(self, sender: FleetAgent, name: str, message: WeightMessage) -> None:
-        """Bring a message over the links between two agents."""
+        """Send a message over the links between two agents."""
         receiver = self.agents.get(name)
         if receiver is None or sender.is_dead:
             return
         self.message_counts[type(message).__name__] += 1
-        is_near = sender.peer.region == receiver.peer.region
-        delay_s = self.rates.near_delay_s if is_near else self.rates.far_delay_s
+        is_same_region = sender.peer.region == receiver.peer.region
+        delay_s = (
+            self.rates.intra_region_delay_s
+            if is_same_region
+            else self.rates.inter_region_delay_s
+        )
 
         def arrive() -> None:
             receiver.receive(sender.peer.name, message)
@@ -221,18 +228,18 @@
         if self.rng.random() < self._corrupt_share * size_bytes / message.total_bytes:
             message = self._corrupt(message)
 
-        def go_down() -> None:
+        def send_down() -> None:
             if not receiver.is_dead:
                 receiver.down.send(size_bytes, 0.0, arrive)
 
-        def go_across() -> None:
+        def send_across() -> None:
             link = self._region_link(sender.peer.region, receiver.peer.region)
-            link.send(size_bytes, delay_s, go_down)
+            link.send(size_bytes, delay_s, send_down)
 
-        if is_near:
-            sender.up.send(size_bytes, delay_s, go_down)
+        if is_same_region:
+            sender.up.send(size_bytes, delay_s, send_down)
         else:
-            sender.up.send(size_bytes, 0.0, go_across)
+            sender.up.send(size_bytes, 0.0, send_across)
 
     def _region_link(self, sender: str, receiver: str) -> QueueLink:
         key = (sender, receiver)
@@ -241,11 +248,11 @@
         return self.region_links[key]
 
     def read_origin(self, agent: FleetAgent, digest: str) -> None:
-        """Bring an object from the origin."""
+        """Read an object from the origin over the links to an agent."""
         if self.is_origin_unavailable:
             failure = Failure(Reason.UNAVAILABLE, Step.ORIGIN_DRAW, "origin")
-            late_s = self.events.now_s + self.rates.far_delay_s
-            self.events.at(late_s, lambda: agent.complete_read(digest, failure))
+            failed_at_s = self.events.now_s + self.rates.inter_region_delay_s
+            self.events.at(failed_at_s, lambda: agent.complete_read(digest, failure))
             return
         data = self.objects[digest]
         if self.rng.random() < self._corrupt_share:
@@ -256,14 +263,14 @@
                 if is_last:
                     agent.complete_read(digest, data)
 
-            def go_down() -> None:
-                agent.down.send(size_bytes, self.rates.near_delay_s, arrive)
+            def send_down() -> None:
+                agent.down.send(size_bytes, self.rates.intra_region_delay_s, arrive)
 
             if self.origin_region in ("", agent.peer.region):
-                go_down()
+                send_down()
             else:
                 link = self._region_link(self.origin_region, agent.peer.region)
-                link.send(size_bytes, self.rates.far_delay_s, go_down)
+                link.send(size_bytes, self.rates.inter_region_delay_s, send_down)
 
         self.origin.send(agent.peer.name, len(data), on_piece)
 
@@ -275,7 +282,7 @@
 
 
 def estimate_control_bytes(message: WeightMessage) -> int:
-    """Return about what a message takes on the wire (Cap'n Proto, unpacked)."""
+    """Return the approximate size of a message on the wire (Cap'n Proto, unpacked)."""
     if isinstance(message, HaveMap):
         return HEADER_BYTES + 64 + len(message.held) + len(message.obtained)
     if isinstance(message, HaveUpdate):
@@ -286,7 +293,10 @@
 def make_weights(
     chunk_count: int, chunk_bytes: int, sequence: int = 1, shared: int = 0
 ) -> tuple[Manifest, dict[str, bytes]]:
-    """Return a manifest and its objects; `shared` chunks are those of sequence 1."""
+    """Return a manifest and its chunks by digest.
+
+    The first `shared` chunks are those of sequence 1.
+    """
     rng = random.Random(sequence)
     first = random.Random(1)
     chunks = [first.randbytes(chunk_bytes) for _ in range(shared)]
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -1,11 +1,11 @@
-"""Time until every target has a version, and what crosses the narrow links for it.
-
-The agents are light objects in one process: the real decisions, under
-virtual time, over an event-driven fake of paced links.  Sizes and rates are
-those named, divided by 16; the times that come out are the same.  Each design
-stands beside every target from the origin, and beside the physical bound: the
-largest of copy / machine link, origin copies / origin link and copies across
-/ link between regions.
+"""Measure the time until all targets have a version, and the traffic it causes.
+
+The agents run the real distribution code in one process, in virtual time, over
+simulated links with limited rates.  Sizes and rates are divided by 16, which leaves
+the times the same.  Designs are "swarm", "hashed" and "origin_only", the baseline in
+which every target reads from the origin.  Times are compared with the physical bound:
+the largest of the time for a copy over a machine's link, for the copies that the
+origin sends over its link, and for the copies between regions over a region link.
 """
 
 import argparse
@@ -29,17 +29,21 @@
 SCALE = 16
 CHUNK_BYTES = 256 * 1024 // SCALE
 PIECE_BYTES = 64 * 1024 // SCALE
-MACHINE = 12_500_000 / SCALE
+MACHINE_BYTES_PER_S = 12_500_000 / SCALE
 SETTINGS = {
-    "machine": LinkRates(MACHINE, 8 * MACHINE, 2 * MACHINE),
-    "region": LinkRates(MACHINE, MACHINE / 10, 2 * MACHINE),
+    "machine": LinkRates(
+        MACHINE_BYTES_PER_S, 8 * MACHINE_BYTES_PER_S, 2 * MACHINE_BYTES_PER_S
+    ),
+    "region": LinkRates(
+        MACHINE_BYTES_PER_S, MACHINE_BYTES_PER_S / 10, 2 * MACHINE_BYTES_PER_S
+    ),
 }
 TIME_LIMIT_S = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run."""
+    """Parameters of one run."""
 
     design: str
     links: str
@@ -50,7 +54,7 @@
 
 
 def create_distribution(case: Case, peer: WeightPeer) -> Distribution:
-    """Make an agent's decisions."""
+    """Return the distribution of an agent for the design of a case."""
     rates = SETTINGS[case.links]
     if case.design == "origin_only":
         return OriginOnlyDistribution()
@@ -69,17 +73,17 @@
 def compute_bounds(case: Case) -> dict[str, float]:
     """Return the physical bounds, in seconds.
 
-    `star_s` is for one copy over each link from the origin's region, as in the
-    issue; `exchange_s` lets the other regions hand on parts to each other.
+    `star_s` is for one copy over each link from the origin's region.  `exchange_s` is
+    for regions that also exchange parts of the copy with each other.
     """
     rates = SETTINGS[case.links]
-    copy = case.chunks * CHUNK_BYTES
-    common_s = max(copy / rates.machine, copy / rates.origin)
-    across_s = copy / rates.region
+    copy_bytes = case.chunks * CHUNK_BYTES
+    common_s = max(copy_bytes / rates.machine, copy_bytes / rates.origin)
+    across_s = copy_bytes / rates.region
     return {
         "star_s": max(common_s, across_s),
         "exchange_s": max(common_s, across_s / (len(REGIONS) - 1)),
-        "origin_only_s": max(common_s, case.targets * copy / rates.origin),
+        "origin_only_s": max(common_s, case.targets * copy_bytes / rates.origin),
     }
 
 
@@ -104,7 +108,7 @@
     fleet.set_views(MODEL)
     for agent in fleet.live:
         agent.fetch_version(manifest)
-    copy = manifest.size_bytes
+    copy_bytes = manifest.size_bytes
     changed_s = 0.0
     if case.event == "kill":
         fleet.events.run(fleet.is_finished, bound_s / 2)
@@ -117,14 +121,14 @@
         fleet.objects.update(objects)
         for agent in fleet.live:
             agent.distribution.remove_version(
-                fleet_root(agent, manifest), fleet.events.now_s
+                find_first_root_digest(agent, manifest), fleet.events.now_s
             )
             agent.fetch_version(manifest)
     is_done = fleet.events.run(fleet.is_finished, TIME_LIMIT_S)
-    return describe(case, fleet, bounds, copy, is_done, changed_s)
+    return describe(case, fleet, bounds, copy_bytes, is_done, changed_s)
 
 
-def fleet_root(agent: Any, manifest: Any) -> str:
+def find_first_root_digest(agent: Any, manifest: Any) -> str:
     """Return the root digest of the first version."""
     first, _ = make_weights(len(manifest.chunks), CHUNK_BYTES)
     return first.root_digest
@@ -134,17 +138,20 @@
     case: Case,
     fleet: Fleet,
     bounds: dict[str, float],
-    copy: int,
+    copy_bytes: int,
     is_done: bool,
     changed_s: float,
 ) -> dict[str, Any]:
     """Return the figures of a run."""
-    times = sorted(a.finished_s for a in fleet.live if a.finished_s is not None)
-    last_s = times[-1] - changed_s if is_done else None
+    finish_times_s = sorted(
+        a.finished_s for a in fleet.live if a.finished_s is not None
+    )
+    last_s = finish_times_s[-1] - changed_s if is_done else None
     links = {
-        f"{a}>{b}": r.sent_bytes / copy for (a, b), r in fleet.region_links.items()
+        f"{a}>{b}": r.sent_bytes / copy_bytes
+        for (a, b), r in fleet.region_links.items()
     }
-    control = [agent.control_bytes for agent in fleet.live]
+    control_bytes = [agent.control_bytes for agent in fleet.live]
     result = {
         "design": case.design,
         "links": case.links,
@@ -153,24 +160,26 @@
         "event": case.event,
         "finished": is_done,
         "time_s": round(last_s, 3) if last_s else None,
-        "half_s": round(times[len(times) // 2] - changed_s, 3) if times else None,
+        "half_s": round(finish_times_s[len(finish_times_s) // 2] - changed_s, 3)
+        if finish_times_s
+        else None,
         "bound_star_s": round(bounds["star_s"], 3),
         "bound_exchange_s": round(bounds["exchange_s"], 3),
         "over_star": round(last_s / bounds["star_s"], 3) if last_s else None,
         "over_exchange": round(last_s / bounds["exchange_s"], 3) if last_s else None,
-        "origin_copies": round(fleet.origin_bytes / copy, 3),
+        "origin_copies": round(fleet.origin_bytes / copy_bytes, 3),
         "region_link_copies_max": round(max(links.values(), default=0.0), 3),
         "sent_copies_max": round(
-            max(a.up.sent_bytes for a in fleet.agents.values()) / copy, 3
+            max(a.up.sent_bytes for a in fleet.agents.values()) / copy_bytes, 3
         ),
     }
     if last_s:
-        result["control_bytes_per_s"] = round(max(control) / (last_s + changed_s))
+        result["control_bytes_per_s"] = round(max(control_bytes) / (last_s + changed_s))
     return result
 
 
 def main() -> None:
-    """Run the cases and print one line each, and all as JSON in the last line."""
+    """Run all cases; print a JSON line for each, and one with all results last."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--targets", type=int, nargs="*", default=[24, 96, 240])
     parser.add_argument("--chunks", type=int, default=128)
