--- a/reedspar/settings/tests/test_site.py
+++ b/reedspar/settings/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of a site's daemon."""
+"""Tests of the settings of a daemon at a site."""
 
 import tempfile
 import unittest
@@ -65,19 +65,19 @@
             with self.subTest(name=name):
                 self.assertIn(name, self.load_error(text))
 
-    def test_reload_takes_good_settings_and_keeps_out_bad_ones(self) -> None:
-        # The platform writes the file anew while the daemon runs.  Caught half
-        # written, it must not end the daemon or change anything.
+    def test_reload_applies_valid_settings_and_ignores_invalid_ones(self) -> None:
+        # The platform rewrites the file while the daemon runs.  A reload that reads a
+        # half-written file must neither stop the daemon nor change its settings.
         self.write(ENTRY)
         reloader = SettingsReloader(self.path, load_site_settings(self.path))
         heard = []
         reloader.on_change(heard.append)
         self.write(ENTRY[: len(ENTRY) // 2])
-        reloader.check()
+        reloader.reload_if_changed()
         self.assertEqual(heard, [])
         self.write(ENTRY.replace("8000\n", "9000\n"))
-        reloader.check()
-        reloader.check()
+        reloader.reload_if_changed()
+        reloader.reload_if_changed()
         self.assertEqual(len(heard), 1)
         self.assertEqual(reloader.settings.bounds.grace_ms, 9000)
 
--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -1,8 +1,8 @@
-"""Every metric of a daemon, declared once, and its Prometheus text.
+"""The metrics of a daemon, and their output in the Prometheus text format.
 
-Attributes come from closed sets (reasons, outcomes, pools and zones of the
-configuration), never from callers' input: each new value costs memory for as
-long as the process lives.
+Attribute values come from closed sets (reasons, outcomes, pools and zones of the
+configuration), never from callers' input: each new value takes memory for the lifetime
+of the process.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 from .instruments import (
     InstrumentSpec,
-    Observed,
+    ObservableInstrument,
     build_instrument,
     counter,
     histogram,
@@ -71,7 +71,7 @@
         ),
     ]
     in_flight: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "in_flight", "{request}", "Requests of callers in progress in this process."
         ),
@@ -86,7 +86,7 @@
         ),
     ]
     attempt_faults: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "attempts.faults",
             "{fault}",
@@ -96,10 +96,11 @@
         ),
     ]
     relayed_bytes: Annotated[
-        Observed, observed_counter("relayed", "By", "Bytes of answers passed on.")
+        ObservableInstrument,
+        observed_counter("relayed", "By", "Bytes of answers passed on."),
     ]
     messages: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "messages",
             "{message}",
@@ -109,19 +110,22 @@
         ),
     ]
     unreadable_frames: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "frames.unreadable", "{frame}", "Frames that could not be read."
         ),
     ]
     link_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
-            "links.traffic", "By", "Bytes between daemons, by direction.", "direction"
+            "links.traffic",
+            "By",
+            "Bytes between daemons, by direction.",
+            "direction",
         ),
     ]
     links_up: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge("links.up", "{link}", "Links to other daemons that are open."),
     ]
     link_changes: Annotated[
@@ -134,19 +138,23 @@
         ),
     ]
     config_version: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
-            "config.version", "{version}", "Number of the configuration in force here."
+            "config.version",
+            "{version}",
+            "Number of the configuration in force here.",
         ),
     ]
     freshness_age: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
-            "config.freshness_age", "s", "Time since the configuration was confirmed."
+            "config.freshness_age",
+            "s",
+            "Time since the configuration was confirmed.",
         ),
     ]
     chunk_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "chunks.received",
             "By",
@@ -156,13 +164,15 @@
         ),
     ]
     chunk_bytes_sent: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter("chunks.sent", "By", "Bytes of chunks sent to other daemons."),
     ]
     staged_bytes: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
-            "chunks.staged", "By", "Bytes of checked chunks handed to the engine."
+            "chunks.staged",
+            "By",
+            "Bytes of checked chunks handed to the engine.",
         ),
     ]
     corrupt_draws: Annotated[
@@ -193,7 +203,7 @@
         ),
     ]
     replaced_begun: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_counter(
             "weights.replaced_begun",
             "{request}",
@@ -203,7 +213,7 @@
         ),
     ]
     gate_limit: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge(
             "gate.limit",
             "{request}",
@@ -211,7 +221,7 @@
         ),
     ]
     gate_queued: Annotated[
-        Observed,
+        ObservableInstrument,
         observed_gauge("gate.queued", "{request}", "Requests that wait at the agent."),
     ]
     key_value_calls: Annotated[
@@ -234,7 +244,10 @@
     invariant_violations: Annotated[
         Counter,
         counter(
-            "invariant.violations", "{violation}", "Broken invariants, by name.", "name"
+            "invariant.violations",
+            "{violation}",
+            "Broken invariants, by name.",
+            "name",
         ),
     ]
 
@@ -244,7 +257,7 @@
 
 
 def list_instruments() -> dict[str, InstrumentSpec]:
-    """Return the declaration of each metric by its attribute of `Metrics`."""
+    """Return the declaration of each metric by its attribute name in `Metrics`."""
     specs: dict[str, InstrumentSpec] = {}
     for attribute, hint in get_type_hints(Metrics, include_extras=True).items():
         for extra in get_args(hint)[1:]:
@@ -253,10 +266,10 @@
 
 
 def create_metrics(name: str = "", zone: str = "", role: str = "") -> Metrics:
-    """Make a daemon's instruments in a registry of their own."""
+    """Create the instruments of a daemon in a new registry."""
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
-    # Scope information would add a label to every line of every daemon.
+    # Scope information would add a label to every line.
     reader = PrometheusMetricReader(registry=registry, scope_info_enabled=False)
     resource = Resource(
         {
