--- a/reedspar/fleet/entries.py
+++ b/reedspar/fleet/entries.py
@@ -156,7 +156,7 @@
                 self._deferred[entry.key] = entry
                 continue
             self._deferred.pop(entry.key, None)
-            self._store_entry(entry)
+            self._cache_entry(entry)
             changed.append(entry)
         self.revision = max(self.revision, revision)
         return changed
@@ -168,10 +168,10 @@
         due = list(self._deferred.values())
         self._deferred.clear()
         for entry in due:
-            self._store_entry(entry)
+            self._cache_entry(entry)
         return due
 
-    def _store_entry(self, entry: WatchedEntry) -> None:
+    def _cache_entry(self, entry: WatchedEntry) -> None:
         self._digest ^= _checksum(self._entries.get(entry.key)) ^ _checksum(entry)
         self._entries[entry.key] = entry
         self._newest_revision = max(self._newest_revision, entry.revision)
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -1,8 +1,8 @@
 """Anti-entropy exchange of the store's entries between peers.
 
 The store may refuse or ignore the calls of single machines while it serves the others.
-Such a machine would go on using routes and keys that operators have removed; it gets
-the changes from peers that the store serves.
+Such a machine would continue to use routes and keys that operators have removed; it
+gets the changes from peers that the store serves.
 """
 
 import logging
@@ -116,7 +116,7 @@
     def _handle_document_request(
         self, sender: Sender, request: DocumentRequest
     ) -> None:
-        """Answer even if nothing is newer: the sender waits for an answer."""
+        """Answer even if nothing is newer: the sender asks rarely, and waits for it."""
         cache = self._feed.caches.get(request.prefix)
         if cache is None:
             return
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -31,14 +31,14 @@
 """Bounds of the random delay between calls while the store is unavailable.
 
 The end of an outage is noticed in time, and 15 daemons don't call simultaneously.  Only
-one prefix retries for all, because refused calls are also counted."""
+one prefix retries for all, because refused calls count as calls, too."""
 DEFAULT_BATCH_INTERVAL_S = 0.03
 """Pause between two watches, so that one call returns several successive changes.
 
 It saves about half of the calls while many targets change, and adds 30 ms of delay."""
 POLL_JITTER_MIN = 0.5
 POLL_JITTER_MAX = 1.5
-"""Bounds of the random factor of a poll interval, so that daemons read in turn."""
+"""Bounds of the random factor of a poll interval, which spreads the daemons' reads."""
 DEFERRED_CHECK_INTERVAL_S = 0.25
 
 EntriesListener = Callable[[str, Sequence[WatchedEntry]], None]
@@ -63,9 +63,10 @@
     batch_interval_s: float = DEFAULT_BATCH_INTERVAL_S
     """Pause between two watches; changes made during it are returned by one call."""
     poll_interval_s: float | None = None
-    """Mean interval between reads of a prefix that is polled; None to watch it.
+    """Mean interval between reads of a polled prefix; None to watch the prefix.
 
-    Each read asks peers, and the store only if they don't answer."""
+    Prefixes whose changes are not urgent are polled.  Each read asks peers, and
+    the store only if they don't answer."""
     is_relayed: bool = False
     """A few daemons of each region (readers) watch the prefix for the others."""
     is_pushed: bool = False
@@ -227,6 +228,7 @@
                 tasks.start_soon(self._read_and_follow, cache, is_from_peers)
 
     def _is_document(self, prefix: str) -> bool:
+        """Return whether a prefix has one entry that peers are asked for first."""
         return prefix in self._pollers and not self._prefixes[prefix].is_pushed
 
     def apply_from_peer(self, prefix: str, entries: Iterable[WatchedEntry]) -> int:
--- a/reedspar/fleet/packing.py
+++ b/reedspar/fleet/packing.py
@@ -9,6 +9,7 @@
 
 PACKED_MIN_BYTES = 1024
 UNPACKED_MAX_BYTES = 4 * 1024 * 1024
+"""Size limit of a decompressed value, so that a small message can't exhaust memory."""
 COMPRESSION_LEVEL = 1
 
 
--- a/reedspar/fleet/registration.py
+++ b/reedspar/fleet/registration.py
@@ -21,7 +21,7 @@
 RENEWAL_INTERVAL_S = 1.0
 """A third of the lease, so that a single lost renewal has no effect."""
 RETRY_DELAY_S = 0.5
-"""Delay after a failed call; the lease lasts for six of them, and each call counts."""
+"""Delay after a failed call: a sixth of the lease, as each attempt counts as a call."""
 
 ANSWERED_REASONS = (Reason.NOT_FOUND, Reason.CONFLICT)
 """Failures reported by the store itself, which show that it is available."""
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -102,7 +102,7 @@
 
     def test_machine_refused_by_store_gets_changes_from_peer(self) -> None:
         # The store refuses a single machine.  Operators take a zone out of service, and
-        # without the exchange that machine would go on sending requests to it.
+        # without the exchange that machine would continue to send requests to it.
         taken_out = [WatchedEntry("zones/a", b"", 5), WatchedEntry("zones/b", b"", 9)]
         self.served.receive_from_store("zones/", *taken_out)
         self.unserved.feed.caches["zones/"].mark_unavailable()
--- a/reedspar/fleet/tests/test_registration.py
+++ b/reedspar/fleet/tests/test_registration.py
@@ -101,7 +101,7 @@
         self.run_with(script)
 
     def test_successful_calls_are_recorded(self) -> None:
-        # The only other sign of an outage is a watch, which may take 25 s.
+        # Without these records, only a watch would reveal an outage, up to 25 s later.
         async def script(store: FakeStore, registration: Registration) -> None:
             self.assertEqual(self.success_count, 1)
             store.is_unavailable = True
--- a/reedspar/fleet/tests/test_relay.py
+++ b/reedspar/fleet/tests/test_relay.py
@@ -174,14 +174,14 @@
         # Guards against a lost change going unnoticed once a newer one has arrived.
         self.create(self.listeners[-1])
         digest = self.feed.caches[PREFIX].digest
-        for known, requested_peers in (
+        for reader_digest, expected_requests in (
             (digest, []),
             (digest + 1, [FleetRequest(PREFIX, 0)]),
         ):
-            state = PrefixState(PREFIX, 5, 7, known)
+            state = PrefixState(PREFIX, 5, 7, reader_digest)
             self.network.deliver(self.readers[0], FleetNews((state,), True))
             requests = [m for _, m in self.network.sent if isinstance(m, FleetRequest)]
-            self.assertEqual(requests, requested_peers)
+            self.assertEqual(requests, expected_requests)
 
     def test_lagging_reader_is_not_asked(self) -> None:
         self.create(self.listeners[-1])
