--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -29,11 +29,16 @@
     is_listed: bool = False
     is_list_leaving: bool = False
     observed_ms: int = 0
+    """Observer's wall clock in the latest notice from the instance list."""
     incarnation: int = 0
+    """Newest known incarnation; 0 if unknown."""
     leaving_incarnation: int = -1
+    """Incarnation that has announced that it is leaving; -1 if none has."""
     has_link: bool = False
     refused_s: float = float("-inf")
+    """When a dial was last refused; reset when the daemon connects or joins."""
     joined_s: float = float("-inf")
+    """When a notice of its start was last applied; reset by a refused dial."""
 
     @property
     def is_leaving(self) -> bool:
