--- a/reedspar/configuration/configuration.capnp
+++ b/reedspar/configuration/configuration.capnp
@@ -10,7 +10,7 @@
   clockMs @0 :UInt64;
   # The sender's monotonic clock when it wrote the beacon.
   confirmedAgeMs @1 :UInt32;
-  # Age of the latest confirmation by the key-value service; 4294967295: none.
+  # Age of the latest confirmation by the key-value service; 4294967295 if none.
   attestations @2 :List(Attestation);
   # Age of the latest attestation of each availability zone.
 }
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -47,6 +47,7 @@
 """Assumed bound on the staleness of a read from the key-value service."""
 OUTDATED_PEER_BEACON_INTERVAL_S = 1.0
 BEACON_TIMES_LIMIT = 1024
+"""Maximum number of outdated peers whose last beacon time is kept."""
 FALLBACK_READ_INITIAL_DELAY_S = 4.0
 FALLBACK_READ_MAX_DELAY_S = 60.0
 
@@ -91,7 +92,7 @@
         self._offer: ConfigurationOffer | None = None
         self._is_ready = False
         self._revision = 0
-        self._revision_version = 0
+        self._version_at_revision = 0
         self._attest_after_s = float("inf")
         self._watch_after_s = 0.0
         self._fallback_read_delay_s = FALLBACK_READ_INITIAL_DELAY_S
@@ -161,11 +162,11 @@
 
     def start(self) -> None:
         """Subscribe to messages and timers."""
-        self._network.subscribe(ConfigurationRequest, self._on_request)
-        self._network.subscribe(ConfigurationOffer, self._on_offer)
-        self._view.on_change(self._on_view_change)
-        self._timers.on_pause(self._on_pause)
-        self._on_view_change()
+        self._network.subscribe(ConfigurationRequest, self._handle_request)
+        self._network.subscribe(ConfigurationOffer, self._handle_offer)
+        self._view.on_change(self._handle_view_change)
+        self._timers.on_pause(self._handle_pause)
+        self._handle_view_change()
         self._timers.call_after(self._rng.random() * TICK_INTERVAL_S, self._start_ticks)
 
     def check_work_allowed(self, zone: str) -> Failure | None:
@@ -273,7 +274,7 @@
         self._watch.start(
             self._revision,
             WATCH_TIMEOUT_S,
-            lambda result: self._on_watch_result(started_s, pause_count, result),
+            lambda result: self._handle_watch_result(started_s, pause_count, result),
         )
 
     def _start_fallback_read(self, now_s: float) -> None:
@@ -290,7 +291,7 @@
         )
         self._start_watch()
 
-    def _on_watch_result(
+    def _handle_watch_result(
         self, started_s: float, pause_count: int, result: WatchResult
     ) -> None:
         if isinstance(result, Failure):
@@ -308,11 +309,11 @@
                 self._watch_after_s = self._timers.now_s() + WATCH_RETRY_DELAY_S
                 return
             self._revision = result.revision
-            self._revision_version = stored.document.version
+            self._version_at_revision = stored.document.version
             self.adopt(stored.document)
         # No entry newer than the held revision exists, so the held version is
         # the newest, provided that the revision belongs to that version.
-        is_current = 0 < self._revision_version == self.version
+        is_current = 0 < self._version_at_revision == self.version
         if is_current and pause_count == self._timers.pause_count:
             self._exchange.table.record_confirmation(started_s - MAX_READ_STALENESS_S)
             self._update_readiness()
@@ -329,7 +330,7 @@
             self.counters.requests += 1
             self._network.send(peer, ConfigurationRequest(self.version))
 
-    def _on_request(self, sender: Sender, message: ConfigurationRequest) -> None:
+    def _handle_request(self, sender: Sender, message: ConfigurationRequest) -> None:
         if self._document is None or self._document.version <= message.held_version:
             return
         if self._offer is None:
@@ -338,7 +339,7 @@
         self.counters.offers += 1
         self._network.send(sender.name, self._offer)
 
-    def _on_offer(self, sender: Sender, message: ConfigurationOffer) -> None:
+    def _handle_offer(self, sender: Sender, message: ConfigurationOffer) -> None:
         if message.version <= self.version:
             return
         document = _decode_offer(message)
@@ -349,11 +350,11 @@
             return
         self.adopt(document)
 
-    def _on_view_change(self) -> None:
+    def _handle_view_change(self) -> None:
         self._role.update_members(self._view.zone_members(self._zone))
         self._exchange.table.retain_zones(self._view.zones())
 
-    def _on_pause(self, gap_s: float) -> None:
+    def _handle_pause(self, gap_s: float) -> None:
         self._exchange.invalidate()
         if self._is_ready:
             self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
--- a/reedspar/configuration/exchange.py
+++ b/reedspar/configuration/exchange.py
@@ -1,4 +1,4 @@
-"""Gossip protocol for evidence of freshness, with clock probes to date it."""
+"""Gossip protocol for evidence of freshness, dated by probes of the peers' clocks."""
 
 import random
 from collections.abc import Callable
@@ -33,14 +33,15 @@
 ATTESTATION_PUSH_STEP_S = 0.9
 """Least advance of an attestation that is pushed without a newer confirmation."""
 LONG_AGO_S = -1e9
+"""Stands for the time of evidence that does not exist; precedes any other time."""
 AGING_THRESHOLD_S = 2.5
 """Beyond this age, evidence is pushed at smaller steps and requested at every tick."""
 AGING_PUSH_STEP_S = 0.1
 CONFIRMATION_LOSS_THRESHOLD_S = 2.0
 """Age of the confirmation beyond which beacons carry the attestations of all zones.
 
-Below it they carry only the own zone's, which its standby watchers need: the
-attestations of eleven zones would triple the size of a beacon.
+Below it they carry only that of the sender's zone, which the standby watchers there
+need.  The attestations of eleven zones would triple the size of a beacon.
 """
 
 
@@ -71,9 +72,9 @@
         self._pushed_confirmed_s = LONG_AGO_S
         self._pushed_attestation_s = LONG_AGO_S
         self._invalidated_s = timers.now_s()
-        network.subscribe(ClockProbe, self._on_probe)
-        network.subscribe(ClockReply, self._on_reply)
-        network.subscribe(FreshnessBeacon, self._on_beacon)
+        network.subscribe(ClockProbe, self._handle_probe)
+        network.subscribe(ClockReply, self._handle_reply)
+        network.subscribe(FreshnessBeacon, self._handle_beacon)
 
     @property
     def table(self) -> FreshnessTable:
@@ -172,19 +173,19 @@
         if nonce is not None:
             self._network.send(peer, ClockProbe(nonce))
 
-    def _on_probe(self, sender: Sender, message: ClockProbe) -> None:
+    def _handle_probe(self, sender: Sender, message: ClockProbe) -> None:
         self._handle_sender(sender)
         reply = ClockReply(message.nonce, self._clock_ms())
         self._network.send(sender.name, reply)
         self.send_beacon(sender.name)
 
-    def _on_reply(self, sender: Sender, message: ClockReply) -> None:
+    def _handle_reply(self, sender: Sender, message: ClockReply) -> None:
         self._handle_sender(sender)
         self._clocks.record_reply(
             sender.name, sender.incarnation, message.nonce, message.clock_ms
         )
 
-    def _on_beacon(self, sender: Sender, message: FreshnessBeacon) -> None:
+    def _handle_beacon(self, sender: Sender, message: FreshnessBeacon) -> None:
         self._handle_sender(sender)
         # Evidence that an older version was the newest also holds for the newer one
         # held here.  Evidence for a newer version does not: accepting it would hide
--- a/reedspar/configuration/fetching.py
+++ b/reedspar/configuration/fetching.py
@@ -36,7 +36,7 @@
         self._request = None
 
     def record_bad_offer(self, peer: str) -> None:
-        """Discard a peer whose document was corrupt."""
+        """Discard a peer whose document was corrupt or had another version."""
         self._sources.pop(peer, None)
         self._request = None
 
--- a/reedspar/configuration/freshness.py
+++ b/reedspar/configuration/freshness.py
@@ -21,8 +21,10 @@
 
 CLOCK_DRIFT = 0.001
 """Bound on the relative rate error of two clocks; quartz stays below 0.0002."""
-CLOCK_TTL_S = 60.0
-CLOCK_REFRESH_S = 30.0
+CLOCK_READING_TTL_S = 60.0
+"""Age beyond which a reading of a peer's clock is not used."""
+CLOCK_READING_REFRESH_S = 30.0
+"""Age beyond which a peer's clock is read again."""
 CLOCK_PROBE_TIMEOUT_S = 0.5
 
 
@@ -84,7 +86,7 @@
         clock = self._clocks.get(peer)
         if clock is None or clock.incarnation != incarnation:
             return True
-        return now_s - clock.local_s > CLOCK_REFRESH_S
+        return now_s - clock.local_s > CLOCK_READING_REFRESH_S
 
     def earliest_local_s(
         self, peer: str, incarnation: int, clock_ms: int, now_s: float
@@ -96,7 +98,7 @@
         clock = self._clocks.get(peer)
         if clock is None or clock.incarnation != incarnation:
             return None
-        if now_s - clock.local_s > CLOCK_TTL_S:
+        if now_s - clock.local_s > CLOCK_READING_TTL_S:
             return None
         elapsed_s = clock_ms / 1000 - clock.peer_s
         return min(now_s, clock.local_s + elapsed_s - abs(elapsed_s) * CLOCK_DRIFT)
--- a/reedspar/configuration/watching.py
+++ b/reedspar/configuration/watching.py
@@ -28,7 +28,9 @@
 STANDBY_RANK_LIMIT = 8
 """Daemons ranked here or beyond never take over, which bounds the rate of calls."""
 TAKEOVER_AGE_S = 2.5
+"""Age of the zone's latest attestation beyond which the first standby takes over."""
 TAKEOVER_STAGGER_S = 0.5
+"""Increase of that age from each standby to the next in rank."""
 TAKEOVER_DURATION_S = 10.0
 
 WatchResult = KeyValueEntry | Failure | None
