--- a/reedspar/timeline/explanation.py
+++ b/reedspar/timeline/explanation.py
@@ -1,8 +1,9 @@
 """Reconstruction of one request from the logs of all processes.
 
-An explanation has the lines that name the request, and the state that the processes
-last logged before it ended.  Clocks differ between processes, so lines of other
-processes are accepted up to `MAX_CLOCK_SKEW_S` after the end, and keep their own times.
+An explanation contains the lines that name the request, and the state that the
+processes last logged before it ended.  Clocks differ between processes, so lines of
+other processes are accepted up to `MAX_CLOCK_SKEW_S` after the end, and keep their own
+times.
 """
 
 from collections.abc import Iterable, Sequence
@@ -123,6 +124,7 @@
 
 
 def _find_known(lines: Sequence[LogLine], own: Sequence[LogLine]) -> list[LogLine]:
+    """Return the last lines on state that is relevant to the request, in time order."""
     processes = {line.process for line in own}
     targets = {str(t) for line in own for t in line.fields.get("targets", ())}
     pools = {str(line.fields.get("pool", "")) for line in own} - {""}
