--- a/reedspar/daemon/run.py
+++ b/reedspar/daemon/run.py
@@ -54,7 +54,7 @@
     """Set `stop` at the first signal, and ignore further ones.
 
     Supervisors may send several signals.  The default action of the second one would
-    end the process while it drains, and break off the answers to its callers.
+    end the process while it drains, and interrupt the answers to its callers.
     """
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -44,7 +44,7 @@
 """Consecutive failed reads after which the engine counts as lost."""
 METRICS_SHUTDOWN_TIMEOUT_S = 0.3
 OLDER_VERSION_MARGIN_S = 0.4
-"""Entries send nothing new to an older version from this long before the bound."""
+"""Entries stop sending requests to an older version this long before its time limit."""
 
 _logger = logging.getLogger(__name__)
 
@@ -148,7 +148,7 @@
         )
         failures = 0
         while True:
-            # Peers may still report when a version was named.
+            # Peers may still report an earlier naming time.
             self._update_named_versions()
             state = await self.engine.read_state()
             if isinstance(state, Failure):
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -42,7 +42,7 @@
 FORCED_STOP_MARGIN_S = 1.0
 """Time before the forced end for the last bytes of answers and closing sockets."""
 ACCEPTING_FRACTION = 0.4
-"""Fraction of a graceful stop in which new requests are still accepted.
+"""Fraction of the grace period in which new requests are still accepted.
 
 Callers cache an address for its time to live, a few for three times as long.  The
 remaining time is needed for the longest answers that usually occur."""
