--- a/reedspar/links/connection.py
+++ b/reedspar/links/connection.py
@@ -22,8 +22,10 @@
 BULK_BACKLOG_MAX_BYTES = 512 * 1024
 BATCH_MAX_BYTES = 256 * 1024
 BATCH_WRITE_INTERVAL_S = 0.002
-"""Minimum time from one write to the next if that contains only a batch, so that tokens
-at higher rates share a write and a frame.  An idle link writes without delay."""
+"""Minimum time between a write and a following one that contains only a batch.
+
+Tokens that arrive faster share a write and a frame.  An idle link writes without delay.
+"""
 
 
 class FrameBuffer:
--- a/reedspar/links/monitor.py
+++ b/reedspar/links/monitor.py
@@ -1,8 +1,8 @@
 """Failure detection for the link to a peer, by heartbeats and replacement dials.
 
-A connection can fall silent for good while new ones work, when a middlebox has lost
-its state.  Silence alone therefore doesn't mark the peer as down: a second connection
-is dialled first, and the peer is down only if that fails.
+A connection can become permanently silent while new ones work, when a middlebox has
+lost its state.  Silence alone therefore doesn't mark the peer as down: a second
+connection is dialled first, and the peer is down only if that fails.
 """
 
 import random
--- a/reedspar/links/on_demand.py
+++ b/reedspar/links/on_demand.py
@@ -43,6 +43,7 @@
     address: PeerAddress
     last_used_s: float
     held: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
+    """Messages that wait for the link, each with the time at which it was queued."""
 
 
 class OnDemandNetwork(ForwardingNetwork):
--- a/reedspar/links/tests/test_on_demand.py
+++ b/reedspar/links/tests/test_on_demand.py
@@ -12,14 +12,14 @@
     def __init__(self) -> None:
         self.sent: list[tuple[str, str]] = []
         self.open: set[str] = set()
-        self.wanted: set[str] = set()
+        self.desired: set[str] = set()
 
     def on_link_event(self, listener) -> None:
         self.listener = listener
 
     def set_desired_peers(self, owner, peers) -> None:
         self.addresses = {peer.name: peer.port for peer in peers}
-        self.wanted = set(self.addresses)
+        self.desired = set(self.addresses)
 
     def send(self, peer, message, priority=0):
         if peer not in self.open:
@@ -60,7 +60,7 @@
 
     def test_message_is_queued_until_its_link_is_open(self) -> None:
         self.assertIsNone(self.network.send("a", "m1"))
-        self.assertEqual(self.inner.wanted, {"a"})
+        self.assertEqual(self.inner.desired, {"a"})
         self.inner.open_link("a")
         self.assertEqual(self.inner.sent, [("a", "m1")])
 
@@ -77,11 +77,11 @@
             self.network.send("a", message)
         self.network.send("b", "m")
         self.network.send("c", "m")
-        self.assertEqual(self.inner.wanted, {"b", "c"})
+        self.assertEqual(self.inner.desired, {"b", "c"})
         self.inner.open_link("a")
         self.assertEqual(self.inner.sent, [])
         self.advance(31.0)
-        self.assertEqual(self.inner.wanted, set())
+        self.assertEqual(self.inner.desired, set())
 
     def test_replaced_peer_is_dialled_at_its_new_address(self) -> None:
         # An instance is replaced by one with the same name at another address.  The old
