--- a/reedspar/attempts/messages.py
+++ b/reedspar/attempts/messages.py
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """Ends an answer, which is complete only if `kind` and `digest` say so."""
+    """Ends an answer, complete only if `kind` is ``COMPLETE`` and `digest` matches."""
 
     request_id: str
     attempt: int
--- a/reedspar/routes/table.py
+++ b/reedspar/routes/table.py
@@ -107,9 +107,9 @@
     def services_for_model(self, model: str) -> tuple[str, ...]:
         """Return the names of the services whose engines serve `model`."""
         return tuple(
-            terms.name
-            for terms in self.services.values()
-            if terms.engine is not None and model in terms.engine.models
+            service.name
+            for service in self.services.values()
+            if service.engine is not None and model in service.engine.models
         )
 
 
--- a/reedspar/targets/dispatcher.py
+++ b/reedspar/targets/dispatcher.py
@@ -261,4 +261,4 @@
         now_s = self._timers.now_s()
         for record in self._queue.pop_expired(now_s):
             self._refuse(record, Failure(Reason.EXPIRED, Step.AGENT_ADMIT))
-        self._table.forget_expired(now_s)
+        self._table.remove_expired(now_s)
--- a/reedspar/targets/gate.py
+++ b/reedspar/targets/gate.py
@@ -142,7 +142,7 @@
         self._in_flight += 1
 
     def note_ended(self) -> None:
-        """Uncount a request that is no longer at the target."""
+        """Remove a request that is no longer at the target from the count."""
         self._in_flight -= 1
         if not self._in_flight:
             self._is_confirmed = False
@@ -186,8 +186,8 @@
         if self._consecutive_late == LATE_COUNT_TO_HALVE_LIMIT:
             self._limit = max(self._settings.cold_concurrency, self._limit // 2)
         elif self._consecutive_late == LATE_COUNT_TO_TURN_COLD:
-            # Learn the average again; otherwise a permanently slower target would
-            # be taken for cold repeatedly.
+            # Restart the average; otherwise a permanently slower target would be
+            # taken for cold repeatedly.
             self._stream_first_byte_s = 0.0
             self._turn_cold()
 
--- a/reedspar/targets/queue.py
+++ b/reedspar/targets/queue.py
@@ -1,4 +1,8 @@
-"""Priority queue of admitted attempts; first in, first out within a priority."""
+"""Priority queue of admitted attempts.
+
+The highest priority number is first; within a priority, the order is first in, first
+out.
+"""
 
 import heapq
 import itertools
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -202,7 +202,7 @@
             record.data.clear()
         return record
 
-    def forget_expired(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Remove ended attempts whose time to live has passed."""
         for key in list(self._ended):
             record = self._records[key]
--- a/reedspar/targets/tests/test_controller.py
+++ b/reedspar/targets/tests/test_controller.py
@@ -29,7 +29,7 @@
 )
 from reedspar.timers import TimerService, VirtualClock
 
-WHOLE = b"begin end"
+ANSWER_BODY = b"begin end"
 
 
 class TargetControllerTest(unittest.TestCase):
@@ -88,10 +88,10 @@
             await self.deliver(make_start("r1"))
             await self.release()
             (end,) = self.network.sent_of(AttemptEnd)
-            self.assertEqual(self.body(), WHOLE)
+            self.assertEqual(self.body(), ANSWER_BODY)
             self.assertIs(end.kind, EndKind.COMPLETE)
-            self.assertEqual(end.length_bytes, len(WHOLE))
-            self.assertEqual(end.digest, hashlib.sha256(WHOLE).hexdigest())
+            self.assertEqual(end.length_bytes, len(ANSWER_BODY))
+            self.assertEqual(end.digest, hashlib.sha256(ANSWER_BODY).hexdigest())
 
         self.run_scenario(scenario)
 
@@ -141,7 +141,7 @@
             await self.release()
             self.network.sent.clear()
             await self.deliver(AttemptResume("r1", 1, 6, agent_incarnation=1))
-            self.assertEqual(self.body(), WHOLE[6:])
+            self.assertEqual(self.body(), ANSWER_BODY[6:])
             self.assertEqual(len(self.network.sent_of(AttemptEnd)), 1)
             self.assertEqual(self.target.runs, ["r1.1"])
 
@@ -279,8 +279,8 @@
                 (refusal,) = self.network.sent_of(AttemptRefused)
                 self.assertIs(refusal.reason, Reason.DRAINING)
                 await self.release()
-                await self.deliver(AttemptAck("r1", 1, len(WHOLE), True))
-            self.assertEqual(self.body(), WHOLE)
+                await self.deliver(AttemptAck("r1", 1, len(ANSWER_BODY), True))
+            self.assertEqual(self.body(), ANSWER_BODY)
 
         self.run_scenario(scenario)
 
