--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -21,12 +21,12 @@
     estimate_stream_pause_s,
 )
 from .loads import (
+    AverageLoad,
     LoadReport,
     OwnAttempt,
     TargetLoad,
     TargetLoads,
-    UsualLoad,
-    average_load,
+    compute_average_load,
 )
 from .refusals import RETRY_AFTER_S, Refusals
 from .replaced import ReplacedWeightsLog
@@ -97,7 +97,7 @@
         cold: ColdLimits,
         versions: VersionRule,
         timers: TimerService,
-        zones: dict[str, str],
+        region_by_zone: dict[str, str],
         region: str,
         crashes: CrashDetector,
         replaced: ReplacedWeightsLog,
@@ -106,10 +106,12 @@
         self._view = view
         self._loads = loads
         self._cold = cold
-        self._eligibility = TargetEligibility(view, loads, cold, versions, zones)
+        self._eligibility = TargetEligibility(
+            view, loads, cold, versions, region_by_zone
+        )
         self._refusals = Refusals(view, timers, rng)
         self._timers = timers
-        self._regions = zones
+        self._region_by_zone = region_by_zone
         self._region = region
         self._crashes = crashes
         self._replaced = replaced
@@ -125,11 +127,11 @@
         eligible = self._eligibility.list_eligible(request, tried, now_s)
         if not eligible:
             return self._refusals.refuse_without_target(request, tried)
-        usual = average_load(
+        average = compute_average_load(
             (self._loads.for_target(known.record.id) for known in eligible), now_s
         )
         candidates = [
-            self._estimate(request, service, known, load, usual, now_s)
+            self._estimate(request, service, known, load, average, now_s)
             for known, load in self._eligibility.list_available(
                 eligible, service, now_s
             )
@@ -158,12 +160,12 @@
         if excess_s > 0:
             detail = f"the first answer is expected in {best_s:.2f} s"
             return self._refusals.refuse_late(detail, excess_s)
-        near = [
+        nearly_best = [
             candidate
             for candidate in candidates
             if candidate.expected_wait_s <= best_s + ESTIMATE_TOLERANCE_S
         ]
-        chosen = self._rng.choice(near)
+        chosen = self._rng.choice(nearly_best)
         return DirectTarget(
             chosen.known.record.id,
             chosen.raw_estimate_s,
@@ -250,7 +252,7 @@
         service: ServiceParameters | None,
         known: KnownTarget,
         load: TargetLoad,
-        usual: UsualLoad,
+        average: AverageLoad,
         now_s: float,
     ) -> _Candidate:
         region_penalty_s = self._region_penalty_s(known)
@@ -258,7 +260,7 @@
         if engine is None:
             waiting_s = load.count(now_s) * ESTIMATE_TOLERANCE_S
             return _Candidate(known, load, waiting_s, waiting_s + region_penalty_s)
-        engine_load = _make_engine_load(load, usual, engine, now_s)
+        engine_load = _make_engine_load(load, average, engine, now_s)
         raw_estimate_s = estimate_first_event_s(
             engine, engine_load, request.prompt_tokens
         )
@@ -287,7 +289,7 @@
 
     def _region_penalty_s(self, known: KnownTarget) -> float:
         """Return the penalty for a target in another region, 0 in this region."""
-        is_near = self._regions.get(known.record.zone) == self._region
+        is_near = self._region_by_zone.get(known.record.zone) == self._region
         return 0.0 if is_near else OTHER_REGION_PENALTY_S
 
     def _wait_limit_s(self, request: Request, best: _Candidate) -> float:
@@ -310,12 +312,12 @@
 
 
 def _make_engine_load(
-    load: TargetLoad, usual: UsualLoad, engine: EngineParameters, now_s: float
+    load: TargetLoad, average: AverageLoad, engine: EngineParameters, now_s: float
 ) -> EngineLoad:
-    others_waiting = load.others_waiting(now_s, usual)
+    others_waiting = load.others_waiting(now_s, average)
     own_waiting = load.own_waiting()
     waiting = own_waiting + others_waiting
     tokens = load.own_waiting_tokens() + others_waiting * engine.typical_prompt_tokens
     pace = load.report.pace if load.report is not None else 1.0
-    decoding = max(0.0, load.count(now_s, usual) - waiting)
+    decoding = max(0.0, load.count(now_s, average) - waiting)
     return EngineLoad(tokens, decoding, waiting, max(1.0, pace))
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -132,8 +132,8 @@
     def sweep(self) -> None:
         """Withdraw attempts that may no longer begin, and abandon silent ones.
 
-        A connection can stall without a reset, and a target can hang.  Otherwise the
-        request would wait until its caller abandons it.
+        If a connection stalls without a reset or a target hangs, the request would
+        otherwise wait until its caller abandons it.
         """
         now_s = self._timers.now_s()
         waiting = [r for r in self._running.values() if _awaits_head(r)]
--- a/reedspar/direct/cold.py
+++ b/reedspar/direct/cold.py
@@ -13,12 +13,12 @@
 __all__ = ["ColdLimits"]
 
 STARTUP_MAX_S = 4.0
-"""Time after the start of an entry in which its list of entries may be incomplete.
+"""Maximum time after its start for which an entry applies startup limits.
 
-After a power loss all entries start within seconds of each other, and an entry is
-listed only once it has registered."""
-SETTLE_S = 1.5
-"""Time without a change of the known daemons after which startup ends early."""
+Its list of entries may be incomplete then.  After a power loss all entries start within
+seconds of each other, and an entry is listed only once it has registered."""
+ENTRIES_SETTLE_TIME_S = 1.5
+"""Time without a change of the known daemons after which startup limits end early."""
 ENTRIES_PER_TARGET = 2.0
 """Minimum number of entries assumed during startup, per listed target."""
 
@@ -30,7 +30,7 @@
 Each may send one request at once after a pause, so nine senders exceed the rate by at
 most nine within a second.  The platform tolerates an excess of half the rate and five,
 which is 23 at 36 requests a second.  With 46 senders, 92 requests arrived within a
-second under virtual time."""
+second in a simulation."""
 SENDERS_MIN = 3
 """Minimum number of senders assumed: an entry that just started may know no others."""
 CACHED_TARGETS_MAX = 4096
@@ -51,14 +51,16 @@
         self._startup_end_s = self._startup_deadline_s = float("-inf")
 
     def note_started(self, now_s: float) -> None:
-        """Apply startup limits until entries settle, for at most `STARTUP_MAX_S`."""
+        """Apply startup limits until entries are stable, at most `STARTUP_MAX_S`."""
         self._startup_deadline_s = now_s + STARTUP_MAX_S
-        self._startup_end_s = now_s + SETTLE_S
+        self._startup_end_s = now_s + ENTRIES_SETTLE_TIME_S
 
     def note_entries_changed(self, now_s: float) -> None:
-        """Restart the settle time if the startup limits still apply."""
+        """Restart the wait for stable entries if the startup limits still apply."""
         if self._is_starting(now_s):
-            self._startup_end_s = min(now_s + SETTLE_S, self._startup_deadline_s)
+            self._startup_end_s = min(
+                now_s + ENTRIES_SETTLE_TIME_S, self._startup_deadline_s
+            )
 
     def set_target_count(self, count: int) -> None:
         """Set the number of targets of all services."""
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/directory.py
@@ -22,8 +22,9 @@
     """Return the entries for a caller: those of its zone, its region, or all.
 
     Traffic between zones is charged and traffic between regions shares links of little
-    bandwidth, so a caller gets the entries of its zone if there are enough.  Requests
-    restricted to some regions get only entries there or in the caller's region.
+    bandwidth, so a caller gets the entries of its zone if there are enough.  If its
+    requests are restricted to some regions, it gets only entries there or in its own
+    region.
     """
     allowed = [
         entry
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -25,13 +25,13 @@
         loads: TargetLoads,
         cold: ColdLimits,
         versions: VersionRule,
-        regions: Mapping[str, str],
+        region_by_zone: Mapping[str, str],
     ) -> None:
         self._view = view
         self._loads = loads
         self._cold = cold
         self._versions = versions
-        self._regions = regions
+        self._region_by_zone = region_by_zone
 
     def list_eligible(
         self, request: Request, tried: Collection[str], now_s: float
@@ -56,7 +56,7 @@
         """
         rate_per_s = cold_rate_per_s(service)
         pairs = [(known, self._loads.for_target(known.record.id)) for known in eligible]
-        pairs = [pair for pair in pairs if now_s >= pair[1].not_taking_until_s]
+        pairs = [pair for pair in pairs if now_s >= pair[1].not_accepting_until_s]
         pairs = [
             (known, load)
             for known, load in pairs
@@ -82,7 +82,7 @@
         record = known.record
         if ineligibility_reason(record, self._view, self._loads):
             return False
-        region = self._regions.get(record.zone)
+        region = self._region_by_zone.get(record.zone)
         if request.regions is not None and region not in request.regions:
             return False
         if not request.model:
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -65,8 +65,8 @@
 def estimate_stream_pause_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
     """Return the longest pause that queued prompts cause in running streams.
 
-    In each step between two events an engine prefills up to a fixed number of prompt
-    tokens, so all queued prompts may be prefilled between two events of a stream.  The
+    In each of the steps between two events an engine prefills up to a fixed number of
+    prompt tokens, so all queued prompts may be prefilled between two events.  The
     new request's own prompt is not counted; otherwise long prompts would be refused
     more often than others.
     """
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -26,7 +26,7 @@
 
 
 class RouteIdentificationFilter:
-    """Find the route, the workspace and the service of a request."""
+    """Finds the route, the workspace and the service of a request."""
 
     def __init__(
         self, view: FleetView, is_store_slow: Callable[[], bool], rng: random.Random
@@ -86,7 +86,7 @@
 
 
 class DeadlineFilter:
-    """Limit a request to the caller's timeout and the route's."""
+    """Limits a request to the caller's timeout and the route's."""
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Set the deadline; refuse a request without time left."""
--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/limits.py
@@ -1,4 +1,4 @@
-"""Checks of an attempt before it is sent and while it waits for its answer."""
+"""Checks of an attempt before it is sent and while it waits to begin."""
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.fleet import FleetView
@@ -38,13 +38,13 @@
         `check_interval_s` is the time between two calls of `check_waiting`.
         """
         known = self._view.target(target_id)
-        closed = (
+        unavailable = (
             ineligibility_reason(known.record, self._view, self._loads)
             if known
             else "it is no longer known"
         )
-        if closed:
-            return _refuse(target_id, f"unavailable after connecting: {closed}")
+        if unavailable:
+            return _refuse(target_id, f"unavailable after connecting: {unavailable}")
         attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None:
             return None
--- a/reedspar/direct/loads.py
+++ b/reedspar/direct/loads.py
@@ -7,12 +7,12 @@
 from reedspar.utils import TokenBucket
 
 __all__ = [
+    "AverageLoad",
     "LoadReport",
     "OwnAttempt",
     "TargetLoad",
     "TargetLoads",
-    "UsualLoad",
-    "average_load",
+    "compute_average_load",
 ]
 
 REPORT_DECAY_S = 1.5
@@ -30,7 +30,7 @@
 NO_REPORT_WEIGHT = 0.1
 """Weight of the assumption that targets are idle, in units of a fresh report."""
 
-NOT_TAKING_TTL_S = 1.0
+NOT_ACCEPTING_TTL_S = 1.0
 """Time for which an agent's report that its target takes no requests is valid.
 
 Agents repeat it four times a second; the report of an agent that died must expire."""
@@ -75,12 +75,13 @@
     report: LoadReport | None = None
     reported_s: float = float("-inf")
     own_at_report: int = 0
+    """Own attempts when the last report arrived; the report counts them too."""
     backoff_until_s: float = float("-inf")
     failures: int = 0
     cold_bucket: TokenBucket | None = None
     replaced_boot: str = ""
     """Boot id of the target that another one has replaced at its address."""
-    not_taking_until_s: float = float("-inf")
+    not_accepting_until_s: float = float("-inf")
     """End of the period in which the target takes no requests, as last reported."""
 
     def own_waiting_tokens(self) -> int:
@@ -91,24 +92,32 @@
         """Return the number of own attempts whose answers have not begun."""
         return sum(not attempt.has_begun for attempt in self.own.values())
 
-    def others_in_flight(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
+    def others_in_flight(
+        self, now_s: float, average: "AverageLoad | None" = None
+    ) -> float:
         """Return the estimated number of requests from other entries at the target.
 
         As the report gets older, the estimate moves to the average of the pool.
         """
         report_weight = self.report_weight(now_s)
-        average_part = (1 - report_weight) * usual.others if usual is not None else 0.0
+        average_part = (
+            (1 - report_weight) * average.others if average is not None else 0.0
+        )
         return report_weight * self.others_at_report + average_part
 
-    def others_waiting(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
+    def others_waiting(
+        self, now_s: float, average: "AverageLoad | None" = None
+    ) -> float:
         """Return the estimated number of waiting requests from other entries."""
         report_weight = self.report_weight(now_s)
-        average_part = (1 - report_weight) * usual.waiting if usual is not None else 0.0
+        average_part = (
+            (1 - report_weight) * average.waiting if average is not None else 0.0
+        )
         return report_weight * self.waiting_at_report + average_part
 
-    def count(self, now_s: float, usual: "UsualLoad | None" = None) -> float:
+    def count(self, now_s: float, average: "AverageLoad | None" = None) -> float:
         """Return the estimated number of all requests at the target."""
-        return len(self.own) + self.others_in_flight(now_s, usual)
+        return len(self.own) + self.others_in_flight(now_s, average)
 
     @property
     def others_at_report(self) -> int:
@@ -130,8 +139,8 @@
         self.report = report
         self.reported_s = now_s
         self.own_at_report = len(self.own)
-        self.not_taking_until_s = (
-            now_s + NOT_TAKING_TTL_S if not report.is_taking else now_s
+        self.not_accepting_until_s = (
+            now_s + NOT_ACCEPTING_TTL_S if not report.is_taking else now_s
         )
 
     def note_unreachable(self, now_s: float) -> None:
@@ -156,19 +165,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UsualLoad:
+class AverageLoad:
     """Average number of requests from other entries at the targets of a pool.
 
-    One of many entries gets a report of a given target only every few seconds, but a
-    report of some target all the time.  If a target counted as idle once its report is
-    old, all entries would fill it at once.
+    If there are many entries, each receives a report of any given target only every few
+    seconds, but frequent reports of other targets.  If a target counted as idle once
+    its report is old, all entries would fill it at the same time.
     """
 
     others: float = 0.0
     waiting: float = 0.0
 
 
-def average_load(loads: Iterable[TargetLoad], now_s: float) -> UsualLoad:
+def compute_average_load(loads: Iterable[TargetLoad], now_s: float) -> AverageLoad:
     """Return the weighted average of the reports."""
     others = waiting = 0.0
     weight = NO_REPORT_WEIGHT
@@ -177,7 +186,7 @@
         others += report_weight * load.others_at_report
         waiting += report_weight * load.waiting_at_report
         weight += report_weight
-    return UsualLoad(others / weight, waiting / weight)
+    return AverageLoad(others / weight, waiting / weight)
 
 
 class TargetLoads:
@@ -193,13 +202,13 @@
             load = self._loads[target_id] = TargetLoad()
         return load
 
-    def forget(self, target_id: str) -> None:
+    def remove(self, target_id: str) -> None:
         """Remove a target that no longer exists, unless it has open attempts."""
         load = self._loads.get(target_id)
         if load is not None and not load.own:
             del self._loads[target_id]
 
-    def forget_restarted(self, target_id: str) -> None:
+    def reset_after_restart(self, target_id: str) -> None:
         """Discard the report and the backoff from before a target's restart."""
         load = self._loads.get(target_id)
         if load is not None:
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -111,10 +111,10 @@
         record = change.record
         if record is None:
             self._boot_ids.pop(change.target_id, None)
-            self._loads.forget(change.target_id)
+            self._loads.remove(change.target_id)
         elif self._boot_ids.get(record.id) != record.boot_id:
             self._boot_ids[record.id] = record.boot_id
-            self._loads.forget_restarted(record.id)
+            self._loads.reset_after_restart(record.id)
 
     def _update_entries(self) -> None:
         entries = self._view.daemons(Role.ENTRY.value)
--- a/reedspar/direct/tests/test_choice.py
+++ b/reedspar/direct/tests/test_choice.py
@@ -59,8 +59,8 @@
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
-            homes = {"key": WorkspaceAccess("shop", regions=frozenset({"rb"}))}
-            view.apply(RoutesChange(make_table(2, workspaces=homes)))
+            workspaces = {"key": WorkspaceAccess("shop", regions=frozenset({"rb"}))}
+            view.apply(RoutesChange(make_table(2, workspaces=workspaces)))
             call = await self.send(service, Call("/s/1"))
             self.assertEqual(call.outcome, "not-run")
             view.apply(TargetChange("o2", make_order_target("o2", zone="b")))
@@ -85,7 +85,7 @@
     def test_replaced_target_gets_no_more_requests(self) -> None:
         # Guards against refusals after a power loss, when every target returns under
         # another id while the store lists the old ones for seconds: each request was
-        # sent to two old targets, declined, and refused to its caller.
+        # sent to two old targets, declined by both, and then refused.
         def answer(target_id: str, request: TargetRequest) -> Any:
             if target_id == "q2":
                 return FakeResponse([b"ok"])
@@ -171,7 +171,7 @@
         self.run_with(script)
 
     def test_cold_target_gets_only_its_share(self) -> None:
-        # Guards against crashing a target that has just started by full load.
+        # Guards against full load on a target that has just started: it would crash.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_cold_starts.py
+++ b/reedspar/direct/tests/test_cold_starts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from unittest import mock
 
-from reedspar.direct.cold import SETTLE_S, ColdLimits
+from reedspar.direct.cold import ENTRIES_SETTLE_TIME_S, ColdLimits
 from reedspar.direct.loads import TargetLoad
 from reedspar.utils import rank_by_rendezvous
 
@@ -105,7 +105,7 @@
         limit.set_entries(f"entry-{i}" for i in range(fleet.entries))
         limit.set_target_count(fleet.targets)
         limit.note_started(0.0)
-        now_s = SETTLE_S
+        now_s = ENTRIES_SETTLE_TIME_S
         for i in range(TARGETS):
             load = TargetLoad()
             self.assertTrue(limit.may_send(f"t{i}", load, fleet.rate_per_s, now_s))
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_decisions.py
@@ -23,7 +23,7 @@
 
 class EstimateTest(unittest.TestCase):
     def test_idle_engine_takes_the_prefill_time(self) -> None:
-        # 979 tokens at 20.7 a millisecond are 47 ms.
+        # 979 tokens at 20.7 a millisecond are 47 ms; the network takes another 20 ms.
         self.assertAlmostEqual(estimate_s(0, 0, 0, 979), 0.067, delta=0.005)
 
     def test_queued_prompts_and_decoding_delay_the_first_event(self) -> None:
@@ -145,7 +145,8 @@
 
     def test_deadline_of_a_version_follows_from_the_next_one(self) -> None:
         # Guards against a third version that moves the first version's deadline: the
-        # first must not be used after the second's bound, the second until the third's.
+        # first version may be used until the bound that follows from the second one,
+        # and the second until the bound that follows from the third.
         self.rule.note_store_listed()
         self.clock.advance(1.0)
         self.name(2)
--- a/reedspar/direct/tests/test_hand_over.py
+++ b/reedspar/direct/tests/test_hand_over.py
@@ -70,7 +70,8 @@
         self.check_moved(TargetChange("first", None))
 
     def test_zone_that_is_taken_out_meanwhile_gets_nothing(self) -> None:
-        # Guards against sending to a zone that operators took out meanwhile.
+        # Guards against sending to a zone that operators took out while the connection
+        # was being made.
         self.check_moved(ZoneChange("a", True))
 
     def test_caller_that_disconnects_meanwhile_sends_nothing_to_a_target(
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -1,6 +1,6 @@
 """Tests of the choice of targets under load by many independent entries.
 
-The loads are those of busy days: within the capacity of ten engines, at it, a quarter
+The loads are those of busy days: within and at the capacity of ten engines, a quarter
 above the capacity of five engines while others still load weights, and a large site.
 The asserted bounds lie between the results of the current rules and of earlier ones.
 """
@@ -25,8 +25,8 @@
 
     def test_load_above_capacity_is_refused_and_not_late(self) -> None:
         # Guards against late answers when five engines have weights but ten are needed.
-        # Entries that filled the engines up to the latency goal by their own knowledge
-        # made one answer in eight late.
+        # When each entry filled the engines up to the latency goal, based only on the
+        # load that it knew, one answer in eight was late.
         outcomes = self.play("a quarter over, five engines")
         self.assertLess(outcomes.late, 0.08)
         self.assertGreater(outcomes.worth, 0.7)
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced.py
@@ -12,7 +12,7 @@
 BOUND_S = 8.0
 
 
-class ReplacedLogTest(unittest.TestCase):
+class ReplacedWeightsLogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = VirtualClock(100.0)
         timers = TimerService(self.clock)
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -11,13 +11,13 @@
 A new version becomes known here within 0.25 s.  If it takes longer, the peers report
 when they learned of it."""
 WAIT_FACTOR = 2.0
-"""Assumed maximum ratio of a request's actual to its expected wait."""
+"""Assumed maximum ratio of a request's actual wait to its expected wait."""
 UNDATED_VERSION_GRACE_S = 1.0
 """Time for which an older version is still used after the start of this entry.
 
-It is then unknown when the newer version was named.  The platform counts no violations
-within 3 s after a process starts, of which starting and listing the store take up to
-1 s; a request may wait 0.5 s before it begins."""
+It is unknown when a newer version in the initial listing was named.  The platform
+counts no violations within 3 s after a process starts, of which starting and listing
+the store take up to 1 s; a request may wait 0.5 s before it begins."""
 
 
 class VersionRule:
