--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -187,7 +187,7 @@
         network=links.on_demand("crashes"),
         dialer=adapters.create_dialer(view),
         adapter=adapters.caller_adapter,
-        others=adapters.metrics_app,
+        fallback=adapters.metrics_app,
         is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
         first_filters=(RequestLog(view, timers, adapters.metrics),),
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -140,7 +140,7 @@
     network: Network,
     dialer: TargetDialer,
     adapter: CallerAdapter,
-    others: ASGIApp,
+    fallback: ASGIApp,
     is_store_slow: Callable[[], bool],
     rng: random.Random,
     first_filters: tuple[Filter, ...] = (),
@@ -195,7 +195,7 @@
         RequestIdGenerator(settings.name, incarnation),
         timers,
         CallerLimits().body_bytes,
-        others,
+        fallback,
     )
     return DirectService(
         application, client, chooser, loads, versions, replaced, follower
--- a/reedspar/direct/tests/fakes.py
+++ b/reedspar/direct/tests/fakes.py
@@ -254,7 +254,7 @@
         network=FakeNetwork(),  # type: ignore[arg-type]
         dialer=dialer,
         adapter=HostAdapter(),
-        others=Starlette(),
+        fallback=Starlette(),
         is_store_slow=lambda: False,
         rng=random.Random(1),
     )
