--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -22,6 +22,7 @@
 WINDOW_MAX = 4096.0
 WINDOW_DECREASE_FACTOR = 0.9
 PRIORITY_MAX = 9
+"""The most urgent priority, whose requests may use the whole window."""
 PRIORITY_WINDOW_SPAN = 0.25
 """Share of the window that requests of the lowest priority may not use."""
 SCARCITY_THRESHOLD = 0.6
@@ -100,7 +101,7 @@
         """Admit a request, or return a failure with the time to retry after.
 
         While the targets report spare capacity, the window is not enforced: it
-        grows only with answers, and long streams would be answered too late.
+        grows only with answers, and those of long streams come too late for that.
         """
         self.remove_idle(now_s)
         state = self._workspaces.get(workspace)
@@ -118,12 +119,12 @@
             return None
         is_over = self._is_over_share(state, priority_limit)
         # Workspaces within their share may use the whole window in a burst,
-        # including the part closed to low priorities, which nobody would use else.
+        # including the part closed to low priorities, which would otherwise be unused.
         is_full = self.in_flight + 1 > (
             priority_limit if is_over else max(priority_limit, self.window)
         )
-        is_short = self.in_flight + 1 > priority_limit * SCARCITY_THRESHOLD
-        if is_full or (is_short and is_over):
+        is_scarce = self.in_flight + 1 > priority_limit * SCARCITY_THRESHOLD
+        if is_full or (is_scarce and is_over):
             self._last_limited_s = now_s
             state.record_refusal(self.latency_s, now_s)
             detail = "capacity is short" if is_full else f"{workspace} uses its share"
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -49,7 +49,7 @@
 class Progress(Enum):
     """Effect of a message on the assembly, and what the client must do next."""
 
-    NEWS = auto()
+    CHANGED = auto()
     """The state changed: wake the waiting task."""
     NOTHING = auto()
     GAP = auto()
@@ -87,7 +87,7 @@
         if self.head is not None or not self.is_open:
             return Progress.NOTHING
         self.head = message
-        return Progress.NEWS
+        return Progress.CHANGED
 
     def on_data(self, message: AttemptData, limit_bytes: int) -> Progress:
         """Append the new bytes of `message` if the buffer stays within `limit_bytes`.
@@ -108,7 +108,7 @@
         self.pieces.append(data)
         self.size_bytes += len(data)
         self.pending_bytes += len(data)
-        return self._check_end() or Progress.NEWS
+        return self._check_end() or Progress.CHANGED
 
     def on_end(self, message: AttemptEnd) -> Progress:
         """Handle the end marker, which may arrive before the last data."""
@@ -131,11 +131,11 @@
             return Progress.NOTHING
         if failure is None:
             self.verdict = Verdict.WHOLE
-            return Progress.NEWS
+            return Progress.CHANGED
         may_have_run = self.head is not None or failure.reason in INCONCLUSIVE_REASONS
         self.verdict = Verdict.UNKNOWN if may_have_run else Verdict.NOT_RUN
         self.failure = failure
-        return Progress.NEWS
+        return Progress.CHANGED
 
     def on_refused(
         self, message: AttemptRefused, incarnation: int, age_s: float
@@ -205,7 +205,7 @@
                 "length or digest of the answer differ from the end marker",
             )
         self.verdict = Verdict.WHOLE
-        return Progress.NEWS
+        return Progress.CHANGED
 
     def _finish(
         self,
@@ -217,4 +217,4 @@
     ) -> Progress:
         self.verdict = verdict
         self.failure = Failure(reason, step, self.target, detail, after_s)
-        return Progress.NEWS
+        return Progress.CHANGED
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -206,7 +206,7 @@
         ]
 
     def _give_up(self, attempt: OpenAttempt, detail: str) -> None:
-        if attempt.assembly.on_lost(detail) is Progress.NEWS:
+        if attempt.assembly.on_lost(detail) is Progress.CHANGED:
             self.counts.lost += 1
             self.cancel(attempt)
             attempt.wake()
@@ -296,7 +296,7 @@
             self._network.send(sender.name, ack)
 
     def _apply_progress(self, attempt: OpenAttempt, progress: Progress) -> None:
-        if progress is Progress.NEWS:
+        if progress is Progress.CHANGED:
             attempt.wake()
         elif progress is Progress.MISSING:
             self.cancel(attempt)
--- a/reedspar/requests/caller_adapter.py
+++ b/reedspar/requests/caller_adapter.py
@@ -97,13 +97,13 @@
         return make_headers(outcome, caller_request_id, weights_digest, headers)
 
 
-def read_headers(scope: Scope, left_out: frozenset[str]) -> tuple[Header, ...]:
-    """Return the request's headers except `left_out`, with lower-case names."""
+def read_headers(scope: Scope, excluded: frozenset[str]) -> tuple[Header, ...]:
+    """Return the request's headers except `excluded`, with lower-case names."""
     decoded = (
         (name.decode("latin-1").lower(), value.decode("latin-1"))
         for name, value in scope["headers"]
     )
-    return tuple(Header(name, value) for name, value in decoded if name not in left_out)
+    return tuple(Header(name, value) for name, value in decoded if name not in excluded)
 
 
 def _split_path(scope: Scope) -> tuple[str, str]:
--- a/reedspar/requests/claim_places.py
+++ b/reedspar/requests/claim_places.py
@@ -25,7 +25,9 @@
 ]
 
 PARTITIONS = 8
-"""Number of partitions; may be changed only like `SLICE_DURATION_S`."""
+"""Number of partitions.
+
+For changing it, the same conditions apply as for `SLICE_DURATION_S`."""
 SLICE_DURATION_S = 1.0
 """Time span of the keys in one slice.
 
@@ -72,7 +74,9 @@
 
 def make_expired_failure(ttl_s: float) -> Failure:
     """Return the failure for a key whose record may have been removed."""
-    detail = f"the key is older than {ttl_s:g} s; whether its order ran is not known"
+    detail = (
+        f"the key is older than {ttl_s:g} s; whether its order ran is no longer known"
+    )
     return Failure(Reason.EXPIRED, Step.DEDUPLICATE, detail=detail)
 
 
--- a/reedspar/requests/endings.py
+++ b/reedspar/requests/endings.py
@@ -99,8 +99,8 @@
     own.append(Header(REQUEST_ID_HEADER, caller_request_id))
     if weights_digest:
         own.append(Header(WEIGHTS_HEADER, weights_digest))
-    left_out = HOP_BY_HOP_HEADERS | OWN_HEADERS
-    forwarded = [item for item in headers if item.name.lower() not in left_out]
+    excluded = HOP_BY_HOP_HEADERS | OWN_HEADERS
+    forwarded = [item for item in headers if item.name.lower() not in excluded]
     return [
         (item.name.lower().encode("latin-1"), item.value.encode("latin-1"))
         for item in [*forwarded, *own]
--- a/reedspar/requests/event_stream.py
+++ b/reedspar/requests/event_stream.py
@@ -33,9 +33,9 @@
         """Append bytes, and return the events that they complete."""
         self._pending += data
         end = max(self._find_end(mark) for mark in _EVENT_ENDS)
-        whole, self._pending = self._pending[:end], self._pending[end:]
-        self._record_events(whole)
-        return whole
+        events, self._pending = self._pending[:end], self._pending[end:]
+        self._record_events(events)
+        return events
 
     def drop_pending(self) -> None:
         """Discard the incomplete event."""
@@ -45,8 +45,8 @@
         position = self._pending.rfind(mark)
         return position + len(mark) if position >= 0 else 0
 
-    def _record_events(self, whole: bytes) -> None:
-        for line in whole.splitlines():
+    def _record_events(self, events: bytes) -> None:
+        for line in events.splitlines():
             if line.startswith(_ID_FIELD):
                 self.last_event_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
                 self.event_count += 1
--- a/reedspar/requests/filters.py
+++ b/reedspar/requests/filters.py
@@ -11,7 +11,12 @@
 from .request import Answer, Filter, Proceed, Request
 from .views import ConfigurationView
 
-__all__ = ["Bound", "Classify", "Identify", "chain_filters"]
+__all__ = [
+    "ClassificationFilter",
+    "IdentificationFilter",
+    "RequestLimitsFilter",
+    "chain_filters",
+]
 
 WORKSPACE_HEADER = "x-workspace"
 DEADLINE_HEADER = "x-deadline-s"
@@ -23,7 +28,7 @@
 """RFC 9110, section 9.2.2."""
 
 
-class Identify:
+class IdentificationFilter:
     """Finds the pool and the workspace of a request."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
@@ -50,7 +55,7 @@
         return await proceed(request)
 
 
-class Bound:
+class RequestLimitsFilter:
     """Limits the time and the size of a request."""
 
     def __init__(
@@ -85,7 +90,7 @@
         return min(allowed_s, self._deadline_s)
 
 
-class Classify:
+class ClassificationFilter:
     """Determines whether a request is idempotent, and its key and fingerprint."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
--- a/reedspar/requests/messages.py
+++ b/reedspar/requests/messages.py
@@ -25,7 +25,7 @@
     """Forwards the report of a target's crash from entry to entry."""
 
     crash_id: str
-    """The target's name and boot id, so that repeated news of a crash count once."""
+    """Includes the target's boot id, so that repeated news of a crash counts once."""
     fingerprints: tuple[str, ...]
     age_ms: int
     """Time since the crash; an age, as the entries' clocks may differ."""
@@ -47,7 +47,7 @@
     EXPIRED = "expired"
     """The record's time to live has passed."""
     UNAVAILABLE = "unavailable"
-    """The write was not confirmed, and may or may not have taken effect."""
+    """The record could not be read or written; the write may have taken effect."""
     NOT_WRITTEN = "not_written"
     """The claim was refused and provably not written."""
 
--- a/reedspar/requests/request.py
+++ b/reedspar/requests/request.py
@@ -80,6 +80,7 @@
     deadline_s: float = 0.0
     workspace: str = ""
     priority: int = 1
+    """For pools, higher numbers are more urgent; for routes, lower ones are."""
     pool_kind: PoolKind = PoolKind.PLAIN
     is_idempotent: bool = False
     idempotency_key: str = ""
--- a/reedspar/requests/retries.py
+++ b/reedspar/requests/retries.py
@@ -9,7 +9,7 @@
 class RetryBudget:
     """Limits retries to a share of first attempts, so they can't amplify an outage.
 
-    Each first attempt adds `share` tokens, and each retry takes 1.  The budget
+    Each first attempt adds `share` tokens, and each retry uses 1.  The budget
     holds at most `burst` tokens, which limits the retries after a long period
     without failures.
     """
@@ -34,7 +34,7 @@
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def try_spend(self) -> bool:
-        """Take the token of one retry; return whether there was one."""
+        """Remove the token for one retry; return whether there was one."""
         if self._tokens < 1.0:
             self.refused += 1
             return False
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -62,8 +62,8 @@
         ]
         if not views:
             return self._make_no_target(request)
-        fresh = [view for view in views if view.name not in tried] or views
-        open_views = [view for view in fresh if view.load < QUEUE_LIMIT_LOAD]
+        preferred = [view for view in views if view.name not in tried] or views
+        open_views = [view for view in preferred if view.load < QUEUE_LIMIT_LOAD]
         if not open_views:
             return Failure(
                 Reason.OVERLOADED,
@@ -99,7 +99,7 @@
 
     def _make_no_target(self, request: Request) -> Failure:
         known = self._directory.count(request.pool)
-        detail = f"none of {known} known targets of {request.pool} accepts work"
+        detail = f"none of {known} known targets of {request.pool} may be given work"
         return Failure(
             Reason.NO_TARGET,
             Step.ROUTE,
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -22,7 +22,12 @@
 from .crash_gossip import create_crash_gossip
 from .deduplicate import Deduplicate
 from .draining import DrainOptions, run_drain
-from .filters import Bound, Classify, Identify, chain_filters
+from .filters import (
+    ClassificationFilter,
+    IdentificationFilter,
+    RequestLimitsFilter,
+    chain_filters,
+)
 from .guards import AdmissionFilter, QuarantineFilter
 from .quarantine import Quarantine
 from .relay import Relay
@@ -35,7 +40,7 @@
 __all__ = ["RequestService", "create_request_service"]
 
 RUNNING_MARGIN_S = 5.0
-"""Time after its deadline when an order without an outcome counts as unknown."""
+"""Time after its deadline from which an order without an outcome counts as unknown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,9 +111,9 @@
     )
     admission = AdmissionFilter(configuration, directory, timers)
     filters: list[Filter] = [
-        Identify(configuration),
-        Bound(timers, settings.deadline_s, settings.body_limit_bytes),
-        Classify(configuration),
+        IdentificationFilter(configuration),
+        RequestLimitsFilter(timers, settings.deadline_s, settings.body_limit_bytes),
+        ClassificationFilter(configuration),
         Deduplicate(claims, timers, unix_time, settings.claim_ttl_s),
         QuarantineFilter(quarantine, timers),
         admission,
--- a/reedspar/requests/tests/test_assembly.py
+++ b/reedspar/requests/tests/test_assembly.py
@@ -61,22 +61,22 @@
         reordered = [*messages, *make_random_pieces(body, rng)]
         rng.shuffle(reordered)
         assembly = AnswerAssembly(START, "t1")
-        taken = b""
+        received = b""
         for message in reordered:
             feed(assembly, message)
-            taken += assembly.read_available()
+            received += assembly.read_available()
         repeated = make_answer(START, body)
         resumed = AttemptData(
-            START.request_id, START.attempt, len(taken), body[len(taken) :]
+            START.request_id, START.attempt, len(received), body[len(received) :]
         )
         for message in (repeated[0], resumed, messages[-1]):
             feed(assembly, message)
-        taken += assembly.read_available()
+        received += assembly.read_available()
         if is_damaged:
             self.assertIs(assembly.verdict, Verdict.UNKNOWN)
             return
         self.assertIs(assembly.verdict, Verdict.WHOLE)
-        self.assertEqual(taken, body)
+        self.assertEqual(received, body)
 
     def test_refusal_of_a_late_cancel_is_no_proof(self) -> None:
         # An entry is paused for longer than the agent keeps the record of an order
@@ -107,11 +107,11 @@
         assembly = AnswerAssembly(START, "t1")
         assembly.on_head(make_answer(START, b"x")[0])
         piece = AttemptData("e:1:1", 0, 0, bytes(BUFFER_LIMIT_BYTES))
-        self.assertIs(assembly.on_data(piece, BUFFER_LIMIT_BYTES), Progress.NEWS)
+        self.assertIs(assembly.on_data(piece, BUFFER_LIMIT_BYTES), Progress.CHANGED)
         more = AttemptData("e:1:1", 0, BUFFER_LIMIT_BYTES, b"more")
         self.assertIs(assembly.on_data(more, BUFFER_LIMIT_BYTES), Progress.FULL)
         assembly.read_available()
-        self.assertIs(assembly.on_data(more, BUFFER_LIMIT_BYTES), Progress.NEWS)
+        self.assertIs(assembly.on_data(more, BUFFER_LIMIT_BYTES), Progress.CHANGED)
 
 
 if __name__ == "__main__":
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -57,8 +57,8 @@
 
 
 @dataclass
-class Shop:
-    """The orders that ran and the answers to callers, by idempotency key."""
+class OrderRecorder:
+    """Records the orders that ran and the answers to callers, by idempotency key."""
 
     ran: dict[str, list[str]] = field(default_factory=dict)
     answers: dict[str, list[Answer]] = field(default_factory=dict)
@@ -97,16 +97,18 @@
         self.rng = random.Random(seed)
         self.is_faulty = is_faulty
         self.key_value = FakeKeyValue()
-        self.shop = Shop()
-        self.frozen_s = 0.0
+        self.recorder = OrderRecorder()
+        self.paused_s = 0.0
         self.timeout_s = 30.0
         self.filters: dict[str, Deduplicate] = {}
         if is_faulty:
-            self.key_value.before_write = lambda key: self._draw_failure(0.1)
-            self.key_value.after_write = lambda key: self._draw_failure(0.15, lost=True)
+            self.key_value.before_write = lambda key: self._make_random_failure(0.1)
+            self.key_value.after_write = lambda key: self._make_random_failure(
+                0.15, lost=True
+            )
             self.key_value.is_stale = lambda: self.rng.random() < 0.2
 
-    def _draw_failure(self, share: float, lost: bool = False) -> Failure | None:
+    def _make_random_failure(self, share: float, lost: bool = False) -> Failure | None:
         if self.rng.random() >= share:
             return None
         is_outcome_lost = lost or self.rng.random() < 0.5
@@ -114,7 +116,7 @@
         return Failure(reason, Step.KEY_VALUE)
 
     def unix_time(self) -> float:
-        return EPOCH_S + self.frozen_s + anyio.current_time()
+        return EPOCH_S + self.paused_s + anyio.current_time()
 
     async def run(self, submissions: list[tuple[float, str, str]]) -> None:
         """Submit (time, entry, key) orders, and wait for all outcomes."""
@@ -140,7 +142,7 @@
         order = make_order(f"{entry}:1:{number}", key)
         order.deadline_s = anyio.current_time() + self.timeout_s
         answer = await self.filters[entry].apply(order, self._proceed)
-        self.shop.answers.setdefault(key, []).append(answer)
+        self.recorder.answers.setdefault(key, []).append(answer)
 
     async def _proceed(self, request: Request) -> Answer:
         ending = self.rng.random()
@@ -149,7 +151,7 @@
             ending = 1.0
         if ending < 0.25:
             return make_not_run(Failure(Reason.DRAINING, Step.AGENT_ADMIT))
-        ran = self.shop.ran.setdefault(request.idempotency_key, [])
+        ran = self.recorder.ran.setdefault(request.idempotency_key, [])
         ran.append(request.request_id)
         await anyio.sleep(self.rng.uniform(0.0, 3.0))
         if ending < 0.4:
@@ -178,14 +180,14 @@
         ]
         run_virtual(history.run, submissions)
         for key in keys:
-            self.check(history.shop, key)
+            self.check(history.recorder, key)
 
-    def check(self, shop: Shop, key: str) -> None:
-        ran = shop.ran.get(key, [])
+    def check(self, recorder: OrderRecorder, key: str) -> None:
+        ran = recorder.ran.get(key, [])
         self.assertLessEqual(len(ran), 1, f"{key} ran {ran}")
         bodies = {
             answer.body
-            for answer in shop.answers.get(key, [])
+            for answer in recorder.answers.get(key, [])
             if answer.outcome is Outcome.ANSWERED
         }
         self.assertLessEqual(bodies, {item.encode() for item in ran})
@@ -209,7 +211,7 @@
         )
         key = make_key(0, 1)
         run_virtual(history.run, [(0.1, "e1", key), (8.0, "e2", key)])
-        first, second = history.shop.answers[key]
+        first, second = history.recorder.answers[key]
         assert first.failure is not None
         self.assertIs(first.outcome, Outcome.NOT_RUN)
         self.assertIs(first.failure.step, Step.CLAIM)
@@ -221,9 +223,9 @@
         for key in (make_key(0, 1), "order-1"):
             with self.subTest(key=key):
                 history = self.send((0, "e1", key), (TTL_S + 1, "e2", key))
-                failure = history.shop.answers[key][-1].failure
+                failure = history.recorder.answers[key][-1].failure
                 self.assertIs(failure.reason, Reason.EXPIRED)
-                self.assertEqual(len(history.shop.ran[key]), 1)
+                self.assertEqual(len(history.recorder.ran[key]), 1)
 
     def test_write_paused_beyond_the_time_to_live_is_not_granted(self) -> None:
         # An entry is paused between the check of a key's date and the write of its
@@ -232,13 +234,13 @@
         history = History(1, is_faulty=False)
         key = make_key(0, 1)
 
-        def freeze(location: str) -> None:
-            history.frozen_s = 2 * TTL_S
+        def pause(location: str) -> None:
+            history.paused_s = 2 * TTL_S
 
-        history.key_value.before_write = freeze
+        history.key_value.before_write = pause
         run_virtual(history.run, [(0.1, "e1", key)])
-        self.assertEqual(history.shop.ran, {})
-        failure = history.shop.answers[key][0].failure
+        self.assertEqual(history.recorder.ran, {})
+        failure = history.recorder.answers[key][0].failure
         assert failure is not None
         self.assertIs(failure.reason, Reason.EXPIRED)
 
@@ -248,7 +250,7 @@
         # answer would report an unknown outcome.
         key = make_key(0, 1)
         history = self.send((0.0, "e1", key), (0.05, "e2", key), (0.1, "e1", key))
-        answers = history.shop.answers[key]
+        answers = history.recorder.answers[key]
         self.assertEqual([a.outcome for a in answers], [Outcome.ANSWERED] * 3)
         self.assertEqual({a.body for a in answers}, {b"e1:1:0"})
 
@@ -258,7 +260,7 @@
         history.timeout_s = 0.3
         key = make_key(0, 1)
         run_virtual(history.run, [(0.0, "e1", key), (0.05, "e2", key)])
-        endings = {a.outcome for a in history.shop.answers[key]}
+        endings = {a.outcome for a in history.recorder.answers[key]}
         self.assertEqual(endings, {Outcome.ANSWERED, Outcome.UNKNOWN})
 
     def test_key_with_another_payload_is_refused(self) -> None:
@@ -285,7 +287,7 @@
     def test_one_write_carries_the_claims_of_many_orders(self) -> None:
         keys = [make_key(1, number) for number in range(200)]
         history = self.send(*[(1.0, "e1", key) for key in keys])
-        self.assertEqual(len(history.shop.ran), 200)
+        self.assertEqual(len(history.recorder.ran), 200)
         self.assertLess(history.key_value.writes, 150)
 
     def test_undated_keys_beyond_the_write_budget_are_refused_at_once(self) -> None:
@@ -293,12 +295,12 @@
         # key-value service can write one by one.  Without a limit, each request
         # would wait for seconds, and nearly all would time out.
         history = self.send(*[(1.0, "e1", f"order-{i}") for i in range(200)])
-        ran = len(history.shop.ran)
+        ran = len(history.recorder.ran)
         self.assertTrue(20 < ran < 150)
         self.assertEqual(history.key_value.writes, 2 * ran)
         refused = [
             answer.failure
-            for answers in history.shop.answers.values()
+            for answers in history.recorder.answers.values()
             for answer in answers
             if answer.outcome is Outcome.NOT_RUN
         ]
--- a/reedspar/requests/tests/test_event_stream.py
+++ b/reedspar/requests/tests/test_event_stream.py
@@ -11,7 +11,7 @@
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n"
 
 
-class EventCutterTest(unittest.TestCase):
+class EventSplitterTest(unittest.TestCase):
     @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
     def test_any_split_of_the_input_yields_all_events(self, cuts: list) -> None:
         splitter = EventSplitter()
