--- a/bench/claims.py
+++ b/bench/claims.py
@@ -24,7 +24,7 @@
 from reedspar.requests import Answer, EntryAddress, Outcome, Request
 from reedspar.requests.claim_client import ClaimClient
 from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
-from reedspar.requests.deduplicate import Deduplicate
+from reedspar.requests.deduplicate import DeduplicationFilter
 from reedspar.requests.tests.fakes import FakeEntries, FakeKeyValue, FakeNetwork
 from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
 
@@ -83,7 +83,7 @@
     key_value: LimitedKeyValue
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     networks: dict[str, FakeNetwork] = field(default_factory=dict)
-    filters: list[Deduplicate] = field(default_factory=list)
+    filters: list[DeduplicationFilter] = field(default_factory=list)
     claim_s: list[float] = field(default_factory=list)
     refused: int = 0
 
@@ -107,7 +107,7 @@
                 )
                 client = ClaimClient(name, self._join(name), timers, ledger, entries)
                 self.filters.append(
-                    Deduplicate(client, timers, self.unix_time, 86_400.0)
+                    DeduplicationFilter(client, timers, self.unix_time, 86_400.0)
                 )
                 tasks.start_soon(ledger.run)
                 tasks.start_soon(timers.run)
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -38,7 +38,7 @@
 
     OPEN = auto()
     """The attempt may still be answered."""
-    WHOLE = auto()
+    COMPLETE = auto()
     """The complete answer has arrived."""
     NOT_RUN = auto()
     """The attempt provably did not run."""
@@ -130,7 +130,7 @@
         if not self.is_open:
             return Progress.NOTHING
         if failure is None:
-            self.verdict = Verdict.WHOLE
+            self.verdict = Verdict.COMPLETE
             return Progress.CHANGED
         may_have_run = self.head is not None or failure.reason in INCONCLUSIVE_REASONS
         self.verdict = Verdict.UNKNOWN if may_have_run else Verdict.NOT_RUN
@@ -204,7 +204,7 @@
                 Reason.CORRUPT,
                 "length or digest of the answer differ from the end marker",
             )
-        self.verdict = Verdict.WHOLE
+        self.verdict = Verdict.COMPLETE
         return Progress.CHANGED
 
     def _finish(
--- a/reedspar/requests/deduplicate.py
+++ b/reedspar/requests/deduplicate.py
@@ -14,7 +14,7 @@
 from .messages import ClaimReply, ClaimState, ClaimUpdate, ClaimVerdict
 from .request import Answer, Outcome, Proceed, Request
 
-__all__ = ["Deduplicate"]
+__all__ = ["DeduplicationFilter"]
 
 KEPT_ANSWER_MAX_BYTES = 8 * 1024
 """Maximum body size of an answer that is stored for repeats."""
@@ -27,7 +27,7 @@
 INCONCLUSIVE_VERDICTS = frozenset({ClaimVerdict.UNAVAILABLE, ClaimVerdict.NOT_WRITTEN})
 
 
-class Deduplicate:
+class DeduplicationFilter:
     """Claims the key before the order runs, and answers repeats from its record."""
 
     def __init__(
--- a/reedspar/requests/passing.py
+++ b/reedspar/requests/passing.py
@@ -73,7 +73,7 @@
                 await self._send(head, self._client.read_available(attempt))
             else:
                 await attempt.wait()
-        if assembly.verdict is not Verdict.WHOLE:
+        if assembly.verdict is not Verdict.COMPLETE:
             self._splitter.drop_pending()
             return self._make_broken(assembly.failure)
         last = self._client.read_available(attempt)
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -275,7 +275,7 @@
 def _conclude(attempt: OpenAttempt, *, has_started: bool) -> Answer:
     assembly = attempt.assembly
     head = assembly.head
-    if assembly.verdict is Verdict.WHOLE and head is not None:
+    if assembly.verdict is Verdict.COMPLETE and head is not None:
         return Answer(
             Outcome.ANSWERED,
             head.status,
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -20,7 +20,7 @@
 from .claim_client import ClaimClient
 from .claim_ledger import ClaimLedger, LedgerOptions
 from .crash_gossip import create_crash_gossip
-from .deduplicate import Deduplicate
+from .deduplicate import DeduplicationFilter
 from .draining import DrainOptions, run_drain
 from .filters import (
     ClassificationFilter,
@@ -114,7 +114,7 @@
         IdentificationFilter(configuration),
         RequestLimitsFilter(timers, settings.deadline_s, settings.body_limit_bytes),
         ClassificationFilter(configuration),
-        Deduplicate(claims, timers, unix_time, settings.claim_ttl_s),
+        DeduplicationFilter(claims, timers, unix_time, settings.claim_ttl_s),
         QuarantineFilter(quarantine, timers),
         admission,
         relay,
--- a/reedspar/requests/tests/test_assembly.py
+++ b/reedspar/requests/tests/test_assembly.py
@@ -75,7 +75,7 @@
         if is_damaged:
             self.assertIs(assembly.verdict, Verdict.UNKNOWN)
             return
-        self.assertIs(assembly.verdict, Verdict.WHOLE)
+        self.assertIs(assembly.verdict, Verdict.COMPLETE)
         self.assertEqual(received, body)
 
     def test_refusal_of_a_late_cancel_is_no_proof(self) -> None:
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -16,7 +16,7 @@
 from reedspar.requests.claim_client import ClaimClient
 from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
 from reedspar.requests.claim_table import ClaimTable
-from reedspar.requests.deduplicate import Deduplicate
+from reedspar.requests.deduplicate import DeduplicationFilter
 from reedspar.requests.endings import make_not_run, make_unknown
 from reedspar.requests.messages import (
     ClaimRequest,
@@ -100,7 +100,7 @@
         self.recorder = OrderRecorder()
         self.paused_s = 0.0
         self.timeout_s = 30.0
-        self.filters: dict[str, Deduplicate] = {}
+        self.filters: dict[str, DeduplicationFilter] = {}
         if is_faulty:
             self.key_value.before_write = lambda key: self._make_random_failure(0.1)
             self.key_value.after_write = lambda key: self._make_random_failure(
@@ -128,7 +128,9 @@
                 options = LedgerOptions(TTL_S, 35.0)
                 ledger = ClaimLedger(self.key_value, timers, self.unix_time, options)
                 client = ClaimClient(name, mesh.add(name), timers, ledger, entries)
-                self.filters[name] = Deduplicate(client, timers, self.unix_time, TTL_S)
+                self.filters[name] = DeduplicationFilter(
+                    client, timers, self.unix_time, TTL_S
+                )
                 tasks.start_soon(ledger.run)
                 tasks.start_soon(timers.run)
             async with anyio.create_task_group() as orders:
--- a/tests/test_silent_link.py
+++ b/tests/test_silent_link.py
@@ -66,7 +66,7 @@
 
     async def expect_complete_answer(self, attempt: OpenAttempt) -> None:
         await wait_until(lambda: not attempt.assembly.is_open)
-        self.assertIs(attempt.assembly.verdict, Verdict.WHOLE)
+        self.assertIs(attempt.assembly.verdict, Verdict.COMPLETE)
         self.assertEqual(attempt.assembly.read_available(), COMPLETE_ANSWER)
         self.assertEqual(self.target.runs, ["r1.1"])
 
