--- a/reedspar/requests/attempting.py
+++ b/reedspar/requests/attempting.py
@@ -64,7 +64,7 @@
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
-        """Record how an attempt ended; `answer` is None if the caller left."""
+        """Record how an attempt ended; `answer` is None if the caller disconnected."""
         ...
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -1,6 +1,6 @@
 """Graceful shutdown (draining) of an entry.
 
-Callers cache addresses.  A leaving entry is therefore first removed from the
+Callers cache addresses.  A draining entry is therefore first removed from the
 address lists and keeps serving until the last cached list with its address has
 expired.  Then it refuses new requests and finishes those in flight.  When the
 drain timeout ends, it gives all remaining callers a final answer and stops.
@@ -16,7 +16,7 @@
 __all__ = ["DrainOptions", "DrainPhase", "EntryDrain", "run_drain"]
 
 NOTICE_PROPAGATION_S = 1.0
-"""How long other entries may still list this one after its leaving notice."""
+"""How long other entries may still list this one after its shutdown notice."""
 ABORT_GRACE_S = 1.0
 """Time after the drain timeout to write the final answers."""
 POLL_INTERVAL_S = 0.05
