--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -111,10 +111,10 @@
         record = change.record
         if record is None:
             self._boot_ids.pop(change.target_id, None)
-            self._loads.forget(change.target_id)
+            self._loads.remove(change.target_id)
         elif self._boot_ids.get(record.id) != record.boot_id:
             self._boot_ids[record.id] = record.boot_id
-            self._loads.forget_restarted(record.id)
+            self._loads.reset_after_restart(record.id)
 
     def _update_entries(self) -> None:
         entries = self._view.daemons(Role.ENTRY.value)
@@ -140,7 +140,7 @@
     network: Network,
     dialer: TargetDialer,
     adapter: CallerAdapter,
-    others: ASGIApp,
+    fallback: ASGIApp,
     is_store_slow: Callable[[], bool],
     rng: random.Random,
     first_filters: tuple[Filter, ...] = (),
@@ -195,7 +195,7 @@
         RequestIdGenerator(settings.name, incarnation),
         timers,
         CallerLimits().body_bytes,
-        others,
+        fallback,
     )
     return DirectService(
         application, client, chooser, loads, versions, replaced, follower
