--- a/reedspar/admin/app.py
+++ b/reedspar/admin/app.py
@@ -136,7 +136,7 @@
                     Reason.NOT_READY,
                     Step.CONFIGURE,
                     detail="no configuration was received yet; if there is none, "
-                    "the first patch is made against number 0",
+                    "the first patch is based on version 0",
                 )
             )
         return _create_response(document)
--- a/reedspar/admin/sources.py
+++ b/reedspar/admin/sources.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminSources:
-    """All that the operators' interface is built from."""
+    """The sources from which the operators' interface is built."""
 
     status: StatusSource
     members: MemberSource
--- a/reedspar/admin/tests/fakes.py
+++ b/reedspar/admin/tests/fakes.py
@@ -30,7 +30,7 @@
     )
     is_down: bool = False
     lost_answers: int = 0
-    """Number of coming patches whose outcome is unknown although they were applied."""
+    """Number of next patches that are applied but reported with unknown outcome."""
     calls: list[PatchRequest] = field(default_factory=list)
 
     def read_document(self):
