--- a/reedspar/observation/weights.py
+++ b/reedspar/observation/weights.py
@@ -1,4 +1,4 @@
-"""Metrics of the bytes of chunks, received ones by their source."""
+"""Metrics of chunk bytes: those sent, and those received by source."""
 
 from collections import Counter
 from collections.abc import Callable
