--- a/reedspar/tool/confirmation.py
+++ b/reedspar/tool/confirmation.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Confirmed", "wait_until_confirmed"]
 
-CONFIRMATION_POLL_S = 0.5
+CONFIRMATION_POLL_INTERVAL_S = 0.5
 CONFIRMED = "confirmed"
 BEHIND = "behind"
 UNREACHABLE = "unreachable"
@@ -86,7 +86,7 @@
             if missing[member.name] == CONFIRMED:
                 del missing[member.name]
             else:
-                await anyio.sleep(CONFIRMATION_POLL_S)
+                await anyio.sleep(CONFIRMATION_POLL_INTERVAL_S)
 
     with anyio.move_on_after(timeout_s):
         async with anyio.create_task_group() as group:
--- a/reedspar/tool/current_patch.py
+++ b/reedspar/tool/current_patch.py
@@ -22,7 +22,7 @@
 MAX_PATCH_ATTEMPTS = 5
 
 MakePatch = Callable[[ConfigurationDocument], dict[str, Any] | Failure | None]
-"""Return the patch, None if nothing needs to change, or the reason not to patch."""
+"""Returns the patch, None if no change is needed, or a failure that prevents one."""
 
 
 @dataclass(frozen=True, slots=True)
