--- a/stand_ins/clients.py
+++ b/stand_ins/clients.py
@@ -6,7 +6,7 @@
 
 __all__ = ["create_trial_client"]
 
-KEEPALIVE_EXPIRY_S = 2.0
+IDLE_EXPIRY_S = 2.0
 
 
 def create_trial_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
@@ -33,5 +33,5 @@
 
 def create_transport() -> httpx.AsyncHTTPTransport:
     """Return a transport that holds one connection."""
-    limits = httpx.Limits(max_connections=1, keepalive_expiry=KEEPALIVE_EXPIRY_S)
+    limits = httpx.Limits(max_connections=1, keepalive_expiry=IDLE_EXPIRY_S)
     return httpx.AsyncHTTPTransport(verify=False, limits=limits)
--- a/stand_ins/engine.py
+++ b/stand_ins/engine.py
@@ -94,31 +94,32 @@
         if refusal is not None:
             return refusal
         try:
-            asked = CompletionRequest.model_validate_json(body)
+            completion = CompletionRequest.model_validate_json(body)
         except ValidationError as error:
             return JSONResponse({"error": str(error)}, status_code=400)
-        digest = self._model.get_digest(asked.model)
+        digest = self._model.get_digest(completion.model)
         if not digest:
             self._model.counts["model_not_loaded"] += 1
-            error_text = f"model {asked.model} is not loaded"
+            error_text = f"model {completion.model} is not loaded"
             return JSONResponse({"error": error_text}, status_code=404)
         job = create_job(
             request.headers.get("x-request-id") or uuid.uuid4().hex,
-            asked.prompt,
-            asked.model,
-            asked.max_tokens,
+            completion.prompt,
+            completion.model,
+            completion.max_tokens,
             int(request.headers.get("x-priority", "0")),
         )
         self._model.submit(job)
         headers = {"x-weights-digest": digest}
-        if asked.stream:
+        if completion.stream:
             pieces = self._stream(job)
             return TruncatableStream(pieces, headers, "text/event-stream")
-        return await self._answer_complete(job, request, headers)
+        return await self._collect_answer(job, request, headers)
 
-    async def _answer_complete(
+    async def _collect_answer(
         self, job: Job, request: Request, headers: dict[str, str]
     ) -> Response:
+        """Return the response with the full text once all tokens are generated."""
         text = ""
         async with anyio.create_task_group() as tasks:
 
