--- a/reedspar/weights/activation.py
+++ b/reedspar/weights/activation.py
@@ -114,8 +114,9 @@
     def begin_waiting(self, root_digest: str, now_s: float) -> None:
         """Record that this target is ready to switch to a version."""
         if root_digest != self._root_digest:
-            # Phases received earlier do not show which peers are ready now: two
-            # targets that relied on them would switch at the same time.
+            # Phases received earlier do not show which peers are ready now.  Two
+            # targets that relied on them, instead of waiting for new answers, would
+            # switch at the same time.
             self._peer_phases.clear()
             self._root_digest = root_digest
             self._waiting_since_s = now_s
--- a/reedspar/weights/cache.py
+++ b/reedspar/weights/cache.py
@@ -112,10 +112,11 @@
                 await self._wakeup.wait()
 
     def _list_uncached(self) -> list[tuple[str, int]]:
-        """Return the named versions that are not cached yet, if this daemon is a cache.
+        """Return the named versions to be cached, if this daemon is one of the caches.
 
-        They include earlier versions: a cache may replace another one during a
-        transfer, and no other daemon would read the chunks assigned to that one.
+        Each region needs only a few.  The versions include earlier ones: a cache may
+        replace another one during a transfer, and no other daemon would read the chunks
+        assigned to that one.
         """
         if not self._peers.is_cache():
             return []
--- a/reedspar/weights/catalog.py
+++ b/reedspar/weights/catalog.py
@@ -30,7 +30,7 @@
 MANIFEST_RETRY_MIN_S = 0.1
 MANIFEST_RETRY_MAX_S = 0.5
 """Bounds of the random delay before a manifest is read again."""
-SUCCESSION_POLL_S = 0.1
+SUCCESSION_POLL_INTERVAL_S = 0.1
 """Interval of checks whether the version being transferred is still finished first."""
 
 _logger = logging.getLogger(__name__)
@@ -56,7 +56,10 @@
 
 
 class VersionCatalog:
-    """Reads the manifests of named versions and implements `ConfigurationView`."""
+    """Reads the manifests of named versions and implements `ConfigurationView`.
+
+    `bound_s` is how long a version may be served after a newer one was named.
+    """
 
     def __init__(
         self,
@@ -111,7 +114,7 @@
         self._prefetch = prefetch
 
     def service_deadline_s(self, model: str, served: int) -> float:
-        """Return when a version may no longer be served, as a newer one was named."""
+        """Return when a version may no longer be served; infinity for the newest."""
         newer = [
             named_at_s
             for (name, version), named_at_s in self._named_at_s.items()
@@ -151,7 +154,7 @@
         """Fetch the manifests of named versions until cancelled."""
         while True:
             self._wakeup = anyio.Event()
-            is_done = await self._read_manifests(self._unpublished())
+            are_all_read = await self._read_manifests(self._unpublished())
             for key in self._unpublished():
                 if key in self._known:
                     self._publish_or_prefetch(*key)
@@ -159,7 +162,9 @@
                 await self._wakeup.wait()
                 continue
             pause_s = self._rng.uniform(MANIFEST_RETRY_MIN_S, MANIFEST_RETRY_MAX_S)
-            with anyio.move_on_after(SUCCESSION_POLL_S if is_done else pause_s):
+            with anyio.move_on_after(
+                SUCCESSION_POLL_INTERVAL_S if are_all_read else pause_s
+            ):
                 await self._wakeup.wait()
 
     def _publish_or_prefetch(self, model: str, version: int) -> None:
@@ -190,9 +195,9 @@
             return False
         copy_s = current.manifest.size_bytes / self._link_bytes_per_s
         current_until_s = next_named_at_s + self._version_bound_s
-        # Decided by the times of naming, which are the same on all agents.  If each
-        # agent used its own missing chunks, half of the fleet would drop the version
-        # while the others finish it, and neither version would arrive in time.
+        # The decision depends on the times of naming, which are the same on all agents.
+        # If each agent used its own missing chunks, half of the fleet would drop the
+        # version while the others finish it, and neither would arrive in time.
         succession = Succession(
             next_named_at_s,
             max(0.0, named_at_s + copy_s - next_named_at_s),
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -150,7 +150,7 @@
         self._runner.run()
 
     def record_engine_state(self, state: EngineState) -> None:
-        """Record the state that the agent has read from the engine."""
+        """Record a state that was read from the engine; call it after each read."""
         confirmed = {m for m in self._staged if self._offers.is_confirmed(m)}
         is_new_boot = self._offers.record_state(state)
         for staged in self._staged.values():
@@ -185,7 +185,7 @@
         self._notify()
 
     def _start_version(self, model: str, version: ModelVersion) -> None:
-        if not self._offers.is_forward(model, version.sequence):
+        if not self._offers.is_not_older(model, version.sequence):
             _logger.error("version is older than the one served: %s %s", model, version)
             return
         staged = self._staged[model] = StagedVersion(model, version)
@@ -204,7 +204,7 @@
         self._fetch_chunks(staged)
 
     def _fetch_chunks(self, staged: StagedVersion) -> None:
-        """Fetch the chunks, unless the engine is unknown or already serves them."""
+        """Fetch the chunks, unless the engine has not reported yet or serves them."""
         is_needed = self._offers.boot_id and not self._offers.is_confirmed(staged.model)
         if staged.manifest is not None and is_needed:
             self._distribution.fetch_chunks(staged.manifest, self._timers.now_s())
@@ -281,7 +281,7 @@
         return self._staged.get(staged.model) is staged
 
     def left_s(self, model: str) -> float | None:
-        """Return the remaining transfer time of a model, or None if it is confirmed."""
+        """Return a model's remaining transfer time; None if loaded or unconfigured."""
         staged = self._staged.get(model)
         if staged is None or self._offers.is_confirmed(model):
             return None
--- a/reedspar/weights/distribution.py
+++ b/reedspar/weights/distribution.py
@@ -125,7 +125,7 @@
         ...
 
     def tick(self, now_s: float) -> None:
-        """Handle expired timeouts and continue."""
+        """Handle expired timeouts, and start the requests and uploads that are due."""
         ...
 
     def due_s(self, now_s: float) -> float:
--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/drawing.py
@@ -36,7 +36,7 @@
 REPLICA_ANSWER_TIMEOUT_S = 0.6
 """A live replica sends or refuses a chunk within this time after its own wait limit."""
 REGION_RETRY_DELAY_S = 0.3
-"""Interval of requests in the origin's region for a chunk that another region may hold.
+"""Interval of requests to other regions for a chunk during an origin outage.
 
 A request and its refusal take 200 bytes.  For a third of a version of 96 chunks, that
 is 5% of a link of 3.65 Mbit/s."""
@@ -66,7 +66,7 @@
 
     @property
     def requested(self) -> RequestedChunks:
-        """Return the chunks that peers have requested this agent to fetch."""
+        """Return the chunks that peers have asked this agent to fetch."""
         return self._requested
 
     def fetch_assigned(
@@ -124,10 +124,10 @@
     def _take_over(
         self, transfer: Transfer, placement: Placement, now_s: float
     ) -> None:
-        """Take over chunks assigned to other caches of the region, after its own.
+        """Take over chunks of the region's other caches once its own are fetched.
 
-        A partitioned or frozen cache stays in the view for seconds.  The origin would
-        be idle until then, and may become unavailable before.
+        A partitioned or frozen cache stays in the view for seconds.  Meanwhile the
+        origin would be idle, and it may then become unavailable.
         """
         if placement.fetches_all or not transfer.is_wanted:
             return
@@ -237,7 +237,7 @@
     ) -> bool:
         """Request a chunk from the origin, or from other regions during an outage.
 
-        An agent that leaves may have sent chunks only to other regions.  Without the
+        An agent that shut down may have sent chunks only to other regions.  Without the
         requests to them, its region would lack a third of a version until the origin
         is available again.
         """
@@ -285,10 +285,10 @@
     def _choose_source(
         self, fetch: Fetch, sources: list[str], now_s: float
     ) -> str | None:
-        """Return the source to request from; None to wait for a short back-off to end.
+        """Return the source to request from, or None to wait until a back-off ends.
 
-        If its chunks were requested elsewhere immediately, another link would carry
-        them in addition to its own, and the link to the avoided source would be idle.
+        If another source replaced one in a short back-off, its link would carry these
+        chunks in addition to its own, and the link to the avoided source would be idle.
         """
         for i in range(len(sources)):
             peer = sources[(fetch.attempts + i) % len(sources)]
@@ -347,10 +347,10 @@
         would time out and be repeated indefinitely.
         """
         is_back = not self._peers.has_origin_failed_since(now_s - ORIGIN_RECOVERY_S)
-        is_first = not self._fetches.far_open(ORIGIN)
+        has_no_open_read = not self._fetches.far_open(ORIGIN)
         silent = fetch.attempts - fetch.refusals
         has_failed = silent >= UNANSWERED_REPLICAS_MIN
-        return placement.may_read_origin and has_failed and is_back and is_first
+        return placement.may_read_origin and has_failed and is_back and has_no_open_read
 
     def _has_neighbour_maps(self, transfer: Transfer, now_s: float) -> bool:
         """Return whether all neighbours have sent their maps or the timeout has passed.
@@ -381,7 +381,7 @@
 def _is_nearby(transfer: Transfer, placement: Placement, index: int) -> bool:
     """Return whether the region already has a chunk.
 
-    A cache that took over chunks finds them at the other cache while that one is alive.
+    A cache that takes over another one's chunks skips those that the other still holds.
     """
     table = transfer.table
     nearby_map = table.seen_map if placement.fetches_all else table.available_map
--- a/reedspar/weights/limits.py
+++ b/reedspar/weights/limits.py
@@ -36,7 +36,7 @@
 The requester can then try another region: the origin may be unavailable, or an agent
 dead."""
 QUEUED_REQUESTS_PER_BYTES_PER_S = 1 / 100_000
-"""Queued requests of a sender per bandwidth of its link; a queue takes about 0.5 s."""
+"""Queued requests at a sender, per byte/s of its link; a queue takes about 0.5 s."""
 NEAR_QUEUE_MIN = 5
 NEAR_QUEUE_MAX = 64
 SAME_CHUNK_LIMIT = 2
@@ -72,7 +72,8 @@
     """Maximum wait of a request of the same region for an object being fetched.
 
     Waiting requests count against the requests that their sender may have open here.
-    During an origin outage, it could otherwise not request other chunks that arrive."""
+    Without the limit, the sender could not request the other chunks that this agent
+    obtains during an origin outage."""
     near_queue_limit: int = NEAR_QUEUE_MIN
     """Maximum number of queued requests of the same region; others are refused."""
     same_chunk_limit: int = SAME_CHUNK_LIMIT
--- a/reedspar/weights/loading.py
+++ b/reedspar/weights/loading.py
@@ -19,8 +19,8 @@
 
 __all__ = ["Loader"]
 
-LOAD_RETRY_S = 1.0
-STATE_READ_RETRY_S = 0.2
+LOAD_RETRY_DELAY_S = 1.0
+STATE_READ_RETRY_DELAY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
@@ -68,8 +68,8 @@
 
         An engine that ignores fencing numbers may still execute an order that an agent
         sent before it died.  The weights would then change during admitted requests.
-        No such order remains after `order_settle_s`, so the engine's reports are relied
-        on only then.
+        No such order remains after `order_settle_s`, so the engine's reports are
+        trusted only from then on.
         """
         await self._read_engine_state()
         has_record = await self._read_record()
@@ -82,7 +82,7 @@
         while not has_record:
             # The configured version can be offered without the record, which is needed
             # only to offer an older version that the engine may still serve.
-            await anyio.sleep(LOAD_RETRY_S)
+            await anyio.sleep(LOAD_RETRY_DELAY_S)
             has_record = await self._read_record()
         self._notify()
 
@@ -90,9 +90,9 @@
         """Return whether a completely staged version may be loaded now."""
         is_free = self._is_recovered and not self._busy_model
         is_due = self._timers.now_s() >= self._retry_at_s
-        is_forward = self._offers.is_forward(staged.model, staged.version.sequence)
+        is_not_older = self._offers.is_not_older(staged.model, staged.version.sequence)
         is_new = not self._offers.is_confirmed(staged.model)
-        return is_free and is_due and is_forward and is_new
+        return is_free and is_due and is_not_older and is_new
 
     def reserve(self, staged: StagedVersion) -> None:
         """Prevent switches of other models until `load` has ended."""
@@ -127,7 +127,7 @@
             self._gate.end_switch(model)
             self._busy_model = ""
             if not self._offers.is_confirmed(model):
-                self._retry_at_s = self._timers.now_s() + LOAD_RETRY_S
+                self._retry_at_s = self._timers.now_s() + LOAD_RETRY_DELAY_S
             self._notify()
 
     async def _order(self, staged: StagedVersion, number: int) -> Failure | None:
@@ -174,5 +174,5 @@
     async def _read_engine_state(self) -> None:
         """Read the engine's state, and retry until it answers."""
         while isinstance(state := await self._engine.read_state(), Failure):
-            await anyio.sleep(STATE_READ_RETRY_S)
+            await anyio.sleep(STATE_READ_RETRY_DELAY_S)
         self._record_state(state)
--- a/reedspar/weights/manifest.py
+++ b/reedspar/weights/manifest.py
@@ -102,7 +102,7 @@
     weights: bytes | Path,
     chunk_size_bytes: int = CHUNK_SIZE_BYTES,
 ) -> Manifest | Failure:
-    """Return the manifest of weights, or `INVALID` if the weights or a name are."""
+    """Return the manifest of weights; `INVALID` if they or a name are not valid."""
     try:
         chunks = tuple(
             Chunk(digest=digest_bytes(data), size_bytes=len(data))
--- a/reedspar/weights/manifest_exchange.py
+++ b/reedspar/weights/manifest_exchange.py
@@ -33,15 +33,15 @@
     "create_manifest_exchange",
 ]
 
-READERS = 2
+MANIFEST_READERS = 2
 """Number of caches that read the origin, and of answers that must agree."""
-READERS_KEY = "manifest readers"
+MANIFEST_READERS_KEY = "manifest readers"
 ORIGIN_READS_MAX = 3
 """Maximum number of origin reads per call; the caller retries after that."""
 ANSWER_TIMEOUT_S = 0.4
 """Covers the origin reads and the answer, each a few hundredths of a second."""
 WAITING_PEERS_MAX = 512
-MANIFESTS_KEPT = 16
+STORED_MANIFESTS_MAX = 16
 MANIFEST_MAX_BYTES = 16 * 1024 * 1024
 
 _logger = logging.getLogger(__name__)
@@ -112,7 +112,7 @@
         """Return the manifest of a version, from peers or from the origin."""
         key = (model, version)
         answers = await self._request_manifest(key, self._choose_sources(model))
-        if len(answers) == READERS and len(set(answers)) == 1:
+        if len(answers) == MANIFEST_READERS and len(set(answers)) == 1:
             manifest = _decode_answer(answers[0], key)
             if manifest is not None:
                 self.learn_manifest(manifest)
@@ -139,7 +139,7 @@
             previous = read
         if previous is not None:
             self._unconfirmed_manifests[key] = previous
-            while len(self._unconfirmed_manifests) > MANIFESTS_KEPT:
+            while len(self._unconfirmed_manifests) > STORED_MANIFESTS_MAX:
                 del self._unconfirmed_manifests[next(iter(self._unconfirmed_manifests))]
         if isinstance(read, Failure):
             return read
@@ -166,16 +166,18 @@
         is_cache = self._peers.is_cache()
         if not is_cache:
             near = [p.name for p in caches if p.region == self._me.region]
-            if len(near) >= READERS:
-                return rank_by_rendezvous(self._me.name, near)[:READERS]
+            if len(near) >= MANIFEST_READERS:
+                return rank_by_rendezvous(self._me.name, near)[:MANIFEST_READERS]
         regions = {p.name: p.region for p in caches}
         if is_cache:
             regions[self._me.name] = self._me.region
         origin_region = self._origin_region()
         near = [name for name, region in regions.items() if region == origin_region]
-        readers = rank_by_rendezvous(READERS_KEY, near or regions)[:READERS]
+        readers = rank_by_rendezvous(MANIFEST_READERS_KEY, near or regions)[
+            :MANIFEST_READERS
+        ]
         is_reader = self._me.name in readers
-        return [] if is_reader or len(readers) < READERS else readers
+        return [] if is_reader or len(readers) < MANIFEST_READERS else readers
 
     async def _request_manifest(
         self, key: VersionKey, sources: list[str]
@@ -199,7 +201,7 @@
         encoded = zlib.compress(encode_manifest(manifest))
         self._encoded_manifests.pop(key, None)
         self._encoded_manifests[key] = encoded
-        while len(self._encoded_manifests) > MANIFESTS_KEPT:
+        while len(self._encoded_manifests) > STORED_MANIFESTS_MAX:
             del self._encoded_manifests[next(iter(self._encoded_manifests))]
         for name in sorted(self._waiting_peers.pop(key, ())):
             self._network.send(name, ManifestAnswer(*key, encoded))
--- a/reedspar/weights/offers.py
+++ b/reedspar/weights/offers.py
@@ -15,8 +15,8 @@
 
     A version is offered only while the latest report of the engine's current boot
     contains its root digest.  Otherwise, a target that restarted or lost its weights
-    would receive requests without weights, or answer them from other weights than the
-    caller was told.
+    would receive requests that it can't answer, or answer them from other weights than
+    the caller was told.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self._update_highest()
 
     def begin_switch(self, model: str, sequence: int) -> None:
-        """Withdraw a model until `end_switch`; an older version is an error."""
+        """Withdraw a model until `end_switch`; raise an error for an older version."""
         if sequence < self._highest.get(model, 0):
             raise InvariantError(
                 f"{model}: version {sequence} ordered after {self._highest[model]}"
@@ -89,7 +89,7 @@
         known = self._known.get(model, {})
         return known.get(self._reported.get(model, ""), 0)
 
-    def is_forward(self, model: str, sequence: int) -> bool:
+    def is_not_older(self, model: str, sequence: int) -> bool:
         """Return whether a version is not older than the newest one served."""
         return sequence >= self._highest.get(model, 0)
 
--- a/reedspar/weights/pulling.py
+++ b/reedspar/weights/pulling.py
@@ -13,7 +13,7 @@
 ORIGIN_LINK_RATIO = 2.0
 """Assumed ratio of the origin's link to the link of a target machine."""
 REMOTE_CHUNK_TIMEOUT_S = 0.3
-"""Remote fetches have stalled if none completes in this time; normally every 0.1 s.
+"""Remote fetches count as stalled if none completes in this time (usual: 0.1 s).
 
 Reads from an unavailable origin may stay open for seconds.  Without requests to
 neighbours in that time, the chunks that the region holds would not spread."""
@@ -79,10 +79,10 @@
         return round(limits.window * (1 - remote_share))
 
     def _load_of(self, name: str, placement: Placement, now_s: float) -> int | None:
-        """Return the number of open requests to a peer; None if it gets no more now.
+        """Return a peer's load from its open requests; None if it gets no more now.
 
-        Caches rank below any agent, since an agent's link is shared with the answers of
-        its target.
+        The window is subtracted from the load of a cache, so that caches are preferred:
+        an agent's link is shared with the answers of its target.
         """
         if self._peers.is_avoided(name, now_s):
             return None
--- a/reedspar/weights/reachability.py
+++ b/reedspar/weights/reachability.py
@@ -7,7 +7,7 @@
 
 
 class Reachability:
-    """Peers with a lost link, until they send a message or a timeout passes.
+    """Tracks peers as unreachable from a lost link until a message or a timeout.
 
     The view contains a killed daemon until its lease ends, and longer while the store
     is unavailable.  Until then, no target would receive the chunks assigned to it.
@@ -17,7 +17,7 @@
         self._until_s: dict[str, float] = {}
 
     def __contains__(self, peer: str) -> bool:
-        """Return whether a peer is not known to be unreachable."""
+        """Return whether a peer is considered reachable."""
         return peer not in self._until_s
 
     def record_lost(self, peer: str, now_s: float) -> None:
--- a/reedspar/weights/receiving.py
+++ b/reedspar/weights/receiving.py
@@ -12,15 +12,15 @@
 
 __all__ = ["ChunkReceiver"]
 
-ORIGIN_RETRY_S = 0.1
+ORIGIN_RETRY_DELAY_S = 0.1
 """Delay before a chunk is read from the origin again."""
 
 FAR_REFUSALS_PER_SOURCE = 3
 """Refusals from another region after which the next source is tried.
 
 During an origin outage all regions refuse.  If requests alternated between them, a
-chunk would not be at the requested agent when the origin returns, and would be fetched
-again by others."""
+chunk would often be at another agent than the one requested when the origin returns,
+and would be read again."""
 
 ObjectCallback = Callable[[str, bytes, Request, float], None]
 
@@ -89,10 +89,10 @@
                 self._peers.record_origin_failure(now_s)
                 self._fail(fetch, request, now_s)
                 if isinstance(result, Failure):
-                    # The origin is unavailable to all agents.  When the chunk was left
-                    # to others, it arrived 4 s after the origin had returned.
+                    # The origin is unavailable to all agents.  If the chunk is left to
+                    # others, it can arrive as late as 4 s after the origin returns.
                     fetch.has_origin_failed = False
-                    fetch.not_before_s = now_s + ORIGIN_RETRY_S
+                    fetch.not_before_s = now_s + ORIGIN_RETRY_DELAY_S
             else:
                 self._peers.record_success(ORIGIN)
                 self._finish(digest, result, request, now_s)
--- a/reedspar/weights/requested_chunks.py
+++ b/reedspar/weights/requested_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks that peers have requested this agent to fetch."""
+"""Chunks that peers have asked this agent to fetch."""
 
 from collections.abc import Callable, Mapping
 
--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -68,7 +68,7 @@
                 model, VersionPhase.SERVING
             )
             is_due = now_s >= self._next_notice_s.get(model, 0.0)
-            if is_new or (self._is_active(model) and is_due):
+            if is_new or (self._is_in_transient_phase(model) and is_due):
                 self._announced_phases[model] = phase
                 self._next_notice_s[model] = now_s + NOTICE_INTERVAL_S
                 notice = self._make_notice(model)
@@ -76,7 +76,7 @@
                 messages += [SendMessage(peer, notice) for peer in cohort]
         return messages
 
-    def _is_active(self, model: str) -> bool:
+    def _is_in_transient_phase(self, model: str) -> bool:
         phase = self._phase_of(model)
         return phase in (VersionPhase.WAITING, VersionPhase.SWITCHING)
 
--- a/reedspar/weights/serving.py
+++ b/reedspar/weights/serving.py
@@ -69,10 +69,10 @@
         self._waiting.cancel(peer, request_id)
 
     def abort(self, peer: str, piece: ChunkPiece) -> None:
-        """Refuse the remaining chunk after one of its pieces could not be sent.
+        """Refuse the rest of a chunk of which a piece could not be sent.
 
-        Otherwise the receiver would wait for the missing piece until its request times
-        out after three seconds.
+        Otherwise the receiver, which can't use an incomplete chunk, would wait for the
+        missing piece until its request times out after three seconds.
         """
         self.cancel(peer, piece.request_id)
         self._refuse(peer, piece.request_id, piece.digest, RefusalCause.BUSY)
--- a/reedspar/weights/staged.py
+++ b/reedspar/weights/staged.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StagedReader", "StagedRecovery"]
 
-RECOVERY_RETRY_S = 0.2
+RECOVERY_RETRY_DELAY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
                 extra = {"version": staged.version.sequence, "found": found}
                 _logger.info("staged chunks recovered", extra=extra)
                 return
-            await anyio.sleep(RECOVERY_RETRY_S)
+            await anyio.sleep(RECOVERY_RETRY_DELAY_S)
 
     async def _recover_chunks(
         self, reader: StagedReader, staged: StagedVersion
--- a/reedspar/weights/stager.py
+++ b/reedspar/weights/stager.py
@@ -13,7 +13,7 @@
 
 __all__ = ["Stager"]
 
-STAGING_RETRY_S = 0.2
+STAGING_RETRY_DELAY_S = 0.2
 
 _logger = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
         if is_failure(failure):
             _logger.warning("chunk was not staged: %s", failure)
             self._orders.append(order)
-            await anyio.sleep(STAGING_RETRY_S)
+            await anyio.sleep(STAGING_RETRY_DELAY_S)
         else:
             self._staged[order.model].mark_staged(order, sent_s)
 
--- a/reedspar/weights/succession.py
+++ b/reedspar/weights/succession.py
@@ -27,7 +27,7 @@
 class Succession:
     """A version being transferred, and the next one; times in seconds."""
 
-    now_s: float
+    next_named_at_s: float
     """When the next version was named."""
     left_s: float
     """Estimated time from then until the current version has arrived."""
@@ -41,10 +41,10 @@
 
 def should_finish_current(succession: Succession) -> bool:
     """Return whether finishing the current version causes the shorter service gap."""
-    arrived_s = succession.now_s + succession.left_s
+    arrived_s = succession.next_named_at_s + succession.left_s
     next_s = arrived_s + succession.copy_s + LOAD_DURATION_S
     gap_s = max(0.0, arrived_s + SWITCH_DURATION_S - succession.served_until_s)
     gap_s += max(0.0, next_s - succession.current_until_s)
-    next_only_s = succession.now_s + succession.copy_s + SWITCH_DURATION_S
+    next_only_s = succession.next_named_at_s + succession.copy_s + SWITCH_DURATION_S
     gap_if_dropped_s = max(0.0, next_only_s - succession.served_until_s)
     return gap_s <= gap_if_dropped_s + FINISH_TOLERANCE_S
--- a/reedspar/weights/swarm.py
+++ b/reedspar/weights/swarm.py
@@ -245,7 +245,7 @@
                 announcer.handle_send_failure(peer)
 
     def tick(self, now_s: float) -> None:
-        """Handle expired timeouts and continue."""
+        """Handle expired timeouts, and start the requests and uploads that are due."""
         self._server.expire(now_s)
         if self._reachable.expire(now_s):
             self._update_placements(now_s)
--- a/reedspar/weights/tests/test_activation.py
+++ b/reedspar/weights/tests/test_activation.py
@@ -111,7 +111,7 @@
     @given(st.integers(1, 7), st.integers(0, 10_000))
     def test_no_more_than_the_share_switch_at_once(self, size, seed) -> None:
         # Guards against all targets switching when their chunks arrive at about the
-        # same time, which would leave callers without a target for a load.
+        # same time, which would leave callers without a target while they load.
         simulation = RolloutSimulation(size, seed)
         self.assertTrue(simulation.run_until_served(60.0))
         self.assertLessEqual(simulation.max_switching, max(1, int(SHARE * size)))
--- a/reedspar/weights/tests/test_beside_answers.py
+++ b/reedspar/weights/tests/test_beside_answers.py
@@ -54,8 +54,8 @@
         self.assertLess(outcome.over_bound, BOUND_FACTOR_MAX)
 
     def test_dead_entry_in_the_view_delays_versions_little(self) -> None:
-        # Guards against targets of other regions without the version after 8 s.  The
-        # only entry in the origin's region is killed while it reads the version, and
+        # Guards against other regions still lacking the version after 8 s.  The only
+        # entry in the origin's region is killed while it reads the version, and
         # stays in the view because the store is unavailable.  Other regions continued
         # to send their requests to it.
         case = self.cases["large chunks, caches"]
@@ -65,8 +65,8 @@
     def test_silent_entries_delay_versions_little(self) -> None:
         # Guards against the loss of a third of a version.  Two of four entries in the
         # origin's region are partitioned without a connection reset.  Their assigned
-        # chunks waited 3 s until the view dropped them, when the origin was
-        # unavailable.
+        # chunks were not read until the view dropped them after 3 s, and by then the
+        # origin was unavailable.
         case = replace(
             self.cases["small chunks, caches"],
             caches={"centro": 4, "occidente": 3, "oriente": 2},
--- a/reedspar/weights/tests/test_fencing.py
+++ b/reedspar/weights/tests/test_fencing.py
@@ -12,7 +12,7 @@
 from reedspar.weights import FencingRecord
 from reedspar.weights.fencing import KeyValueFencing
 
-FAULTS = ("", "", "lost", "away", "stale")
+FAULTS = ("", "", "lost", "unavailable", "stale")
 
 
 class FakeKeyValue:
@@ -26,7 +26,7 @@
 
     async def get(self, key: str) -> KeyValueEntry | Failure | None:
         fault = self._next_fault()
-        if fault == "away":
+        if fault == "unavailable":
             return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
         return (self.previous_entries if fault == "stale" else self.entries).get(key)
 
@@ -34,7 +34,7 @@
         self, key: str, value: bytes, expected_revision: int, lease_id: str = ""
     ) -> int | Failure:
         fault = self._next_fault()
-        if fault == "away":
+        if fault == "unavailable":
             return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE)
         entry = self.entries.get(key)
         revision = entry.revision if entry else 0
@@ -94,8 +94,8 @@
         key_value = FakeKeyValue([])
         numbers = KeyValueFencing("agent-1", key_value, 0.0)
         first = anyio.run(numbers.next_number, "quotes", "a" * 64, 1)
-        key_value.faults = deque(["away"] * 20)
+        key_value.faults = deque(["unavailable"] * 20)
         self.assertEqual(anyio.run(numbers.next_number, "quotes", "a" * 64, 1), first)
-        key_value.faults = deque(["away"] * 20)
+        key_value.faults = deque(["unavailable"] * 20)
         failure = anyio.run(numbers.next_number, "quotes", "b" * 64, 2)
         self.assertIsInstance(failure, Failure)
--- a/reedspar/weights/tests/test_manifest_exchange.py
+++ b/reedspar/weights/tests/test_manifest_exchange.py
@@ -19,7 +19,7 @@
 )
 from reedspar.weights.manifest_exchange import (
     ANSWER_TIMEOUT_S,
-    READERS,
+    MANIFEST_READERS,
     ManifestExchange,
     create_manifest_exchange,
 )
@@ -144,13 +144,13 @@
         return manifests
 
 
-Script = Callable[[Site], Awaitable[None]]
+Scenario = Callable[[Site], Awaitable[None]]
 
 
 class ManifestExchangeTest(unittest.TestCase):
-    def run_scenario(self, script: Script) -> None:
+    def run_scenario(self, scenario: Scenario) -> None:
         async def run() -> None:
-            await script(Site())
+            await scenario(Site())
 
         run_virtual(run)
 
@@ -164,33 +164,33 @@
 
     def test_two_caches_read_the_origin(self) -> None:
         # Guards against each of 65 daemons reading the manifest at the origin.
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             start_s = anyio.current_time()
             manifests = await site.read_all(2)
             self.assertEqual(set(manifests.values()), {make_manifest(2)})
-            self.assertEqual(site.reads, READS_PER_READER * READERS)
+            self.assertEqual(site.reads, READS_PER_READER * MANIFEST_READERS)
             self.assertLessEqual(anyio.current_time() - start_s, EXCHANGE_MAX_S)
             for daemon in site.daemons.values():
                 is_known = bool(daemon.origin.learned) or bool(daemon.origin.reads)
                 self.assertTrue(is_known, daemon.peer.name)
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_versions_read_at_the_same_time_do_not_delay_each_other(self) -> None:
         # Guards against requests that time out, and reads of the origin in their place,
         # while the manifests of several versions are requested.
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             start_s = anyio.current_time()
             async with anyio.create_task_group() as tasks:
                 for version in (2, 3, 3):
                     tasks.start_soon(site.read_all, version)
             self.assertLessEqual(anyio.current_time() - start_s, EXCHANGE_MAX_S)
-            self.assertEqual(site.reads, 3 * READS_PER_READER * READERS)
+            self.assertEqual(site.reads, 3 * READS_PER_READER * MANIFEST_READERS)
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_answer_of_a_peer_that_was_not_asked_is_ignored(self) -> None:
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             agent = site.daemons["xela-agent-0"]
             wrong = zlib.compress(encode_manifest(make_manifest(2, b"wrong")))
             answer = ManifestAnswer(MODEL, 2, wrong)
@@ -203,23 +203,23 @@
             manifests = await site.read_all(2)
             self.assertEqual(manifests[agent.peer.name], make_manifest(2))
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_wrong_manifest_of_one_reader_is_not_passed_on(self) -> None:
         # Guards against accepting the wrong manifest that one of two readers received.
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             reader = (await self.find_readers(site))[0]
             reader.origin.is_corrupt = True
             manifests = await site.read_all(2)
             del manifests[reader.peer.name]
             self.assertEqual(set(manifests.values()), {make_manifest(2)})
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_manifest_is_accepted_only_if_two_reads_agree(self) -> None:
         # Guards against accepting a manifest that was corrupted in transit, which would
         # leave the version incomplete forever.
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             for daemon in site.daemons.values():
                 daemon.origin.is_inconsistent = True
             manifests = await site.read_all(2)
@@ -229,10 +229,10 @@
             manifests = await site.read_all(2)
             self.assertEqual(set(manifests.values()), {make_manifest(2)})
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_daemons_read_the_origin_if_a_reader_is_dead(self) -> None:
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             (await self.find_readers(site))[0].is_dead = True
             start_s = anyio.current_time()
             manifests = await site.read_all(2)
@@ -241,11 +241,11 @@
                 anyio.current_time() - start_s, ANSWER_TIMEOUT_S + EXCHANGE_MAX_S
             )
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
     def test_single_answer_is_accepted_during_an_origin_outage(self) -> None:
         # Guards against a failed read if only one reader answers during an outage.
-        async def script(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             first, second = await self.find_readers(site)
             second.is_dead = True
             await first.exchange.read_manifest(MODEL, 2)
@@ -255,7 +255,7 @@
             read = await other.exchange.read_manifest(MODEL, 2)
             self.assertEqual(read, make_manifest(2))
 
-        self.run_scenario(script)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -38,8 +38,8 @@
 CHUNKS = 16
 CHUNK_BYTES = 1000
 ENTRY = WeightPeer("entry-1", "ra", "a", is_cache=True)
-NEAR = WeightPeer("entry-3", "ra", "a", is_cache=True)
-FAR = WeightPeer("entry-2", "rb", "b", is_cache=True)
+SAME_REGION_ENTRY = WeightPeer("entry-3", "ra", "a", is_cache=True)
+OTHER_REGION_ENTRY = WeightPeer("entry-2", "rb", "b", is_cache=True)
 LIMITS = SwarmLimits(
     origin_region="ra",
     machine_bytes_per_s=1e6,
@@ -62,8 +62,8 @@
         self.first = self._make(1)
         self.second = self._make(2)
         events = self.fleet.events
-        events.at(0.0, lambda: self._name(self.first))
-        events.at(SECOND_NAMED_AT_S, lambda: self._name(self.second))
+        events.at(0.0, lambda: self._distribute(self.first))
+        events.at(SECOND_NAMED_AT_S, lambda: self._distribute(self.second))
         events.at(OUTAGE_START_S, lambda: self._set_unavailable(True))
         events.at(outage_end_s, lambda: self._set_unavailable(False))
 
@@ -78,7 +78,7 @@
         self.fleet.objects.update(objects)
         return manifest
 
-    def _name(self, manifest: Manifest) -> None:
+    def _distribute(self, manifest: Manifest) -> None:
         for agent in self.fleet.live:
             agent.decide.register_version(manifest, self.fleet.events.now_s)
             agent.decide.fetch_chunks(manifest, self.fleet.events.now_s)
@@ -176,7 +176,7 @@
         # The entry retried those after a delay, and in each delay read one of the next
         # version.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
-        entry.set_peers(MODEL, [FAR], 0.0)
+        entry.set_peers(MODEL, [OTHER_REGION_ENTRY], 0.0)
         first, objects = make_weights(CHUNKS, CHUNK_BYTES)
         second, more = make_weights(CHUNKS, CHUNK_BYTES, sequence=2)
         objects |= more
@@ -186,7 +186,7 @@
         reading = pop_reads(entry)
         for number, digest in enumerate(first.chunk_digests):
             request = ChunkRequest(digest, number, may_draw=True)
-            entry.receive(FAR.name, request, ORIGIN_STALL_S)
+            entry.receive(OTHER_REGION_ENTRY.name, request, ORIGIN_STALL_S)
         order = list(reading)
         for turn in range(CHUNKS - len(reading)):
             now_s = ORIGIN_STALL_S + 0.013 * (turn + 1)
@@ -200,11 +200,13 @@
         # region requests a chunk from an entry, and a second entry reads it afterwards.
         # The first one had too many failed attempts to request it from the second.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
-        entry.set_peers(MODEL, [FAR, NEAR], 0.0)
+        entry.set_peers(MODEL, [OTHER_REGION_ENTRY, SAME_REGION_ENTRY], 0.0)
         manifest, _ = make_weights(CHUNKS, CHUNK_BYTES)
         entry.register_version(manifest, 0.0)
         digest = manifest.chunk_digests[0]
-        entry.receive(FAR.name, ChunkRequest(digest, 1, may_draw=True), 0.0)
+        entry.receive(
+            OTHER_REGION_ENTRY.name, ChunkRequest(digest, 1, may_draw=True), 0.0
+        )
         for turn in range(50):
             entry.tick(turn * 0.1)
             refuse_all(entry, turn * 0.1)
@@ -212,7 +214,7 @@
         announcement = HaveMap(
             manifest.root_digest, 1, held, held, is_reply_wanted=False
         )
-        entry.receive(NEAR.name, announcement, 5.5)
+        entry.receive(SAME_REGION_ENTRY.name, announcement, 5.5)
         entry.tick(6.0)
         requested = [
             (action.peer, action.message.digest)
@@ -220,7 +222,7 @@
             if isinstance(action, SendMessage)
             and isinstance(action.message, ChunkRequest)
         ]
-        self.assertEqual(requested, [(NEAR.name, digest)])
+        self.assertEqual(requested, [(SAME_REGION_ENTRY.name, digest)])
 
 
 def refuse_all(entry: SwarmDistribution, now_s: float) -> None:
--- a/reedspar/weights/tests/test_succession.py
+++ b/reedspar/weights/tests/test_succession.py
@@ -83,16 +83,16 @@
     async def wait(self) -> None:
         await anyio.sleep(0.25)
 
-    def run_script(
-        self, script: Callable[[VersionCatalog], Awaitable[None]]
+    def run_scenario(
+        self, scenario: Callable[[VersionCatalog], Awaitable[None]]
     ) -> list[int]:
-        """Run a catalog while a script names versions; return those published."""
+        """Run a catalog while a scenario names versions; return those published."""
 
         async def run() -> None:
             catalog = self.make_catalog()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(catalog.run)
-                await script(catalog)
+                await scenario(catalog)
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
@@ -104,7 +104,7 @@
             await self.wait()
 
     def test_named_versions_become_documents(self) -> None:
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             await self.name_in_sequence(catalog, 1)
             catalog.set_named_version("m", 2)
             catalog.set_named_version("m", 1)
@@ -113,22 +113,22 @@
             self.assertEqual(catalog.find_version(digest), ("m", 2))
             self.assertEqual(catalog.root_digest_of("m", 2), digest)
 
-        self.assertEqual(self.run_script(script), [1, 2])
+        self.assertEqual(self.run_scenario(scenario), [1, 2])
 
     def test_origin_that_fails_is_asked_again(self) -> None:
         self.reader.failures = 2
 
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             catalog.set_named_version("m", 1)
             await anyio.sleep(1.2)
 
-        self.assertEqual(self.run_script(script), [1])
+        self.assertEqual(self.run_scenario(scenario), [1])
 
     def test_next_version_is_prefetched_during_the_current_transfer(self) -> None:
         # Guards against an idle link while the second version lacks chunks that only
         # the unavailable origin has.  The third version is requested once, immediately,
         # and loaded after the second.
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             await self.name_in_sequence(catalog, 1, 2)
             self.left_s = 2.0
             self.clock.advance(4.0)
@@ -140,7 +140,7 @@
             self.left_s = None
             await self.wait()
 
-        self.assertEqual(self.run_script(script), [1, 2, 3])
+        self.assertEqual(self.run_scenario(scenario), [1, 2, 3])
 
     def test_agents_with_different_progress_decide_alike(self) -> None:
         # Guards against callers refused for 8 s.  The third version is named 2 s after
@@ -148,7 +148,7 @@
         # had nearly all and finished it, so neither version reached the whole fleet.
         self.reader.chunks = 6
 
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             await self.name_in_sequence(catalog, 1, 2)
             self.clock.advance(2.0)
             await self.name_in_sequence(catalog, 3)
@@ -156,7 +156,7 @@
         results = []
         for self.left_s in (4.35, 2.5):
             self.documents = []
-            results.append(self.run_script(script))
+            results.append(self.run_scenario(scenario))
         self.assertEqual(results[0], results[1])
 
     def test_agents_that_learn_of_a_version_late_decide_alike(self) -> None:
@@ -170,7 +170,7 @@
             self.clock = VirtualClock()
             self.documents = []
 
-            async def script(catalog: VersionCatalog, late_s: float = late_s) -> None:
+            async def scenario(catalog: VersionCatalog, late_s: float = late_s) -> None:
                 await self.name_in_sequence(catalog, 1)
                 named_at_s = self.clock.now_s()
                 self.clock.advance(late_s)
@@ -179,13 +179,13 @@
                 self.clock.advance(2.0 - late_s)
                 await self.name_in_sequence(catalog, 3)
 
-            results.append(self.run_script(script))
+            results.append(self.run_scenario(scenario))
         self.assertEqual(results[0], results[1])
 
     def test_version_that_would_arrive_expired_is_dropped(self) -> None:
         # Guards against finishing a version that could not be served.  After an outage
         # during its transfer, the second version would expire before it is loaded.
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             await self.name_in_sequence(catalog, 1, 2)
             self.left_s = 1.0
             self.clock.advance(4.0)
@@ -194,13 +194,13 @@
             self.clock.advance(BOUND_S - 1.0)
             await self.wait()
 
-        self.assertEqual(self.run_script(script), [1, 2, 3])
+        self.assertEqual(self.run_scenario(scenario), [1, 2, 3])
 
     def test_deadline_depends_on_the_next_named_version(self) -> None:
         # Guards against switches after the first version has expired.  The second
         # version was dropped for the third, and targets used the later deadline of the
         # third.
-        async def script(catalog: VersionCatalog) -> None:
+        async def scenario(catalog: VersionCatalog) -> None:
             named_at_s = self.clock.now_s()
             await self.name_in_sequence(catalog, 1, 2)
             self.clock.advance(2.0)
@@ -211,7 +211,7 @@
             )
             self.assertEqual(catalog.service_deadline_s("m", 3), float("inf"))
 
-        self.assertEqual(self.run_script(script), [1, 2, 3])
+        self.assertEqual(self.run_scenario(scenario), [1, 2, 3])
 
 
 class DeadlineTest(unittest.TestCase):
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -27,7 +27,14 @@
 CHUNKS = 24
 RATES = LinkRates(machine=200_000, region=50_000, origin=400_000)
 TIME_LIMIT_S = 120.0
-FAULTS = ("kill", "freeze", "origin_away", "restart_engine", "change", "return")
+FAULTS = (
+    "kill",
+    "freeze",
+    "origin_outage",
+    "restart_engine",
+    "change",
+    "restart_agent",
+)
 
 
 def create_fleet(
@@ -105,7 +112,7 @@
             fleet.kill([agent], MODEL)
         elif fault == "freeze":
             agent.frozen_until_s = now_s + self.rng.uniform(0.5, 15.0)
-        elif fault == "origin_away":
+        elif fault == "origin_outage":
             fleet.origin_is_away = True
             until_s = now_s + self.rng.uniform(0.1, 10.0)
             fleet.events.at(until_s, lambda: setattr(fleet, "origin_is_away", False))
@@ -113,7 +120,7 @@
             agent.want(self.manifest)
         elif fault == "change":
             self.change_version()
-        elif fault == "return":
+        elif fault == "restart_agent":
             self.restart_agent(agent)
 
     def change_version(self) -> None:
@@ -144,10 +151,10 @@
         self.assertTrue(scenario.finish())
         copy = scenario.manifest.size_bytes
         self.assertEqual(fleet.origin_bytes, copy)
-        into = dict.fromkeys(REGIONS[1:], 0)
+        received_bytes = dict.fromkeys(REGIONS[1:], 0)
         for (_, region), link in fleet.regions.items():
-            into[region] += link.sent_bytes
-        self.assertEqual(into, dict.fromkeys(REGIONS[1:], copy))
+            received_bytes[region] += link.sent_bytes
+        self.assertEqual(received_bytes, dict.fromkeys(REGIONS[1:], copy))
 
     @settings(max_examples=25, derandomize=True, deadline=None)
     @given(
@@ -215,10 +222,10 @@
             self.assertLess(missing_share, 1 - read_share + 0.1)
 
     def test_origin_region_fetches_chunks_that_only_other_regions_hold(self) -> None:
-        # Guards against requests refused 3 s longer.  One of three targets in the
-        # origin's region is removed, and the origin becomes unavailable.  Only other
-        # regions held the chunks of that target, and the two others lacked four tenths
-        # of the version until the end of the outage.
+        # Guards against refusing requests for 3 s longer than necessary.  One of three
+        # targets in the origin's region is removed, and the origin becomes unavailable.
+        # Only other regions held the chunks of that target, and the two others lacked
+        # four tenths of the version until the end of the outage.
         fleet = create_narrow_fleet({"centro": 3, "occidente": 4, "oriente": 3})
         scenario = Scenario(fleet, 1, chunks=96, chunk_bytes=24_576)
         scenario.run_for(2.3)
@@ -265,13 +272,13 @@
     def test_replaced_target_receives_chunks_from_its_region(self) -> None:
         # Guards against reads from the origin after an instance was replaced, which
         # happens 820 times a day; its link is needed for new versions.
-        for place in range(3):
+        for index in range(3):
             fleet = create_fleet(18, 1)
             scenario = Scenario(fleet, 1)
             self.assertTrue(scenario.finish())
             origin_bytes = fleet.origin_bytes
             region_bytes = sum(link.sent_bytes for link in fleet.regions.values())
-            scenario.restart_agent(fleet.agents[f"agent-{place}"])
+            scenario.restart_agent(fleet.agents[f"agent-{index}"])
             self.assertTrue(scenario.finish())
             self.assertEqual(fleet.origin_bytes, origin_bytes)
             region_bytes_after = sum(link.sent_bytes for link in fleet.regions.values())
--- a/reedspar/weights/tests/test_verification.py
+++ b/reedspar/weights/tests/test_verification.py
@@ -23,7 +23,7 @@
 """Time to read a chunk back on an agent's share of a core."""
 CHUNK_INTERVAL_S = 0.06
 """Time between two chunks on a target's link."""
-MAX_CHECK_S = 0.1
+CHECK_MAX_S = 0.1
 
 
 class FakeEngine:
@@ -90,7 +90,7 @@
             await self.stage_at_link_rate(CHUNKS - 10, CHUNKS)
             start_s = anyio.current_time()
             self.assertEqual(await self.verifier.find_corrupt(self.staged), [])
-            self.assertLessEqual(anyio.current_time() - start_s, MAX_CHECK_S)
+            self.assertLessEqual(anyio.current_time() - start_s, CHECK_MAX_S)
             self.assertEqual(self.corrupt, [])
 
         self.run_scenario(scenario)
@@ -125,7 +125,8 @@
         self.run_scenario(scenario)
 
     def test_all_chunks_are_read_back_after_pause(self) -> None:
-        # Guards against trusting reads from before a suspend that the clock omits.
+        # Guards against trusting reads from before a suspend.  The clock stops during a
+        # suspend, so these reads do not expire by age.
         async def scenario() -> None:
             await self.stage_at_link_rate(0, CHUNKS)
             self.engine.chunks[CHUNKS - 1] = b"?"
--- a/reedspar/weights/tests/test_weight_cache.py
+++ b/reedspar/weights/tests/test_weight_cache.py
@@ -63,7 +63,7 @@
         # Guards against a second version that is not read before an origin outage.  It
         # is named shortly after the first, and agents request it only once they have
         # the first, which is after the outage begins 0.5 s later.
-        async def script() -> None:
+        async def scenario() -> None:
             origin = NumberedOrigin()
             async with anyio.create_task_group() as tasks:
                 cache = make_cache(origin, tasks)
@@ -77,7 +77,7 @@
                 self.assertEqual(origin.chunk_reads, CHUNKS)
                 tasks.cancel_scope.cancel()
 
-        anyio.run(script)
+        anyio.run(scenario)
 
     def test_replacement_cache_fetches_requested_chunks_of_an_earlier_version(
         self,
@@ -85,8 +85,8 @@
         # Guards against targets that never complete the first of two versions.  Entries
         # restart in turn during both transfers.  Their replacements knew only the
         # second version, and a quarter of the first one's missing chunks was read by
-        # none.
-        async def script() -> None:
+        # none of the entries.
+        async def scenario() -> None:
             origin = NumberedOrigin()
             view = FakePeerView(has_cache_role=False)
             links = FakeLinks()
@@ -112,7 +112,7 @@
                 self.assertEqual(origin.chunk_reads, CHUNKS)
                 tasks.cancel_scope.cancel()
 
-        anyio.run(script)
+        anyio.run(scenario)
 
 
 def make_cache(
--- a/reedspar/weights/transfers.py
+++ b/reedspar/weights/transfers.py
@@ -12,8 +12,8 @@
 """Announcements to a neighbour during the transfer of a version over the slowest link.
 
 With 150, they used 3% of a link of 3.65 Mbit/s that chunks are meant to fill."""
-ANNOUNCE_MIN_S = 0.01
-ANNOUNCE_MAX_S = 0.25
+ANNOUNCE_INTERVAL_MIN_S = 0.01
+ANNOUNCE_INTERVAL_MAX_S = 0.25
 
 
 class Transfer:
@@ -52,7 +52,9 @@
         self.replica_fetch_at_s = 0.0
         copy_s = self.size_bytes / slowest_bytes_per_s
         interval_s = copy_s / ANNOUNCEMENTS_PER_COPY
-        self.announce_interval_s = min(max(interval_s, ANNOUNCE_MIN_S), ANNOUNCE_MAX_S)
+        self.announce_interval_s = min(
+            max(interval_s, ANNOUNCE_INTERVAL_MIN_S), ANNOUNCE_INTERVAL_MAX_S
+        )
         self._rng = rng
         self._missing: list[int] = []
         self._positions: dict[int, int] = {}
--- a/reedspar/weights/uploads.py
+++ b/reedspar/weights/uploads.py
@@ -171,7 +171,7 @@
 
 
 class WaitingRequests:
-    """Requests for objects that are being fetched, or of a version not known yet."""
+    """Requests for objects that are being fetched or whose version is not known yet."""
 
     def __init__(self, refuse: Callable[[str, int, str], None]) -> None:
         self._refuse = refuse
--- a/reedspar/weights/verification.py
+++ b/reedspar/weights/verification.py
@@ -27,8 +27,8 @@
 """Verification starts when the missing chunks need at most this long on the link."""
 READ_INTERVAL_S = 0.001
 """Delay between two reads, which lets arriving chunks be processed."""
-PASSES_MAX = 3
-"""Verifications expire during a slow pass, or when the machine is paused in one."""
+VERIFICATION_PASSES_MAX = 3
+"""Limits the passes before a load; verifications expire in a slow pass or a pause."""
 
 _logger = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         if self._reader is None:
             return []
         corrupt: list[int] = []
-        for _ in range(PASSES_MAX):
+        for _ in range(VERIFICATION_PASSES_MAX):
             time_s = self._timers.now_s() - VERIFICATION_TTL_S
             indexes = [i for i in staged.unverified_since(time_s) if i not in corrupt]
             if not indexes:
--- a/reedspar/weights/views.py
+++ b/reedspar/weights/views.py
@@ -70,7 +70,7 @@
     """Deadlines of replaced versions."""
 
     def service_deadline_s(self, model: str, served: int) -> float:
-        """Return when a version may no longer be served; infinity if never replaced.
+        """Return when a version may no longer be served; infinity for the newest.
 
         The time is that of the timer service.
         """
