--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,9 +1,10 @@
-"""Claims of orders: a write per order against group commit under an owner.
+"""Compare two ways to claim orders: one write per order, and group commit.
 
-Nine entries in one process and in virtual time, before a key-value service
-that answers in some milliseconds and refuses writes beyond its rate.  Undated
-keys claim by a write of their own, dated ones by group commit; the code is the
-product's.  Processor time is the machine's, over all nine entries.
+Nine entries run the product's code in one process, in virtual time, with a key-value
+service that answers after 3 ms and refuses writes above a rate limit.  Orders with
+undated keys are claimed by one write each; those with dated keys are claimed by
+their owner, which commits them in groups.  The processor time is real and covers all
+nine entries.
 
 Run ``python -m bench.claims [--seconds 5]``; the last line is one JSON object.
 """
@@ -28,17 +29,17 @@
 from reedspar.requests.tests.fakes import FakeEntries, FakeKeyValue, FakeNetwork
 from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
 
-ENTRIES = tuple(f"entry-{number}" for number in range(1, 10))
-EPOCH_S = 1_800_000_000.0
-RUN_S = 0.2
-LINK_S = 0.001
-KEY_VALUE_S = 0.003
+ENTRY_NAMES = tuple(f"entry-{number}" for number in range(1, 10))
+START_UNIX_TIME_S = 1_800_000_000.0
+SERVICE_TIME_S = 0.2
+LINK_DELAY_S = 0.001
+KEY_VALUE_DELAY_S = 0.003
 ANSWER = b"x" * 300
 
 
 @dataclass
 class Figures:
-    """What one way bore at one offered load."""
+    """Results of one way to claim orders at one offered load."""
 
     way: str
     offered_per_s: int
@@ -52,31 +53,31 @@
 
 
 class LimitedKeyValue(FakeKeyValue):
-    """Answers after some milliseconds; refuses writes beyond a rate."""
+    """Key-value service with a delay and a limit on the rate of writes."""
 
     def __init__(self, writes_per_s: int) -> None:
         super().__init__()
-        self.delay_s = KEY_VALUE_S
+        self.delay_s = KEY_VALUE_DELAY_S
         self.calls = 0
         self._writes_per_s = writes_per_s
         self._second = 0
-        self._in_second = 0
-        self.before_write = self._limit
+        self._writes_in_second = 0
+        self.before_write = self._check_rate
 
-    def _limit(self, key: str) -> Failure | None:
+    def _check_rate(self, key: str) -> Failure | None:
         self.calls += 1
         second = int(anyio.current_time())
         if second != self._second:
-            self._second, self._in_second = second, 0
-        self._in_second += 1
-        if self._in_second <= self._writes_per_s:
+            self._second, self._writes_in_second = second, 0
+        self._writes_in_second += 1
+        if self._writes_in_second <= self._writes_per_s:
             return None
         return Failure(Reason.UNAVAILABLE, Step.KEY_VALUE, detail="too many writes")
 
 
 @dataclass
 class Trial:
-    """One way at one offered load."""
+    """Run of one way to claim orders at one offered load."""
 
     figures: Figures
     seconds: float
@@ -88,14 +89,14 @@
     refused: int = 0
 
     def unix_time(self) -> float:
-        """Return the virtual unix time."""
-        return EPOCH_S + anyio.current_time()
+        """Return the virtual time as Unix time."""
+        return START_UNIX_TIME_S + anyio.current_time()
 
     async def run(self) -> None:
-        """Offer the load, then let what is under way end."""
-        entries = FakeEntries([EntryAddress(n, "a", "h", 1) for n in ENTRIES])
+        """Offer the load, then wait until the orders have ended."""
+        entries = FakeEntries([EntryAddress(n, "a", "h", 1) for n in ENTRY_NAMES])
         async with anyio.create_task_group() as tasks:
-            for name in ENTRIES:
+            for name in ENTRY_NAMES:
                 timers = create_loop_timers()
                 options = LedgerOptions(86_400.0, 35.0)
                 ledger = ClaimLedger(
@@ -103,9 +104,11 @@
                     timers,
                     self.unix_time,
                     options,
-                    lambda: len(ENTRIES),
+                    lambda: len(ENTRY_NAMES),
+                )
+                client = ClaimClient(
+                    name, self._add_network(name), timers, ledger, entries
                 )
-                client = ClaimClient(name, self._join(name), timers, ledger, entries)
                 self.filters.append(
                     Deduplicate(client, timers, self.unix_time, 86_400.0)
                 )
@@ -115,22 +118,22 @@
                 count = round(self.figures.offered_per_s * self.seconds)
                 for number in range(count):
                     at_s = self.rng.uniform(0, self.seconds)
-                    orders.start_soon(self._order, number, at_s)
+                    orders.start_soon(self._place_order, number, at_s)
             await anyio.sleep(5)
             tasks.cancel_scope.cancel()
 
-    def _join(self, name: str) -> FakeNetwork:
+    def _add_network(self, name: str) -> FakeNetwork:
         network = self.networks[name] = FakeNetwork()
 
-        def carry(peer: str, message: Any) -> None:
+        def deliver_later(peer: str, message: Any) -> None:
             network.sent.clear()
             deliver = partial(self.networks[peer].deliver, name, message)
-            loop.call_later(LINK_S, deliver)
+            loop.call_later(LINK_DELAY_S, deliver)
 
         import asyncio
 
         loop = asyncio.get_running_loop()
-        network.on_send = carry
+        network.on_send = deliver_later
         return network
 
     def _make_key(self, number: int) -> str:
@@ -139,13 +142,13 @@
         bits = int(self.unix_time() * 1000) << 80 | 7 << 76 | 2 << 62 | number
         return str(uuid.UUID(int=bits))
 
-    async def _order(self, number: int, at_s: float) -> None:
+    async def _place_order(self, number: int, at_s: float) -> None:
         await anyio.sleep(at_s)
         started_s = anyio.current_time()
 
-        async def proceed(request: Request) -> Answer:
+        async def run_order(request: Request) -> Answer:
             self.claim_s.append(anyio.current_time() - started_s)
-            await anyio.sleep(RUN_S)
+            await anyio.sleep(SERVICE_TIME_S)
             return Answer(Outcome.ANSWERED, 200, (), ANSWER)
 
         request = Request(
@@ -160,12 +163,12 @@
             0.0,
             idempotency_key=self._make_key(number),
         )
-        answer = await self.rng.choice(self.filters).apply(request, proceed)
+        answer = await self.rng.choice(self.filters).apply(request, run_order)
         self.refused += answer.outcome is not Outcome.ANSWERED
 
 
 def measure(way: str, offered_per_s: int, seconds: float, limit: int) -> Figures:
-    """Return the figures of one way at one offered load."""
+    """Run one way to claim orders at one offered load and return its results."""
     figures = Figures(way, offered_per_s)
     trial = Trial(figures, seconds, LimitedKeyValue(limit))
     started_s = time.process_time()
@@ -177,15 +180,15 @@
     figures.writes_per_s = round(trial.key_value.calls / seconds, 1)
     figures.writes_per_order = round(trial.key_value.calls / max(1, ran), 3)
     if ran > 1:
-        cuts = statistics.quantiles(trial.claim_s, n=100)
-        figures.claim_p50_ms = round(cuts[49] * 1000, 1)
-        figures.claim_p99_ms = round(cuts[98] * 1000, 1)
+        percentiles = statistics.quantiles(trial.claim_s, n=100)
+        figures.claim_p50_ms = round(percentiles[49] * 1000, 1)
+        figures.claim_p99_ms = round(percentiles[98] * 1000, 1)
     figures.cpu_ms_per_order = round(cpu_s * 1000 / max(1, ran), 3)
     return figures
 
 
 def main() -> None:
-    """Measure both ways at several loads and print them."""
+    """Measure both ways at several loads and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--writes-per-s", type=int, default=300)
--- a/bench/cold_start_model.py
+++ b/bench/cold_start_model.py
@@ -1,4 +1,4 @@
-"""A target in cold start and ways to limit its load, for `bench.cold_start`."""
+"""Model of a target in cold start and limiters of its load, for `bench.cold_start`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 __all__ = [
     "COLD_LIMIT",
-    "COLD_S",
+    "COLD_SERVICE_S",
     "FULL_LIMIT",
     "RAMP_S",
     "SCENARIOS",
-    "WARM_S",
+    "WARM_SERVICE_S",
     "WAYS",
     "GateLimiter",
     "Limiter",
@@ -23,28 +23,28 @@
 
 COLD_LIMIT = 1
 FULL_LIMIT = 8
-WARM_S = 0.2
-COLD_S = 1.0
+WARM_SERVICE_S = 0.2
+COLD_SERVICE_S = 1.0
 RAMP_S = 10.0
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """How the target is cold, and what it tells of it."""
+    """When the target is cold, and how it reports and tolerates this."""
 
     name: str
     cold_s: float = 8.0
     cold_completions: int = 0
-    """If set, the target is cold for as many answers instead of `cold_s`."""
+    """If set, the target is cold for this number of answers instead of `cold_s`."""
     report_lag_s: float = 0.0
     turns_cold: bool = False
-    """Turns cold at `EVENT_S` without another boot."""
+    """Whether the target turns cold at `FAULT_TIME_S` without a restart."""
     restarts: bool = False
-    """Restarts at `EVENT_S` in full flight."""
+    """Whether the target restarts at `FAULT_TIME_S` under full load."""
     long_share: float = 0.0
     """Share of requests whose first byte takes six times as long."""
-    borne_s: float = 0.5
-    """How long more than the cold limit is borne."""
+    overload_tolerance_s: float = 0.5
+    """Time for which a cold target tolerates more requests than its cold limit."""
 
 
 SCENARIOS = (
@@ -57,7 +57,10 @@
     Scenario("silent turn to cold", turns_cold=True),
     Scenario("silent turn, report lags 3 s", turns_cold=True, report_lag_s=3.0),
     Scenario(
-        "silent turn, lags, bears 2 s", turns_cold=True, report_lag_s=3.0, borne_s=2.0
+        "silent turn, lags, bears 2 s",
+        turns_cold=True,
+        report_lag_s=3.0,
+        overload_tolerance_s=2.0,
     ),
     Scenario("one in ten is long", long_share=0.1),
     Scenario("one in five is long", long_share=0.2),
@@ -65,86 +68,90 @@
 
 
 class Limiter(Protocol):
-    """Decides whether one more request may start."""
+    """Limit on the number of requests in flight."""
 
     def has_room(self, now_s: float) -> bool:
-        """Tell whether one more may start."""
+        """Return whether one more request may start."""
         ...
 
     def limit(self, now_s: float) -> int:
-        """Return how many may be in flight."""
+        """Return the maximum number of requests in flight."""
         ...
 
-    def note(self, event: str, value: Any = None) -> None:
-        """Take in an event, named as the gate's method."""
+    def handle_event(self, event: str, value: Any = None) -> None:
+        """Handle an event that is named like the gate's method for it."""
         ...
 
-    def note_state(self, boot_id: str, is_cold: bool, now_s: float) -> None:
-        """Take in the target's report."""
+    def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
+        """Handle a report of the target."""
         ...
 
 
 class GateLimiter:
-    """The product's gate."""
+    """Limiter that uses the product's gate."""
 
     def __init__(self) -> None:
         self._gate = ColdStartGate(GateSettings(COLD_LIMIT, FULL_LIMIT))
 
     @property
     def is_confirmed(self) -> bool:
-        """Tell whether the boot was read since the target was last idle."""
+        """Return whether the boot was read since the target was last idle."""
         return self._gate.is_confirmed
 
     def has_room(self, now_s: float) -> bool:
-        """Tell whether one more may start."""
+        """Return whether one more request may start."""
         return self._gate.has_room
 
     def limit(self, now_s: float) -> int:
-        """Return how many may be in flight."""
+        """Return the maximum number of requests in flight."""
         return self._gate.limit
 
-    def note(self, event: str, value: Any = None) -> None:
+    def handle_event(self, event: str, value: Any = None) -> None:
         """Call the gate's method of that name."""
         method = getattr(self._gate, event)
         method() if value is None else method(value)
 
-    def note_state(self, boot_id: str, is_cold: bool, now_s: float) -> None:
-        """Take in the target's report."""
+    def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
+        """Pass a report of the target to the gate."""
         self._gate.note_boot(boot_id, now_s)
         self._gate.note_report(is_cold=is_cold, now_s=now_s)
 
 
 class TimedLimiter:
-    """A limit by the time since the boot: held for `hold_s`, then grown evenly."""
+    """Limiter by the time since the boot.
+
+    Allows the cold limit for `hold_s`, and then increases it linearly to the full limit
+    within `ramp_s`.
+    """
 
     def __init__(self, hold_s: float, ramp_s: float) -> None:
         self._hold_s = hold_s
         self._ramp_s = ramp_s
         self._boot_id = ""
-        self._since_s = 0.0
+        self._booted_at_s = 0.0
         self._in_flight = 0
 
     def has_room(self, now_s: float) -> bool:
-        """Tell whether one more may start."""
+        """Return whether one more request may start."""
         return self._in_flight < self.limit(now_s)
 
     def limit(self, now_s: float) -> int:
-        """Return how many may be in flight."""
-        grown_s = now_s - self._since_s - self._hold_s
-        if grown_s < 0:
+        """Return the maximum number of requests in flight."""
+        ramp_elapsed_s = now_s - self._booted_at_s - self._hold_s
+        if ramp_elapsed_s < 0:
             return COLD_LIMIT
-        share = min(grown_s / self._ramp_s, 1.0) if self._ramp_s else 1.0
+        share = min(ramp_elapsed_s / self._ramp_s, 1.0) if self._ramp_s else 1.0
         return COLD_LIMIT + int(share * (FULL_LIMIT - COLD_LIMIT))
 
-    def note(self, event: str, value: Any = None) -> None:
-        """Count what is in flight."""
+    def handle_event(self, event: str, value: Any = None) -> None:
+        """Count the requests in flight."""
         self._in_flight += {"note_started": 1, "note_ended": -1}.get(event, 0)
 
-    def note_state(self, boot_id: str, is_cold: bool, now_s: float) -> None:
-        """Start the ramp again at another boot."""
+    def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
+        """Start again from the cold limit after another boot."""
         if boot_id != self._boot_id:
             self._boot_id = boot_id
-            self._since_s = now_s
+            self._booted_at_s = now_s
 
 
 WAYS: dict[str, Callable[[], Limiter]] = {
@@ -158,16 +165,16 @@
 
 @dataclass(eq=False)
 class Request:
-    """One request and where it waits."""
+    """One request, and the limiter in whose queue it waits."""
 
-    place: int
+    limiter_index: int
     arrived_s: float
     is_long: bool = False
     boot: int = 0
 
 
 class Target:
-    """The target's truth: cold or not, and when it falls over."""
+    """Actual state of the target: whether it is cold, and when it crashes."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -177,62 +184,65 @@
         self._cold_since_s: float | None = None
         self._answers_left = 0
         self._history: list[tuple[float, bool]] = [(float("-inf"), False)]
-        self.over_since_s: float | None = None
+        self.overloaded_since_s: float | None = None
 
     def start(self, now_s: float) -> None:
-        """Start the process, cold."""
+        """Start the process, which is cold at first."""
         self.boot += 1
         self.is_up = True
         self.turn_cold(now_s)
 
     def turn_cold(self, now_s: float) -> None:
-        """Turn cold."""
+        """Start a cold phase."""
         self._cold_since_s = now_s
         self._answers_left = self._scenario.cold_completions
         self._history.append((now_s, True))
-        self.note_load(now_s)
+        self.update_overload(now_s)
 
     def stop(self) -> list[Request]:
-        """End the process; return what was broken off."""
+        """End the process, and return the requests that were in flight."""
         self.is_up = False
         broken = list(self.running)
         self.running.clear()
-        self.over_since_s = None
+        self.overloaded_since_s = None
         return broken
 
     def is_cold(self, now_s: float) -> bool:
-        """Tell whether it is cold."""
+        """Return whether the target is cold."""
         if self._cold_since_s is None:
             return False
         by_answers = self._scenario.cold_completions > 0
-        is_over = now_s - self._cold_since_s >= self._scenario.cold_s
-        if self._answers_left <= 0 if by_answers else is_over:
+        has_elapsed = now_s - self._cold_since_s >= self._scenario.cold_s
+        if self._answers_left <= 0 if by_answers else has_elapsed:
             self._cold_since_s = None
             self._history.append((now_s, False))
-            self.over_since_s = None
+            self.overloaded_since_s = None
             return False
         return True
 
     def report_cold(self, now_s: float) -> bool:
-        """Return what it reports, as late as its report is."""
+        """Return whether the target reports that it is cold; reports lag behind."""
         self.is_cold(now_s)
         seen_s = now_s - self._scenario.report_lag_s
         return [cold for at_s, cold in self._history if at_s <= seen_s][-1]
 
-    def note_answer(self) -> None:
+    def count_answer(self) -> None:
         """Count an answer towards the end of the cold start."""
         self._answers_left -= 1
 
-    def note_load(self, now_s: float) -> None:
-        """Take in that the load changed."""
-        is_over = self.is_cold(now_s) and len(self.running) > COLD_LIMIT
-        if not is_over:
-            self.over_since_s = None
-        elif self.over_since_s is None:
-            self.over_since_s = now_s
-
-    def falls_over(self, now_s: float) -> bool:
-        """Tell whether it has had too much for too long."""
-        self.note_load(now_s)
-        since_s = self.over_since_s
-        return since_s is not None and now_s - since_s >= self._scenario.borne_s
+    def update_overload(self, now_s: float) -> None:
+        """Update since when the target has been overloaded."""
+        is_overloaded = self.is_cold(now_s) and len(self.running) > COLD_LIMIT
+        if not is_overloaded:
+            self.overloaded_since_s = None
+        elif self.overloaded_since_s is None:
+            self.overloaded_since_s = now_s
+
+    def should_crash(self, now_s: float) -> bool:
+        """Return whether the target has been overloaded for too long."""
+        self.update_overload(now_s)
+        since_s = self.overloaded_since_s
+        return (
+            since_s is not None
+            and now_s - since_s >= self._scenario.overload_tolerance_s
+        )
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,9 +1,10 @@
-"""Time from acceptance of a version to its being in force, under virtual time.
+"""Measure the time from a version's acceptance until it is in force, in virtual time.
 
 ``python -m bench.configuration [--seed N] [--rounds N] [--sizes small,middle,full]``
 
-Only the decisions run: latency, lost messages and stopped processes are drawn
-from the seed.  The baseline lets every daemon watch the key-value service.
+Only the decisions run; latency, lost messages and stopped processes are drawn from a
+generator with the given seed.  In the baseline, every daemon watches the key-value
+service.
 """
 
 import argparse
@@ -38,18 +39,18 @@
 __all__ = ["main"]
 
 FROZEN_SHARE = 0.1
-LOSS = 0.05
+MESSAGE_LOSS_SHARE = 0.05
 WARM_UP_S = 15.0
-ROUND_S = 10.0
-OUT_BOUND_S = 3.0
-STEADY_S = 10.0
+ROUND_DURATION_S = 10.0
+ZONE_OUT_LIMIT_S = 3.0
+STEADY_DURATION_S = 10.0
 FRAME_LENGTH_BYTES = 4
-ALL_WATCH = 1_000_000
+UNLIMITED_WATCHERS = 1_000_000
 
 
 @dataclass(frozen=True)
 class Size:
-    """A fleet to measure."""
+    """Size of a fleet to measure."""
 
     entries: int
     agents: int
@@ -64,8 +65,11 @@
 }
 
 
-def make_measure() -> Callable[[Sender, Any], int]:
-    """Return a function that gives a frame's bytes, encoded once for each shape."""
+def make_frame_sizer() -> Callable[[Sender, Any], int]:
+    """Return a function that returns the size of a message's frame in bytes.
+
+    Each combination of message class and size of the variable part is encoded once.
+    """
     registry = MessageRegistry()
     register_messages(registry)
     known: dict[tuple[type, int], int] = {}
@@ -86,9 +90,9 @@
 
 
 def make_document(version: int, zone_out: str) -> ConfigurationDocument:
-    """Return a document of the size that a full history gives."""
+    """Return a document with up to 200 records of earlier versions."""
     pools = {f"pool-{i}": PoolConfiguration(kind=PoolKind.PLAIN) for i in range(20)}
-    shops = {f"shop-{i}": WorkspaceConfiguration(share=2.0) for i in range(50)}
+    workspaces = {f"shop-{i}": WorkspaceConfiguration(share=2.0) for i in range(50)}
     first = max(version - 200, 0)
     history = tuple(
         PatchRecord(
@@ -102,20 +106,24 @@
     )
     zones = {zone_out: ZoneState.OUT} if zone_out else {}
     return ConfigurationDocument(
-        version=version, pools=pools, workspaces=shops, zones=zones, history=history
+        version=version,
+        pools=pools,
+        workspaces=workspaces,
+        zones=zones,
+        history=history,
     )
 
 
 def make_fleet(size: Size, seed: int, watchers_per_zone: int) -> Fleet:
-    """Return a fleet with the links that membership would open."""
+    """Return a fleet with the links that membership opens."""
     zones = [f"zone-{i:02d}" for i in range(size.zones)]
     regions = {zone: f"region-{i % size.regions}" for i, zone in enumerate(zones)}
     fleet = Fleet(
         regions,
         seed,
-        LOSS,
+        MESSAGE_LOSS_SHARE,
         watchers_per_zone=watchers_per_zone,
-        measure=make_measure(),
+        measure=make_frame_sizer(),
     )
     entries, agents = (
         [
@@ -146,13 +154,13 @@
 
 
 class Round:
-    """One acceptance, with some of the processes stopped around it."""
+    """Acceptance of one version while some of the processes are frozen."""
 
     def __init__(self, fleet: Fleet, version: int, zone: str) -> None:
         self.fleet = fleet
         self.version = version
         self.zone = zone
-        self.thawed_s: dict[str, float] = {}
+        self.resumed_s: dict[str, float] = {}
         self.in_force_s: dict[str, float] = {}
         self.late = 0
 
@@ -161,42 +169,46 @@
         nodes = list(fleet.nodes.values())
         for node in fleet.rng.sample(nodes, int(len(nodes) * FROZEN_SHARE)):
             delay_s = fleet.rng.uniform(0.0, 4.0)
-            fleet.call_after(delay_s, functools.partial(self._freeze, node))
+            fleet.call_after(delay_s, functools.partial(self._freeze_node, node))
         fleet.run_for(2.0)
         self.accepted_s = fleet.clock.now_s()
-        fleet.observe = self._observe
+        fleet.observe = self._record_adoption
         fleet.key_value.write(make_document(self.version, self.zone))
-        fleet.run_for(ROUND_S)
+        fleet.run_for(ROUND_DURATION_S)
         fleet.observe = lambda node: None
 
-    def _freeze(self, node: Node) -> None:
+    def _freeze_node(self, node: Node) -> None:
         duration_s = self.fleet.rng.uniform(0.5, 3.0)
         self.fleet.freeze(node, duration_s)
-        self.thawed_s[node.name] = self.fleet.clock.now_s() + duration_s
+        self.resumed_s[node.name] = self.fleet.clock.now_s() + duration_s
 
-    def _observe(self, node: Node) -> None:
+    def _record_adoption(self, node: Node) -> None:
         now_s = self.fleet.clock.now_s()
         if node.controller.version >= self.version:
             self.in_force_s.setdefault(node.name, now_s)
             return
-        is_late = now_s - self.accepted_s > OUT_BOUND_S
+        is_late = now_s - self.accepted_s > ZONE_OUT_LIMIT_S
         if is_late and node.controller.check_work_allowed(self.zone) is None:
             self.late += 1
 
-    def times_s(self, *, is_running: bool) -> list[float]:
-        """Return each daemon's time; from its going on, if `is_running`."""
+    def list_adoption_times_s(self, *, since_resumed: bool) -> list[float]:
+        """Return the time until the version was in force, for each daemon.
+
+        If `since_resumed`, a daemon that resumed after the acceptance is timed from
+        then.
+        """
         times = []
         for name, at_s in self.in_force_s.items():
             since_s = self.accepted_s
-            thawed_s = self.thawed_s.get(name, 0.0)
-            if is_running and since_s < thawed_s <= at_s:
-                since_s = thawed_s
+            resumed_s = self.resumed_s.get(name, 0.0)
+            if since_resumed and since_s < resumed_s <= at_s:
+                since_s = resumed_s
             times.append(max(at_s - since_s, 0.0))
         return times
 
 
-def quantiles(values: list[float]) -> dict[str, float]:
-    """Return the quantiles that the aim names."""
+def compute_quantiles(values: list[float]) -> dict[str, float]:
+    """Return the 50th, 99th and 99.9th percentiles and the maximum."""
     ordered = sorted(values)
     last = len(ordered) - 1
     shares = (("p50", 0.5), ("p99", 0.99), ("p99_9", 0.999), ("max", 1.0))
@@ -206,31 +218,33 @@
 
 
 def measure_steady(fleet: Fleet) -> dict[str, float]:
-    """Return the cost while nothing changes, a daemon and second."""
+    """Return the costs per daemon and second while the configuration is unchanged."""
     nodes = list(fleet.nodes.values())
     messages = sum(node.sent_messages for node in nodes)
     sent_bytes = sum(node.sent_bytes for node in nodes)
     calls = fleet.key_value.calls
     ages: list[float] = []
-    for _ in range(int(STEADY_S / 0.5)):
+    for _ in range(int(STEADY_DURATION_S / 0.5)):
         fleet.run_for(0.5)
         ages += [node.controller.age_s for node in nodes]
-    daemon_seconds = len(nodes) * STEADY_S
+    daemon_seconds = len(nodes) * STEADY_DURATION_S
     messages = sum(node.sent_messages for node in nodes) - messages
     sent_bytes = sum(node.sent_bytes for node in nodes) - sent_bytes
     return {
         "messages_sent_per_s": round(messages / daemon_seconds, 2),
         "bytes_sent_per_s": round(sent_bytes / daemon_seconds, 1),
-        "key_value_calls_per_s": round((fleet.key_value.calls - calls) / STEADY_S, 1),
-        "freshness_age_p99_s": quantiles(ages)["p99"],
-        "freshness_age_max_s": quantiles(ages)["max"],
+        "key_value_calls_per_s": round(
+            (fleet.key_value.calls - calls) / STEADY_DURATION_S, 1
+        ),
+        "freshness_age_p99_s": compute_quantiles(ages)["p99"],
+        "freshness_age_max_s": compute_quantiles(ages)["max"],
     }
 
 
 def measure_size(
     size: Size, seed: int, rounds: int, watchers_per_zone: int
 ) -> dict[str, Any]:
-    """Return the figures for one fleet."""
+    """Return the results for one fleet."""
     started_s = time.perf_counter()
     fleet = make_fleet(size, seed, watchers_per_zone)
     fleet.key_value.write(make_document(1, ""))
@@ -241,15 +255,15 @@
     outage = measure_steady(fleet)
     fleet.key_value.is_down = False
     fleet.run_for(5.0)
-    raw: list[float] = []
+    adoption_times_s: list[float] = []
     running: list[float] = []
     late = 0
     missing = 0
     for i in range(rounds):
         trial = Round(fleet, i + 2, f"zone-{i % size.zones:02d}")
         trial.run()
-        raw += trial.times_s(is_running=False)
-        running += trial.times_s(is_running=True)
+        adoption_times_s += trial.list_adoption_times_s(since_resumed=False)
+        running += trial.list_adoption_times_s(since_resumed=True)
         late += trial.late
         missing += len(fleet.nodes) - len(trial.in_force_s)
     return {
@@ -257,8 +271,8 @@
         "links_per_daemon": round(
             sum(len(node.linked) for node in fleet.nodes.values()) / len(fleet.nodes), 1
         ),
-        "in_force_s": quantiles(raw),
-        "in_force_since_running_s": quantiles(running),
+        "in_force_s": compute_quantiles(adoption_times_s),
+        "in_force_since_running_s": compute_quantiles(running),
         "not_in_force": missing,
         "work_started_after_3_s": late,
         "steady": steady,
@@ -268,13 +282,13 @@
 
 
 def main() -> None:
-    """Measure the sizes asked for and print one JSON line last."""
+    """Measure the selected sizes and print one JSON line last."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--sizes", default=",".join(SIZES))
     options = parser.parse_args()
-    result: dict[str, Any] = {"seed": options.seed, "loss": LOSS}
+    result: dict[str, Any] = {"seed": options.seed, "loss": MESSAGE_LOSS_SHARE}
     result["frozen_share"] = FROZEN_SHARE
     for name in options.sizes.split(","):
         size = SIZES[name]
@@ -283,7 +297,7 @@
         print(name, figures, flush=True)
         if name != "full":
             key = f"{name}_all_watch"
-            result[key] = measure_size(size, options.seed, 1, ALL_WATCH)
+            result[key] = measure_size(size, options.seed, 1, UNLIMITED_WATCHERS)
             print(key, result[key], flush=True)
     print_result(result)
 
--- a/bench/configuration_histories.py
+++ b/bench/configuration_histories.py
@@ -1,8 +1,9 @@
-"""Long random histories of faults against the claims of freshness.
+"""Check the freshness guarantees of the configuration under random faults.
 
 ``python -m bench.configuration_histories [--seed N] [--seconds N]``
 
-Each history has its own seed, which is printed if a claim fails in it.
+Runs random histories of faults until the time is over.  Each history has its own
+seed, which is printed if a check fails in it.
 """
 
 import argparse
@@ -14,23 +15,25 @@
 
 __all__ = ["main"]
 
-STEPS_MAX = 25
-WAIT_MAX_S = 10.0
+MAX_FAULTS = 25
+MAX_WAIT_S = 10.0
 
 
 def run_history(seed: int) -> str:
-    """Return what failed in one history, or nothing."""
+    """Run one history and return what failed, or an empty string."""
     rng = random.Random(seed)
     try:
-        world = FaultSimulation(seed)
-        for _ in range(rng.randint(3, STEPS_MAX)):
-            world.apply(rng.choice(FAULTS))
-            world.fleet.run_for(rng.uniform(0.5, WAIT_MAX_S))
-        world.heal()
+        simulation = FaultSimulation(seed)
+        for _ in range(rng.randint(3, MAX_FAULTS)):
+            simulation.apply(rng.choice(FAULTS))
+            simulation.fleet.run_for(rng.uniform(0.5, MAX_WAIT_S))
+        simulation.heal()
     except AssertionError as error:
         return str(error)
-    newest = world.key_value.version
-    behind = [node.name for node in world.nodes if node.controller.version < newest]
+    newest = simulation.key_value.version
+    behind = [
+        node.name for node in simulation.nodes if node.controller.version < newest
+    ]
     return f"not healed: {behind}" if behind else ""
 
 
--- a/bench/configuration_watch.py
+++ b/bench/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Watch every daemon's configuration version: it spreads in time, and never reverts."""
+"""Check that configuration versions reach every daemon in time and never revert."""
 
 import time
 from dataclasses import dataclass, field
@@ -12,16 +12,16 @@
 
 __all__ = ["ConfigurationWatch"]
 
-POLL_S = 0.5
-SPREAD_S = 4.0
+POLL_INTERVAL_S = 0.5
+ADOPTION_LIMIT_S = 4.0
 POLL_TIMEOUT_S = 0.5
-SETTLE_S = 6.0
-"""A daemon that was disturbed less long ago is not held to the time of spreading."""
+DISTURBANCE_GRACE_S = 6.0
+"""Time after a disturbance in which a daemon may exceed `ADOPTION_LIMIT_S`."""
 
 
 @dataclass
 class ConfigurationWatch:
-    """Holds what each daemon says against what was accepted."""
+    """Polls the configuration version of each daemon and collects violations."""
 
     launcher: Launcher
     disturbed_at: dict[str, float]
@@ -39,7 +39,7 @@
                 async with anyio.create_task_group() as tasks:
                     for daemon in self.launcher.daemons:
                         tasks.start_soon(self._poll, client, daemon)
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
     async def _poll(self, client: httpx.AsyncClient, daemon: Daemon) -> None:
         asked_at = time.time()
@@ -59,9 +59,15 @@
             self._report(daemon, version, "a configuration never reverts", detail)
         self._seen[daemon.name] = max(version, before)
         self._first_seen_at.setdefault(version, now)
-        is_disturbed = asked_at - self.disturbed_at.get(daemon.name, 0.0) < SETTLE_S
+        is_disturbed = (
+            asked_at - self.disturbed_at.get(daemon.name, 0.0) < DISTURBANCE_GRACE_S
+        )
         newest_due = max(
-            (v for v, at in self._first_seen_at.items() if asked_at - at > SPREAD_S),
+            (
+                v
+                for v, at in self._first_seen_at.items()
+                if asked_at - at > ADOPTION_LIMIT_S
+            ),
             default=0,
         )
         if version < newest_due and not is_disturbed:
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,10 +1,11 @@
-"""What control costs a daemon, by the size of the fleet, with real processes.
+"""Measure the cost of the control plane per daemon by fleet size, with real processes.
 
 ``python -m bench.control_cost [--sizes 9,18,27] [--seconds N]``
 
-No requests and no weights: links, membership, configuration and reports only.
-Prints processor time, resident memory and bytes a second for each daemon, the
-key-value calls, the time from acceptance to in force, and a slope by size.
+The daemons exchange no requests and no weights, only the traffic of links, membership,
+configuration and reports.  Prints the processor time, resident memory and bytes per
+second of a daemon, the rate of key-value calls, the time from a version's acceptance
+until it is in force, and the slopes of the costs by fleet size.
 """
 
 import argparse
@@ -24,32 +25,34 @@
 __all__ = ["main"]
 
 ZONES = tuple(Zone(f"zone-{i}", f"region-{i}") for i in range(3))
-ENTRY_SHARE = 590 / 2490
+ENTRY_FRACTION = 590 / 2490
 POOL = "orders"
-SETTLE_S = 8.0
+WARM_UP_S = 8.0
 MEBIBYTE = 1024 * 1024
-MEMORY_SHARE = 0.5
+MAX_MEMORY_FRACTION = 0.5
 DAEMON_MEMORY_BYTES = 100 * MEBIBYTE
-PATCHES = 5
+PATCH_COUNT = 5
 ADOPTION_WAIT_S = 4.0
 CLIENT_TIMEOUT_S = 20.0
-TRAFFIC = "links_traffic"
-MESSAGES = "reedspar_messages"
+TRAFFIC_METRIC = "links_traffic"
+MESSAGES_METRIC = "reedspar_messages"
 DIRECTIONS = ("sent", "received")
 
 
 def check_memory(count: int) -> None:
-    """Refuse a fleet that would take more than half of what is free."""
+    """Exit if the daemons would need more than half of the available memory."""
     with open("/proc/meminfo") as file:
         lines = dict(line.split(":") for line in file)
     free_bytes = int(lines["MemAvailable"].split()[0]) * 1024
-    if count * DAEMON_MEMORY_BYTES > free_bytes * MEMORY_SHARE:
-        raise SystemExit(f"{count} daemons do not fit into half of {free_bytes} bytes")
+    if count * DAEMON_MEMORY_BYTES > free_bytes * MAX_MEMORY_FRACTION:
+        raise SystemExit(
+            f"{count} daemons do not fit into half of the {free_bytes} bytes available"
+        )
 
 
 def make_deployment(count: int) -> Deployment:
-    """Return a fleet of `count` daemons in the ratio to design for."""
-    entries = max(3, round(count * ENTRY_SHARE))
+    """Return a fleet of `count` daemons with entries in the ratio `ENTRY_FRACTION`."""
+    entries = max(3, round(count * ENTRY_FRACTION))
     pool = Pool(POOL, TargetKind.PLAIN_SERVICE, count - entries)
     return Deployment(f"control-{count}", ZONES, (pool,), entries)
 
@@ -60,17 +63,17 @@
     for line in client.get(f"{daemon.http_url}/metrics").text.splitlines():
         if line.startswith("#"):
             continue
-        if TRAFFIC in line:
+        if TRAFFIC_METRIC in line:
             direction = line.split('direction="')[1].split('"')[0]
             traffic[direction] = float(line.rsplit(" ", 1)[1])
-        elif MESSAGES in line:
+        elif MESSAGES_METRIC in line:
             kind = line.split('kind="')[1].split('"')[0]
             traffic[kind] = traffic.get(kind, 0.0) + float(line.rsplit(" ", 1)[1])
     return traffic
 
 
 def patch(client: httpx.Client, daemon: Daemon, version: int) -> float:
-    """Accept a version on a daemon and return the wall time of the answer."""
+    """Submit a version to a daemon and return the wall-clock time of the answer."""
     body = {
         "base_version": version - 1,
         "patch_id": f"control-cost-{version}",
@@ -84,7 +87,7 @@
 
 
 def read_adoptions(client: httpx.Client, daemon: Daemon) -> dict[int, float]:
-    """Return the wall time at which a daemon adopted each version."""
+    """Return the wall-clock time at which a daemon adopted each version."""
     page = client.get(f"{daemon.http_url}/admin/events").json()
     events = [event_from_json(data) for data in page["events"]]
     return {
@@ -95,9 +98,9 @@
 
 
 def measure_adoption(client: httpx.Client, launcher: Launcher) -> dict[str, Any]:
-    """Return the times from acceptance to in force over all daemons."""
+    """Return statistics of the times from acceptance until in force."""
     accepted = {}
-    for version in range(2, PATCHES + 2):
+    for version in range(2, PATCH_COUNT + 2):
         accepted[version] = patch(client, launcher.entries[0], version)
         time.sleep(ADOPTION_WAIT_S)
     times = []
@@ -121,16 +124,20 @@
 def measure_cost(
     client: httpx.Client, launcher: Launcher, seconds: float
 ) -> dict[str, Any]:
-    """Return the means over the daemons of each role while nothing changes."""
+    """Return mean and maximum costs by role while the configuration is unchanged."""
     daemons = launcher.daemons
-    pids = {each.name: launcher.processes[each.name].popen.pid for each in daemons}
+    pids = {
+        daemon.name: launcher.processes[daemon.name].popen.pid for daemon in daemons
+    }
 
     def read_all() -> dict[str, tuple[float, dict[str, float]]]:
         with ThreadPoolExecutor(8) as pool:
-            traffic = list(pool.map(lambda each: read_traffic(client, each), daemons))
+            traffic = list(
+                pool.map(lambda daemon: read_traffic(client, daemon), daemons)
+            )
         return {
-            each.name: (read_cpu_s(pids[each.name]), bytes_)
-            for each, bytes_ in zip(daemons, traffic, strict=True)
+            daemon.name: (read_cpu_s(pids[daemon.name]), bytes_)
+            for daemon, bytes_ in zip(daemons, traffic, strict=True)
         }
 
     counts_url = f"{launcher.key_value_url}/control/counts"
@@ -147,7 +154,7 @@
     }
     for role, group in (("entry", launcher.entries), ("agent", launcher.agents)):
         cpu = [(after[d.name][0] - before[d.name][0]) / elapsed_s for d in group]
-        moved = [
+        link_bytes = [
             sum(after[d.name][1][key] - before[d.name][1][key] for key in DIRECTIONS)
             for d in group
         ]
@@ -165,8 +172,8 @@
             "cpu_share_max": round(max(cpu), 4),
             "resident_mib": round(statistics.fmean(resident), 1),
             "resident_mib_max": round(max(resident), 1),
-            "link_bytes_per_s": round(statistics.fmean(moved) / elapsed_s, 0),
-            "link_bytes_per_s_max": round(max(moved) / elapsed_s, 0),
+            "link_bytes_per_s": round(statistics.fmean(link_bytes) / elapsed_s, 0),
+            "link_bytes_per_s_max": round(max(link_bytes) / elapsed_s, 0),
             "messages_per_s": {
                 kind: round(count / elapsed_s / len(group), 2)
                 for kind, count in messages.items()
@@ -177,7 +184,7 @@
 
 
 def sum_counts(counts: Any) -> int:
-    """Return the sum of all numbers in an answer of counts."""
+    """Return the sum of all integers in a nested object of counts."""
     if isinstance(counts, dict):
         return sum(sum_counts(value) for value in counts.values())
     return counts if isinstance(counts, int) else 0
@@ -195,14 +202,14 @@
         httpx.Client(trust_env=False, timeout=CLIENT_TIMEOUT_S) as client,
     ):
         patch(client, launcher.entries[0], 1)
-        time.sleep(SETTLE_S)
+        time.sleep(WARM_UP_S)
         cost = measure_cost(client, launcher, seconds)
         adoption = measure_adoption(client, launcher)
     return {"daemons": count, **cost, "in_force": adoption}
 
 
 def fit_slope(xs: list[float], ys: list[float]) -> dict[str, float]:
-    """Return a least-squares line through the figures."""
+    """Return a line fitted by least squares, or nothing for fewer than two points."""
     if len(xs) < 2:
         return {}
     line = statistics.linear_regression(xs, ys)
@@ -219,13 +226,13 @@
     for text in options.sizes.split(","):
         figures.append(measure_size(int(text), options.seconds))
         print(figures[-1], flush=True)
-    sizes = [float(each["daemons"]) for each in figures]
+    sizes = [float(size["daemons"]) for size in figures]
     slopes: dict[str, Any] = {
-        f"{role}_{key}": fit_slope(sizes, [each[role][key] for each in figures])
+        f"{role}_{key}": fit_slope(sizes, [size[role][key] for size in figures])
         for role in ("entry", "agent")
         for key in ("cpu_share", "resident_mib", "link_bytes_per_s")
     }
-    calls = [each["key_value_calls_per_s"] for each in figures]
+    calls = [size["key_value_calls_per_s"] for size in figures]
     slopes["key_value_calls_per_s"] = fit_slope(sizes, calls)
     print_result({"sizes": figures, "slopes": slopes})
 
