--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each one command, with one JSON object as its last line."""
+"""Measurements and trials, each one command that prints JSON as its last line."""
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,11 +1,11 @@
-"""Measure what entry and agent add to a call, and what one daemon relays.
-
-Every figure stands beside its baseline, the same call straight to the target's
-stand-in, taken in the same run: calls at 50 a second in turn with direct ones,
-calls as fast as a few clients can, streams, and an idle daemon's memory.  Orders
-with dated keys share writes to the key-value service, plain keys cost one each;
-they are measured apart.  The processor time a request is that of the entry, and
-of all agents of the pool together, beyond what they use when idle.
+"""Measure the latency that entry and agent add to a call, and one entry's throughput.
+
+The baseline of each result is the same call sent directly to the target's stand-in in
+the same run.  Measures calls at 50 per second, alternating with direct ones; calls as
+fast as 32 clients can send them; streams; and the memory of idle daemons.  Orders with
+dated keys share writes to the key-value service, while plain keys need one write each,
+so the two are measured separately.  The processor time per request is that of the
+entry and that of all agents of the pool together, without their use when idle.
 """
 
 import argparse
@@ -34,20 +34,20 @@
 
 ENGINE_ARGUMENTS = ("--token-s", "0.002", "--sequence-s", "0")
 RATE_PER_S = 50.0
-WARM_SHARE = 0.1
-CLIENTS = 32
+WARM_UP_SHARE = 0.1
+CLIENT_COUNT = 32
 
 
 @dataclass
 class Sample:
-    """Latencies of one way to call."""
+    """Latencies and failures of one kind of call."""
 
     latencies_ms: list[float] = field(default_factory=list)
     failures: list[str] = field(default_factory=list)
 
     def describe(self) -> dict[str, Any]:
-        """Return the figures."""
-        skipped = int(len(self.latencies_ms) * WARM_SHARE)
+        """Return counts and percentiles without the warm-up calls."""
+        skipped = int(len(self.latencies_ms) * WARM_UP_SHARE)
         counted = self.latencies_ms[skipped:]
         return {
             "count": len(counted),
@@ -61,7 +61,7 @@
 
 
 class Caller:
-    """The same calls through the entry and straight to the targets."""
+    """Sends the same calls through the entry and directly to the targets."""
 
     def __init__(self, launcher: Launcher) -> None:
         self.entry_url = launcher.entries[0].http_url
@@ -76,27 +76,27 @@
         await self._client.aclose()
 
     async def quote_direct(self, sample: Sample) -> None:
-        """Ask an engine in turn."""
+        """Send a quote to the engines in turn."""
         self._count += 1
         url = self.engine_urls[self._count % len(self.engine_urls)]
         await self._quote(f"{url}/v1/completions", sample)
 
     async def quote_through(self, sample: Sample) -> None:
-        """Ask the entry."""
+        """Send a quote to the entry."""
         await self._quote(f"{self.entry_url}/v1/pools/quotes/v1/completions", sample)
 
     async def order_direct(self, sample: Sample) -> None:
-        """Order at the service."""
+        """Send an order to the service."""
         url = f"{self.service_url}/orders"
         await self._order(url, sample, make_dated_key(self._rng))
 
     async def order_through(self, sample: Sample) -> None:
-        """Order at the entry, with a dated key."""
+        """Send an order with a dated key to the entry."""
         url = f"{self.entry_url}/v1/pools/deposits/orders"
         await self._order(url, sample, make_dated_key(self._rng))
 
     async def order_plain_through(self, sample: Sample) -> None:
-        """Order at the entry, with a key that carries no date."""
+        """Send an order with an undated key to the entry."""
         url = f"{self.entry_url}/v1/pools/deposits/orders"
         await self._order(url, sample, str(uuid.uuid4()))
 
@@ -126,7 +126,7 @@
 
 
 async def run_at_rate(calls: dict[str, Call], seconds: float) -> dict[str, Any]:
-    """Start each call at the rate, in turn, so that all see the same machine."""
+    """Start the calls alternately at `RATE_PER_S` each, under the same machine load."""
     samples = {name: Sample() for name in calls}
     start_s = anyio.current_time()
     async with anyio.create_task_group() as tasks:
@@ -143,7 +143,7 @@
 
 
 async def run_flat_out(call: Call, seconds: float) -> dict[str, Any]:
-    """Call from a few clients as fast as answers come."""
+    """Call from `CLIENT_COUNT` clients, each of which waits for its answer."""
     sample = Sample()
     until_s = time.monotonic() + seconds
 
@@ -152,26 +152,26 @@
             await call(sample)
 
     async with anyio.create_task_group() as tasks:
-        for _ in range(CLIENTS):
+        for _ in range(CLIENT_COUNT):
             tasks.start_soon(repeat)
     rate = len(sample.latencies_ms) / seconds
     return {**sample.describe(), "requests_per_s": round(rate, 1)}
 
 
 def list_pids(launcher: Launcher, pool: str) -> dict[str, list[int]]:
-    """Return the processes of the entry and of the pool's agents."""
+    """Return the process IDs of the entry and of the pool's agents."""
 
-    def find(daemon: Daemon) -> int:
+    def find_pid(daemon: Daemon) -> int:
         return launcher.processes[daemon.name].popen.pid
 
     return {
-        "entry": [find(launcher.entries[0])],
-        "agents": [find(agent) for agent in launcher.agents_of(pool)],
+        "entry": [find_pid(launcher.entries[0])],
+        "agents": [find_pid(agent) for agent in launcher.agents_of(pool)],
     }
 
 
 async def measure_idle(launcher: Launcher, idle_s: float) -> dict[str, Any]:
-    """Return resident memory and share of a core of daemons without requests."""
+    """Return the resident memory and core share of daemons without requests."""
     pids = list_pids(launcher, "quotes")
     meter = CpuMeter(pids)
     await anyio.sleep(idle_s)
@@ -186,7 +186,7 @@
 
 
 class Measurement:
-    """The phases of one run, each with the processor time that it took."""
+    """The phases of one run, each with its processor time."""
 
     def __init__(self, launcher: Launcher, idle: dict[str, Any]) -> None:
         self._launcher = launcher
@@ -201,7 +201,7 @@
     async def compare(
         self, pool: str, direct: Call, through: Call, seconds: float
     ) -> dict[str, Any]:
-        """Return both ways to call, what is added, and the time of processors."""
+        """Return both kinds of call, the added latency, and the processor time."""
         meter = self.start_meter(pool)
         calls = {"direct": direct, "through": through}
         figures = await run_at_rate(calls, seconds)
@@ -213,7 +213,7 @@
         return figures
 
     async def flat_out(self, call: Call, seconds: float) -> dict[str, Any]:
-        """Return the throughput of quotes, and the time of processors."""
+        """Return the throughput of quotes and the processor time."""
         meter = self.start_meter("quotes")
         figures = await run_flat_out(call, seconds)
         figures.update(meter.per_unit_ms(figures["requests_per_s"] * seconds))
@@ -221,7 +221,7 @@
 
 
 async def measure(launcher: Launcher, arguments: argparse.Namespace) -> dict[str, Any]:
-    """Take all figures of plain calls."""
+    """Run all measurements except that of streams."""
     seconds = arguments.seconds
     result: dict[str, Any] = {"bench": "latency", "rate_per_s": RATE_PER_S}
     await prepare(launcher)
--- a/bench/measuring.py
+++ b/bench/measuring.py
@@ -1,4 +1,4 @@
-"""What the measurements share: processes' memory and time, and the last line."""
+"""Read memory and processor time of processes, and print results of measurements."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 def read_resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * KIBIBYTE
@@ -21,18 +21,18 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the user and system time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     user, system = int(fields[11]), int(fields[12])
     return (user + system) / TICKS_PER_S
 
 
 class CpuMeter:
-    """Processor time of the entry and of the agents since it was started.
+    """Measures the processor time of processes by role since its creation.
 
-    On a busy machine latency says more of the neighbours than of the daemons;
-    processor time changes far less.  What the daemons use when idle is left
-    out by its share of a core, measured before.
+    On a machine with other load, processor time varies far less than latency does.
+    `idle_shares` are the shares of a core that the daemons use when idle, which
+    `per_unit_ms` subtracts.
     """
 
     def __init__(
@@ -44,13 +44,16 @@
         self._before = self._read()
 
     def shares(self) -> dict[str, float]:
-        """Return the share of a core that each role's processes used in all."""
+        """Return the share of a core that all processes of each role used together."""
         took_s = time.monotonic() - self._start_s
         now = self._read()
         return {role: (now[role] - self._before[role]) / took_s for role in now}
 
     def per_unit_ms(self, count: float) -> dict[str, float]:
-        """Return milliseconds beyond idle for each of `count` requests or tokens."""
+        """Return processor milliseconds per request or token, without idle use.
+
+        `count` is the number of requests or tokens since the creation.
+        """
         took_s = time.monotonic() - self._start_s
         return {
             f"{role}_cpu_ms": round(
@@ -71,5 +74,5 @@
 
 
 def print_result(result: dict[str, Any]) -> None:
-    """Print the JSON object that ends a measurement's output."""
+    """Print the result as JSON, which is the last line of a measurement's output."""
     print(json.dumps(result, sort_keys=True), flush=True)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,13 +1,13 @@
-"""Service at twice the capacity, with one target slow by ten and one cold.
+"""Measure the service under overload, with a target ten times slower and a cold one.
 
-Entries and agents of the product in one process and in virtual time, before
-targets whose time grows once they have more in flight than they bear; a cold
-one breaks everything in flight.  Three ways on the same arrivals: round robin
-without limits, the agents' limits with the entries' routing alone (our first
-design), and admission at the entries before it.
+The product's entries and agents run in one process, in virtual time.  The service
+time of a target grows if it has more requests in flight than its limit; a cold target
+also fails those that are in flight.  The three ways handle the same arrivals: "round
+robin" without limits; "routing alone" with the agents' limits but without admission
+control, an earlier design; "admission", which adds admission control at the entries.
+The default loads are half of the capacity and twice the capacity.
 
-Run ``python -m bench.overload [--seconds 20]``; the last line is one JSON
-object.
+Run ``python -m bench.overload [--seconds 20]``; the last line is one JSON object.
 """
 
 import argparse
@@ -31,23 +31,23 @@
 from reedspar.settings import RequestSettings
 from reedspar.targets import create_target_controller
 
-TARGETS = tuple(f"t{number}" for number in range(8))
-ENTRIES = tuple(f"entry-{number}" for number in range(9))
+TARGET_NAMES = tuple(f"t{number}" for number in range(8))
+ENTRY_NAMES = tuple(f"entry-{number}" for number in range(9))
 SLOW, COLD = "t6", "t7"
 LIMIT = 8
 COLD_LIMIT = 1
-SERVICE_S = 0.1
+SERVICE_TIME_S = 0.1
 SLOW_FACTOR = 10
 DEADLINE_S = 2.0
 WARM_UP_S = 5.0
 WORKSPACES = ("big", "small", "tiny")
-DEMAND = (0.8, 0.15, 0.05)
+DEMAND_SHARES = (0.8, 0.15, 0.05)
 WAYS = ("round robin", "routing alone", "admission")
 
 
 @dataclass
 class Way:
-    """What one way did with the offered load."""
+    """Results of one way at one offered load."""
 
     way: str
     offered_per_s: float
@@ -64,65 +64,66 @@
 
 
 class LoadedTarget:
-    """A target that slows down beyond its limit; in cold start it breaks."""
+    """Target that slows down above its limit; a cold one also fails requests then."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
         self.is_cold = name == COLD
         self.limit = COLD_LIMIT if self.is_cold else LIMIT
-        self.service_s = SERVICE_S * (SLOW_FACTOR if name == SLOW else 1)
+        self.service_s = SERVICE_TIME_S * (SLOW_FACTOR if name == SLOW else 1)
         self.rng = rng
         self.in_flight = 0
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self.broken = 0
+        """Number of overloads while cold; each fails all earlier requests."""
 
     @property
     def capacity_per_s(self) -> float:
-        """Return what it answers in a second at its limit."""
+        """Return the number of answers per second at the limit."""
         return self.limit / self.service_s
 
     async def serve(self) -> bool:
-        """Return whether the request was answered."""
+        """Process a request and return whether it was answered."""
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
             if self.is_cold and self.in_flight > self.limit:
                 self.broken += 1
             before = self.broken
-            stretch = max(1.0, self.in_flight / self.limit)
-            mean_s = self.service_s * stretch
+            slowdown = max(1.0, self.in_flight / self.limit)
+            mean_s = self.service_s * slowdown
             await anyio.sleep(self.rng.uniform(0.5, 1.5) * mean_s)
             return self.broken == before
         finally:
             self.in_flight -= 1
 
     async def read_state(self) -> EngineState:
-        """Report as a target does."""
+        """Return the state that the target reports."""
         return EngineState("boot-1", is_cold=self.is_cold, in_flight=self.in_flight)
 
     @asynccontextmanager
     async def send(self, request: TargetRequest) -> AsyncIterator[Any]:
-        """Answer a request of an agent."""
-        yield _Answering(await self.serve())
+        """Process a request of an agent."""
+        yield _TargetResponse(await self.serve())
 
     async def cancel(self, request_id: str) -> None:
-        """Take a cancel."""
+        """Ignore the cancellation."""
 
 
 @dataclass
-class _Answering:
-    is_whole: bool
+class _TargetResponse:
+    is_complete: bool
     status: int = 200
     headers: tuple = ()
     weights_digest: str = ""
 
     async def iterate(self) -> AsyncIterator[bytes | Failure]:
         yield b"answer"
-        if not self.is_whole:
-            yield Failure(Reason.OUTCOME_UNKNOWN, Step.TARGET_CALL, detail="fell over")
+        if not self.is_complete:
+            yield Failure(Reason.OUTCOME_UNKNOWN, Step.TARGET_CALL, detail="crashed")
 
 
-class OpenDoor(AdmissionControl):
-    """Admits everything: the design before admission."""
+class UnlimitedAdmission(AdmissionControl):
+    """Admission control that admits every request."""
 
     def try_admit(
         self,
@@ -132,13 +133,13 @@
         *,
         has_spare_capacity: bool = False,
     ) -> Failure | None:
-        """Take a place whatever the load is."""
+        """Admit the request at any load."""
         return super().try_admit(workspace, limits, now_s, has_spare_capacity=True)
 
 
 @dataclass
 class Trial:
-    """One way under one load."""
+    """Run of one way under one load."""
 
     way: str
     load: float
@@ -153,8 +154,8 @@
     failed: int = 0
 
     async def run(self) -> None:
-        """Offer the load; only what arrives after the warm-up counts."""
-        self.targets = {name: LoadedTarget(name, self.rng) for name in TARGETS}
+        """Offer the load; only requests after the warm-up count."""
+        self.targets = {name: LoadedTarget(name, self.rng) for name in TARGET_NAMES}
         async with anyio.create_task_group() as tasks:
             if self.way != "round robin":
                 await self._start_daemons(tasks)
@@ -169,12 +170,12 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """Return what all targets together answer in a second."""
+        """Return the number of answers per second of all targets at their limits."""
         return sum(target.capacity_per_s for target in self.targets.values())
 
     async def _start_daemons(self, tasks: Any) -> None:
-        mesh = Mesh(ENTRIES, TARGETS, self.rng, delay_s=0.001)
-        for name in ENTRIES:
+        mesh = Mesh(ENTRY_NAMES, TARGET_NAMES, self.rng, delay_s=0.001)
+        for name in ENTRY_NAMES:
             timers = create_loop_timers()
             settings = RequestSettings(deadline_s=DEADLINE_S)
             service = make_service(
@@ -185,10 +186,10 @@
                 rng=random.Random(name),
             )
             if self.way == "routing alone":
-                service.admission.pools["orders"] = OpenDoor()
+                service.admission.pools["orders"] = UnlimitedAdmission()
             self.services.append(service)
             tasks.start_soon(timers.run)
-        for name in TARGETS:
+        for name in TARGET_NAMES:
             timers = create_loop_timers()
             create_target_controller(
                 make_agent_settings(name, LIMIT, COLD_LIMIT),
@@ -204,7 +205,7 @@
         await anyio.sleep(3)
 
     async def _call(self, number: int, at_s: float) -> None:
-        workspace = self.rng.choices(WORKSPACES, DEMAND)[0]
+        workspace = self.rng.choices(WORKSPACES, DEMAND_SHARES)[0]
         await anyio.sleep(at_s)
         started_s = anyio.current_time()
         status = await self._send(number, workspace)
@@ -222,7 +223,7 @@
 
     async def _send(self, number: int, workspace: str) -> int:
         if self.way == "round robin":
-            target = self.targets[TARGETS[number % len(TARGETS)]]
+            target = self.targets[TARGET_NAMES[number % len(TARGET_NAMES)]]
             with anyio.move_on_after(DEADLINE_S):
                 return 200 if await target.serve() else 502
             return 504
@@ -231,7 +232,7 @@
 
 
 async def call_application(service: RequestService, workspace: str) -> int:
-    """Return the status of one GET over ASGI."""
+    """Send a GET request to the service over ASGI and return the status."""
     statuses: list[int] = []
     first = [{"type": "http.request", "body": b"", "more_body": False}]
 
@@ -256,7 +257,7 @@
 
 
 def measure(way: str, load: float, seconds: float) -> Way:
-    """Return the figures of one way."""
+    """Run one way under one load and return its results."""
     trial = Trial(way, load, seconds)
     run_virtual(trial.run)
     sent = sum(trial.sent.values())
@@ -264,12 +265,12 @@
     figures = Way(way, round(load * capacity, 1), round(capacity, 1))
     figures.goodput_per_s = round(len(trial.answered_s) / seconds, 1)
     figures.goodput_share = round(figures.goodput_per_s / min(load, 1) / capacity, 4)
-    figures.p50_ms, figures.p99_ms = find_percentiles(trial.answered_s)
+    figures.p50_ms, figures.p99_ms = compute_percentiles_ms(trial.answered_s)
     figures.refused_share = round(len(trial.refused_s) / sent, 4)
-    figures.refusal_p99_ms = find_percentiles(trial.refused_s)[1]
+    figures.refusal_p99_ms = compute_percentiles_ms(trial.refused_s)[1]
     figures.failed_share = round(trial.failed / sent, 4)
     figures.most_over_limit = max(
-        target.most_in_flight - target.limit for target in trial.targets.values()
+        target.max_in_flight - target.limit for target in trial.targets.values()
     )
     figures.answered_share_by_workspace = {
         name: round(trial.answered.get(name, 0) / trial.sent[name], 4)
@@ -278,16 +279,16 @@
     return figures
 
 
-def find_percentiles(times_s: list[float]) -> tuple[float, float]:
+def compute_percentiles_ms(times_s: list[float]) -> tuple[float, float]:
     """Return the 50th and the 99th percentile in milliseconds."""
     if len(times_s) < 2:
         return 0.0, 0.0
-    cuts = statistics.quantiles(times_s, n=100)
-    return round(cuts[49] * 1000, 1), round(cuts[98] * 1000, 1)
+    percentiles = statistics.quantiles(times_s, n=100)
+    return round(percentiles[49] * 1000, 1), round(percentiles[98] * 1000, 1)
 
 
 def main() -> None:
-    """Measure the ways under half, full and twice the capacity."""
+    """Measure each way at each load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--loads", type=float, nargs="+", default=[0.5, 2.0])
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -1,9 +1,9 @@
-"""Break a deployment of real processes at random, and check every promise.
+"""Inject random faults into a deployment of real processes, and check all promises.
 
-``python -m bench.random_run --seed 1 --seconds 120``.  Prints what was done, the
-first violation with its time line, and one JSON object last; exits with 1 if a
-promise was broken.  The same seed draws the same faults; when they meet the
-requests is up to the machine.
+``python -m bench.random_run --seed 1 --seconds 120``.  Prints the faults, the first
+violation with its time line, and one JSON object last; exits with 1 if a promise was
+broken.  The same seed draws the same faults, but their timing relative to the
+requests depends on the machine.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 from stand_ins.promises import Ledger, Violation, compute_percentile
 from stand_ins.reasons import describe_reasons
 
-from .chaos import Chaos
+from .chaos import FaultInjector
 from .configuration_watch import ConfigurationWatch
 from .measuring import print_result
 
@@ -35,54 +35,56 @@
 
 VERSION_BYTES = 512 * 1024
 CHUNK_BYTES = 64 * 1024
-FIRST_LOAD_S = 40.0
-PUBLISH_EVERY_S = 20.0
-LAST_CALLS_S = 30.0
-LEAVING_LIMIT_S = 3.0
-BEFORE_S = 15.0
+FIRST_LOAD_TIMEOUT_S = 40.0
+PUBLISH_INTERVAL_S = 20.0
+LAST_CALLS_TIMEOUT_S = 30.0
+LEAVING_GRACE_S = 3.0
+TIME_LINE_BEFORE_S = 15.0
 UNKNOWN_STATUS = 504
 ENGINE_ARGUMENTS = ("--cold-s", "3", "--cold-completions", "6", "--crash-limit", "6")
 
 
 class RandomRun:
-    """One run of faults under load."""
+    """A run with faults under load."""
 
     def __init__(self, launcher: Launcher, arguments: argparse.Namespace) -> None:
         self._launcher = launcher
         self._arguments = arguments
         self._operator = Operator(launcher)
         self._ledger = Ledger()
-        self._chaos = Chaos(launcher, self._operator, arguments.seed)
-        self._watch = ConfigurationWatch(launcher, self._chaos.disturbed_at)
+        self._fault_injector = FaultInjector(launcher, self._operator, arguments.seed)
+        self._watch = ConfigurationWatch(launcher, self._fault_injector.disturbed_at)
         pools = launcher.deployment.pools
         self._pool = next(p for p in pools if p.kind is TargetKind.MODEL_ENGINE)
 
     async def run(self) -> dict[str, Any]:
-        """Run it and return the result."""
+        """Run the load and the faults, and return the result."""
         await self._operator.configure()
         await self._publish(1)
         await self._operator.wait_for_replicas(
             self._launcher.agents_of(self._pool.name),
             self._pool.models[0],
             self._root_digest,
-            FIRST_LOAD_S,
+            FIRST_LOAD_TIMEOUT_S,
         )
         plan = LoadPlan()
         load = Load(self._launcher, self._ledger, plan, self._arguments.seed)
         async with anyio.create_task_group() as background:
             background.start_soon(self._watch.run)
-            background.start_soon(self._publish_often)
+            background.start_soon(self._publish_periodically)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(load.run)
-                await self._chaos.run(self._arguments.seconds)
+                await self._fault_injector.run(self._arguments.seconds)
                 load.stop()
-                tasks.cancel_scope.deadline = anyio.current_time() + LAST_CALLS_S
+                tasks.cancel_scope.deadline = (
+                    anyio.current_time() + LAST_CALLS_TIMEOUT_S
+                )
             background.cancel_scope.cancel()
         await load.aclose()
         await self._operator.aclose()
-        await self._chaos.aclose()
+        await self._fault_injector.aclose()
         await self._ledger.read_targets(self._launcher)
-        return self._conclude()
+        return self._evaluate()
 
     async def _publish(self, sequence: int) -> None:
         weights = random.Random(f"weights/{sequence}").randbytes(VERSION_BYTES)
@@ -90,28 +92,30 @@
             self._pool.models[0], f"v{sequence}", sequence, weights, CHUNK_BYTES
         )
         self._root_digest = publication.version.root_digest
-        self._chaos.time_line.note(f"published v{sequence} {self._root_digest[:12]}")
+        self._fault_injector.time_line.record(
+            f"published v{sequence} {self._root_digest[:12]}"
+        )
 
-    async def _publish_often(self) -> None:
+    async def _publish_periodically(self) -> None:
         sequence = 1
         while True:
-            await anyio.sleep(PUBLISH_EVERY_S)
+            await anyio.sleep(PUBLISH_INTERVAL_S)
             try:
                 await self._publish(sequence + 1)
                 sequence += 1
             except OperatorError as error:
-                self._chaos.time_line.note(f"publishing failed: {error}")
+                self._fault_injector.time_line.record(f"publishing failed: {error}")
 
-    def _conclude(self) -> dict[str, Any]:
+    def _evaluate(self) -> dict[str, Any]:
         for line in describe_reasons(self._ledger.calls):
             print(f"  {line}", flush=True)
-        self._ledger.outages = self._chaos.outages
-        self._ledger.stalled_paths = self._chaos.stalled_paths
+        self._ledger.outages = self._fault_injector.outages
+        self._ledger.stalled_paths = self._fault_injector.stalled_paths
         violations = [
             *self._ledger.check(),
             *self._check_stops(),
             *self._watch.violations,
-            *self._check_deaths(),
+            *self._check_unexpected_exits(),
         ]
         violations.sort(key=lambda violation: violation.at)
         for violation in violations[:20]:
@@ -120,12 +124,12 @@
                 flush=True,
             )
         if violations:
-            self._show_time_line(violations[0])
+            self._print_time_line(violations[0])
         return self._make_result(violations)
 
     def _check_stops(self) -> Iterable[Violation]:
         promise = "a planned stop cuts off no request in progress"
-        for stop in self._chaos.stops:
+        for stop in self._fault_injector.stops:
             if stop.exit_code != 0:
                 detail = f"{stop.daemon.name} ended with {stop.exit_code}"
                 yield Violation(stop.ended_at, promise, detail)
@@ -140,25 +144,32 @@
             yield from self._check_leaving(stop.daemon.name, stop.begun_at)
 
     def _check_leaving(self, name: str, begun_at: float) -> Iterable[Violation]:
-        ended_at = next(s.ended_at for s in self._chaos.stops if s.begun_at == begun_at)
+        ended_at = next(
+            s.ended_at for s in self._fault_injector.stops if s.begun_at == begun_at
+        )
         for run in self._ledger.runs:
             late_s = run.started_at - begun_at
-            if run.target == name and late_s > LEAVING_LIMIT_S:
+            if run.target == name and late_s > LEAVING_GRACE_S:
                 if run.started_at > ended_at:
                     continue
                 promise = "a target that leaves gets no new work"
                 detail = f"{name} ran {run.key} {late_s:.3f} s after SIGTERM"
                 yield Violation(run.started_at, promise, detail)
 
-    def _check_deaths(self) -> Iterable[Violation]:
+    def _check_unexpected_exits(self) -> Iterable[Violation]:
         for process in self._launcher.processes.find_unexpected_exits():
             detail = f"{process.name}:\n{process.read_log_tail(3000)}"
             yield Violation(float("inf"), "no process dies by itself", detail)
 
-    def _show_time_line(self, violation: Violation) -> None:
+    def _print_time_line(self, violation: Violation) -> None:
         until_at = min(violation.at, 1e12)
-        print(f"time line of the first one, {BEFORE_S:g} s before it:", flush=True)
-        for line in self._chaos.time_line.between(until_at - BEFORE_S, until_at):
+        print(
+            f"time line of the {TIME_LINE_BEFORE_S:g} s before the first violation:",
+            flush=True,
+        )
+        for line in self._fault_injector.time_line.list_lines_between(
+            until_at - TIME_LINE_BEFORE_S, until_at
+        ):
             print(f"  {line}", flush=True)
         for call in self._ledger.calls:
             if call.key and call.key in violation.detail:
@@ -179,9 +190,9 @@
             "endings_of_orders": count_endings(calls, CallKind.ORDER),
             "p50_ms": round(compute_percentile(answered, 0.5), 1),
             "p99_ms": round(compute_percentile(answered, 0.99), 1),
-            "planned_stops": len(self._chaos.stops),
-            "zone_outages": len(self._chaos.outages),
-            "time_line_lines": len(self._chaos.time_line.lines),
+            "planned_stops": len(self._fault_injector.stops),
+            "zone_outages": len(self._fault_injector.outages),
+            "time_line_lines": len(self._fault_injector.time_line.lines),
             "engines": dict(self._ledger.engine_counts),
             "violations": len(violations),
             "violations_by_promise": dict(Counter(v.promise for v in violations)),
@@ -189,12 +200,12 @@
 
 
 def count_endings(calls: list[Call], kind: CallKind) -> dict[str, int]:
-    """Return the endings of one kind of call."""
+    """Return the number of calls of one kind by ending."""
     return dict(Counter(call.ending.value for call in calls if call.kind is kind))
 
 
 def main() -> int:
-    """Run it and return the exit code."""
+    """Run with the given options and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
--- a/bench/requests_during_distribution.py
+++ b/bench/requests_during_distribution.py
@@ -1,9 +1,9 @@
-"""Latency of requests while a version travels, and while targets switch to it.
+"""Measure the latency of requests while a version is distributed and loaded.
 
-``python -m bench.requests_during_distribution``.  Real processes of the smaller
-deployment under a steady load.  The baseline is the time before the version is
-published; "transfer" ends when the first engine has loaded it, "switch" when
-the last one has.
+``python -m bench.requests_during_distribution``.  Runs the processes of the smaller
+deployment under a constant load.  The window "before" is the baseline, without a
+distribution; "transfer" lasts from the publication until the first engine has loaded
+the version, and "switch" until 3 s after the last engine has.
 """
 
 import random
@@ -27,16 +27,16 @@
 
 WARM_UP_S = 10.0
 BASELINE_S = 15.0
-AFTER_S = 3.0
+AFTER_SWITCH_S = 3.0
 VERSION_BYTES = 24 * 1024 * 1024
 CHUNK_BYTES = 256 * 1024
-LIMIT_S = 90.0
+REPLICATION_TIMEOUT_S = 90.0
 PLAN = LoadPlan(quotes_per_s=16.0, streams_per_s=8.0, orders_per_s=8.0)
 
 
 @dataclass(frozen=True)
 class Window:
-    """A stretch of the run, in wall-clock seconds."""
+    """A period of the run, in wall-clock seconds."""
 
     name: str
     begun_at: float
@@ -44,7 +44,7 @@
 
 
 class DistributionRun:
-    """One run."""
+    """A run with two versions, the second of which is distributed under load."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
@@ -54,7 +54,7 @@
         self._rng = random.Random(1)
 
     async def run(self) -> dict[str, Any]:
-        """Run it and return the result."""
+        """Run the load and the distributions, and return the result."""
         await self._operator.configure()
         await self._distribute(1)
         load = Load(self._launcher, self._ledger, PLAN, seed=1)
@@ -65,23 +65,23 @@
             await anyio.sleep(BASELINE_S)
             published_at = time.time()
             times_s = await self._distribute(2)
-            waited_from = time.time() - max(times_s)
-            await anyio.sleep(AFTER_S)
+            wait_started_at = time.time() - max(times_s)
+            await anyio.sleep(AFTER_SWITCH_S)
             load.stop()
         await load.aclose()
         await self._operator.aclose()
-        first_at = waited_from + min(times_s)
-        last_at = waited_from + max(times_s)
+        first_at = wait_started_at + min(times_s)
+        last_at = wait_started_at + max(times_s)
         windows = [
             Window("before", begun_at, published_at),
             Window("transfer", published_at, first_at),
-            Window("switch", first_at, last_at + AFTER_S),
+            Window("switch", first_at, last_at + AFTER_SWITCH_S),
         ]
         return {
             "bench": "requests_during_distribution",
             "version_bytes": VERSION_BYTES,
             "all_loaded_after_s": round(last_at - published_at, 2),
-            "windows": {window.name: self._sum_up(window) for window in windows},
+            "windows": {window.name: self._summarize(window) for window in windows},
         }
 
     async def _distribute(self, sequence: int) -> list[float]:
@@ -92,13 +92,13 @@
         )
         agents = self._launcher.agents_of(self._pool.name)
         loaded = await self._operator.wait_for_replicas(
-            agents, model, publication.version.root_digest, LIMIT_S
+            agents, model, publication.version.root_digest, REPLICATION_TIMEOUT_S
         )
         if len(loaded) < len(agents):
             raise TimeoutError(f"only {sorted(loaded)} loaded version {sequence}")
         return sorted(loaded.values())
 
-    def _sum_up(self, window: Window) -> dict[str, Any]:
+    def _summarize(self, window: Window) -> dict[str, Any]:
         calls = [
             call
             for call in self._ledger.calls
--- a/bench/small_deployment.py
+++ b/bench/small_deployment.py
@@ -1,4 +1,4 @@
-"""One entry before four engines and a plain service, for measurements."""
+"""Deployment of one entry, four engines and a plain service, for measurements."""
 
 import anyio
 
@@ -23,11 +23,11 @@
 WARM_ENGINE = ("--max-batch", str(CONCURRENCY_LIMIT), "--cold-completions", "0")
 WEIGHTS_BYTES = 256 * 1024
 LOAD_TIMEOUT_S = 30.0
-SETTLE_S = 2.0
+WAIT_AFTER_LOAD_S = 2.0
 
 
 def make_options(engine_arguments: tuple[str, ...]) -> LauncherOptions:
-    """Return the options of a deployment whose engines are never cold."""
+    """Return the launcher options for engines that are never cold."""
     return LauncherOptions(
         engine_arguments=(*WARM_ENGINE, *engine_arguments),
         daemon_settings={"target": {"concurrency_limit": CONCURRENCY_LIMIT}},
@@ -35,7 +35,7 @@
 
 
 async def prepare(launcher: Launcher) -> None:
-    """Configure the deployment and bring a small version into every engine."""
+    """Configure the deployment and load a small version into every engine."""
     operator = Operator(launcher)
     await operator.configure()
     publication = await operator.publish(
@@ -48,4 +48,4 @@
     await operator.aclose()
     if len(loaded) < len(agents):
         raise TimeoutError(f"only {sorted(loaded)} loaded the version")
-    await anyio.sleep(SETTLE_S)
+    await anyio.sleep(WAIT_AFTER_LOAD_S)
--- a/bench/stream_worker.py
+++ b/bench/stream_worker.py
@@ -1,6 +1,6 @@
-"""Hold streams open against one address, and count the tokens that arrive.
+"""Keep a number of streams open to one URL, and count the tokens that arrive.
 
-A process of its own, so that several clients don't share one processor.
+`bench.streams` runs several workers as processes, so that they use several cores.
 """
 
 import argparse
@@ -16,23 +16,23 @@
 __all__ = ["main"]
 
 EVENT = b"data: "
-RETRY_S = 1.0
-SHORT_TOKENS = 10
-LONG_BEFORE_S = 3.0
-"""How long before the time that counts the streams get their full length."""
+DEFAULT_RETRY_DELAY_S = 1.0
+WARM_UP_TOKENS = 10
+FULL_LENGTH_LEAD_S = 3.0
+"""Time before the counting period from which streams have their full length."""
 
 
 @dataclass
 class Tally:
-    """Events in the time that counts, and what went wrong."""
+    """Events and failures within the counting period."""
 
     from_s: float
     until_s: float
     events: int = 0
     failures: list[str] = field(default_factory=list)
 
-    def note_failure(self, detail: str) -> None:
-        """Count a failure, if it falls into the time that counts."""
+    def record_failure(self, detail: str) -> None:
+        """Count a failure if it is within the counting period."""
         if self.from_s <= time.monotonic() < self.until_s:
             self.failures.append(detail)
 
@@ -40,15 +40,15 @@
 async def hold_stream(
     client: httpx.AsyncClient, arguments: argparse.Namespace, number: int, tally: Tally
 ) -> None:
-    """Read streams one after the other until the time is over."""
+    """Read streams one after another until the counting period is over."""
     round_number = 0
     while time.monotonic() < tally.until_s:
         round_number += 1
-        is_warm = time.monotonic() >= tally.from_s - LONG_BEFORE_S
+        is_full_length = time.monotonic() >= tally.from_s - FULL_LENGTH_LEAD_S
         body = {
             "model": arguments.model,
             "prompt": f"stream {number} {round_number}",
-            "max_tokens": arguments.tokens if is_warm else SHORT_TOKENS,
+            "max_tokens": arguments.tokens if is_full_length else WARM_UP_TOKENS,
             "stream": True,
         }
         headers = {"x-workspace": f"workspace-{number % 10}"}
@@ -58,27 +58,27 @@
             ) as response:
                 if response.status_code != httpx.codes.OK:
                     await response.aread()
-                    tally.note_failure(response.text[:200])
-                    await anyio.sleep(read_retry_s(response))
+                    tally.record_failure(response.text[:200])
+                    await anyio.sleep(read_retry_delay_s(response))
                     continue
                 await count_events(response, tally)
         except httpx.HTTPError as error:
-            tally.note_failure(repr(error))
+            tally.record_failure(repr(error))
 
 
-def read_retry_s(response: httpx.Response) -> float:
-    """Return when the refusal says to come back."""
-    return float(response.headers.get("retry-after", RETRY_S))
+def read_retry_delay_s(response: httpx.Response) -> float:
+    """Return the retry delay that the refusal asks for, in seconds."""
+    return float(response.headers.get("retry-after", DEFAULT_RETRY_DELAY_S))
 
 
 async def count_events(response: httpx.Response, tally: Tally) -> None:
-    """Count events that arrive in the time that counts."""
-    async for piece in response.aiter_raw():
+    """Count the events that arrive within the counting period."""
+    async for data in response.aiter_raw():
         now_s = time.monotonic()
         if now_s >= tally.until_s:
             return
         if now_s >= tally.from_s:
-            tally.events += piece.count(EVENT)
+            tally.events += data.count(EVENT)
 
 
 async def run(arguments: argparse.Namespace) -> None:
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -1,4 +1,4 @@
-"""Measure the streamed tokens a second that one entry daemon relays."""
+"""Measure the rate of streamed tokens that one entry relays."""
 
 import json
 import os
@@ -18,14 +18,16 @@
 __all__ = ["measure_streams"]
 
 ENGINE_ARGUMENTS = ("--token-s", "0.02", "--sequence-s", "0")
-DIRECT_WARM_S = 2.0
-THROUGH_WARM_S = 12.0
-"""Entry and agents raise their limits by completions: the workers' streams are
-short for most of the warm-up."""
+DIRECT_WARM_UP_S = 2.0
+THROUGH_WARM_UP_S = 12.0
+"""Longer because entry and agents raise their limits with each completed request.
+
+The streams of the workers are short for most of the warm-up for the same reason.
+"""
 
 
 def measure_streams(streams: int, seconds: float) -> dict[str, Any]:
-    """Return streams straight from the engines, and through one entry."""
+    """Measure streams directly from the engines, and through one entry."""
     with launch(DEPLOYMENT, make_options(ENGINE_ARGUMENTS)) as launcher:
         anyio.run(prepare, launcher)
         entry = launcher.entries[0]
@@ -38,8 +40,8 @@
         direct = [f"{agent.target_url}/v1/completions" for agent in agents]
         through = [f"{entry.http_url}/v1/pools/quotes/v1/completions"] * len(agents)
         return {
-            "direct": run_workers(direct, streams, DIRECT_WARM_S, seconds, pids),
-            "through": run_workers(through, streams, THROUGH_WARM_S, seconds, pids),
+            "direct": run_workers(direct, streams, DIRECT_WARM_UP_S, seconds, pids),
+            "through": run_workers(through, streams, THROUGH_WARM_UP_S, seconds, pids),
         }
 
 
@@ -50,7 +52,7 @@
     seconds: float,
     pids: dict[str, list[int]],
 ) -> dict[str, Any]:
-    """Return tokens a second over all workers, and the daemons' processor time."""
+    """Return the token rate of all workers, and the processor time of the daemons."""
     command = [sys.executable, "-m", "bench.stream_worker", "--model", "m"]
     command += ["--streams", str(streams // len(urls))]
     command += ["--seconds", str(seconds), "--warm-s", str(warm_s)]
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -1,11 +1,12 @@
-"""Evenness and churn of links between entries and agents, beside random choice.
+"""Compare ways to choose links between entries and agents by load balance and churn.
 
 ``python -m bench.subsets [--seed N]``
 
-Three ways: the product's (agents choose entries of their zone, entries choose
-agents of other zones), a random choice by each entry with as many links, and
-an arc of the ring of agents for each entry ("deterministic subsetting").
-Churn counts the links that differ after one agent, or one entry, is removed.
+The three ways: the product's, in which agents choose entries of their zone and entries
+choose agents of other zones; a random choice by each entry, with the same number of
+links; and deterministic subsetting, in which each entry links to an arc of the ring of
+agents.  Churn is the number of links that differ after one agent or one entry is
+removed.
 """
 
 import argparse
@@ -25,11 +26,11 @@
 Links = set[tuple[str, str]]
 """Pairs of an entry and an agent."""
 SIZES = {"small": (9, 9, 3), "middle": (59, 190, 11), "full": (590, 1900, 11)}
-CHANGES = 5
+REMOVALS_PER_ROLE = 5
 
 
 def make_records(count: int, role: str, zone_count: int) -> Records:
-    """Return daemons spread over the zones in turn."""
+    """Return daemons that are assigned to the zones in turn."""
     pool = "quotes" if role == "agent" else ""
     return [
         InstanceRecord(
@@ -61,8 +62,10 @@
     return links
 
 
-def make_random_links(per_entry: int, seed: int) -> Callable[[Records, Records], Links]:
-    """Return a choice in which each entry draws its agents at random."""
+def create_random_linker(
+    per_entry: int, seed: int
+) -> Callable[[Records, Records], Links]:
+    """Return a function that links each entry to random agents."""
 
     def link(entries: Records, agents: Records) -> Links:
         links = set()
@@ -76,8 +79,8 @@
     return link
 
 
-def make_arc_links(per_entry: int) -> Callable[[Records, Records], Links]:
-    """Return a choice in which each entry takes an arc of the agents in order."""
+def create_arc_linker(per_entry: int) -> Callable[[Records, Records], Links]:
+    """Return a function that links each entry to an arc of the ordered agents."""
 
     def link(entries: Records, agents: Records) -> Links:
         names = sorted(agent.name for agent in agents)
@@ -92,7 +95,11 @@
 
 
 def measure_load(entries: Records, agents: Records, links: Links) -> dict[str, float]:
-    """Return how evenly one unit of each entry's work spreads, own zone first."""
+    """Return how evenly work spreads over the agents.
+
+    Each entry spreads one unit of work over its agents in its own zone, or over all of
+    its agents if there are none in the zone.
+    """
     zone_of = {record.name: record.zone for record in (*entries, *agents)}
     by_entry: dict[str, list[str]] = {entry.name: [] for entry in entries}
     for entry, agent in sorted(links):
@@ -123,15 +130,15 @@
     links: Links,
     seed: int,
 ) -> dict[str, float]:
-    """Return the mean count of links that change when one instance goes."""
+    """Return the mean number of links that change if one instance is removed."""
     rng = random.Random(seed)
     agent_changes = [
-        len(links ^ link(entries, [a for a in agents if a is not gone]))
-        for gone in rng.sample(agents, CHANGES)
+        len(links ^ link(entries, [a for a in agents if a is not removed]))
+        for removed in rng.sample(agents, REMOVALS_PER_ROLE)
     ]
     entry_changes = [
-        len(links ^ link([e for e in entries if e is not gone], agents))
-        for gone in rng.sample(entries, CHANGES)
+        len(links ^ link([e for e in entries if e is not removed], agents))
+        for removed in rng.sample(entries, REMOVALS_PER_ROLE)
     ]
     return {
         "links_changed_by_agent": statistics.fmean(agent_changes),
@@ -140,7 +147,7 @@
 
 
 def measure(seed: int, name: str) -> dict[str, Any]:
-    """Return the figures of the three ways for one size."""
+    """Return the results of the three ways for one size."""
     entry_count, agent_count, zone_count = SIZES[name]
     entries = make_records(entry_count, "entry", zone_count)
     agents = make_records(agent_count, "agent", zone_count)
@@ -148,8 +155,8 @@
     per_entry = round(len(product) / entry_count)
     ways = {
         "product": link_by_product,
-        "random": make_random_links(per_entry, seed),
-        "arc": make_arc_links(per_entry),
+        "random": create_random_linker(per_entry, seed),
+        "arc": create_arc_linker(per_entry),
     }
     result: dict[str, Any] = {}
     for way, link in ways.items():
--- a/bench/telemetry.py
+++ b/bench/telemetry.py
@@ -1,6 +1,6 @@
-"""Measure what telemetry costs a daemon: each call, and resident memory.
+"""Measure the cost of telemetry for a daemon: the time per call and resident memory.
 
-The baseline of each figure is the same loop without telemetry, in the same run.
+The baseline is the same loop with a call without telemetry, in the same run.
 """
 
 import argparse
@@ -21,20 +21,20 @@
 
 MICROSECONDS_PER_S = 1e6
 MEGABYTE = 1e6
-TOKENS_PER_S = 14_000
+SENDS_PER_S = 14_000
 
 
 class NullNetwork:
-    """Takes messages and does nothing, as the baseline of `ObservedNetwork`."""
+    """Network that ignores all calls, as the baseline of `ObservedNetwork`."""
 
     def send(self, peer: str, message: Any, priority: Priority) -> None:
-        """Take a message."""
+        """Ignore the message."""
 
     def subscribe(self, message_class: type, handler: Any) -> None:
-        """Take a handler."""
+        """Ignore the handler."""
 
     def on_link_event(self, listener: Any) -> None:
-        """Take a listener."""
+        """Ignore the listener."""
 
     def peers(self, role: Any = None) -> tuple[str, ...]:
         """Return no peers."""
@@ -42,7 +42,7 @@
 
 
 def time_calls(call: Callable[[], Any], count: int) -> float:
-    """Return the mean time of a call in microseconds, the best of three rounds."""
+    """Return the mean microseconds per call of the fastest of three rounds."""
     rounds = []
     for _ in range(3):
         started_s = time.perf_counter()
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Run the loops and print the result."""
+    """Run the measurements and print the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=20_000)
     count: int = parser.parse_args().count
@@ -81,7 +81,7 @@
         name: round(time_calls(call, count), 3) for name, call in calls.items()
     }
     added_us = result["observed_send_us"] - result["send_us"]
-    share = added_us * TOKENS_PER_S / MICROSECONDS_PER_S
+    share = added_us * SENDS_PER_S / MICROSECONDS_PER_S
     result["core_share_at_14000_sends_per_s"] = round(share, 4)
     grown_bytes = read_resident_bytes(os.getpid()) - before_bytes
     result["ring_and_metrics_mb"] = round(grown_bytes / MEGABYTE, 1)
--- a/bench/zone_outage.py
+++ b/bench/zone_outage.py
@@ -1,8 +1,8 @@
-"""Service while an availability zone leaves and returns, second by second.
+"""Measure the service per second while an availability zone is taken out and returned.
 
-``python -m bench.zone_outage [--seconds 36] [--plot FILE]``.  Real processes of
-the smaller deployment under a steady load; the zone is taken out after a third
-of the time and brought back after two.  The first third is the baseline.
+``python -m bench.zone_outage [--seconds 36] [--plot FILE]``.  Runs the processes of
+the smaller deployment under a constant load.  The zone is taken out after a third of
+the time and returned after two thirds; the first third is the baseline.
 """
 
 import argparse
@@ -29,14 +29,14 @@
 WARM_UP_S = 8.0
 VERSION_BYTES = 512 * 1024
 LOAD_TIMEOUT_S = 40.0
-LATE_S = 3.0
-"""New work in the zone counts against the aim from here on."""
+ZONE_OUT_LIMIT_S = 3.0
+"""Time after the zone is taken out from which new work in it counts as late."""
 PLAN = LoadPlan(quotes_per_s=20.0, streams_per_s=6.0, orders_per_s=10.0)
 
 
 @dataclass(frozen=True)
 class Second:
-    """What ended within one second."""
+    """Calls that ended within one second."""
 
     at_s: int
     goodput: int
@@ -45,11 +45,11 @@
     cut: int
     p99_ms: float
     zone_starts: int
-    """Runs that began at targets of the zone."""
+    """Number of runs that began at targets of the zone."""
 
 
 class ZoneOutageRun:
-    """One run."""
+    """A run in which one zone is taken out and returned."""
 
     def __init__(self, launcher: Launcher, seconds: float) -> None:
         self._launcher = launcher
@@ -60,12 +60,12 @@
         self._started_at = 0.0
 
     async def run(self) -> dict[str, Any]:
-        """Run it and return the result."""
+        """Run the load and the outage, and return the result."""
         await self._prepare()
         load = Load(self._launcher, self._ledger, PLAN, seed=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
-            outage = await self._take_out_and_back()
+            outage = await self._take_zone_out_and_return_it()
             load.stop()
         await load.aclose()
         await self._ledger.read_targets(self._launcher)
@@ -86,7 +86,7 @@
         if len(loaded) < len(agents):
             raise TimeoutError(f"only {sorted(loaded)} loaded the version")
 
-    async def _take_out_and_back(self) -> ZoneOutage:
+    async def _take_zone_out_and_return_it(self) -> ZoneOutage:
         await anyio.sleep(WARM_UP_S + self._seconds / 3)
         accepted = await self._operator.set_zone(self._zone, "out")
         outage = ZoneOutage(self._zone, accepted.at)
@@ -98,34 +98,36 @@
         return outage
 
     def _summarize(self, outage: ZoneOutage) -> dict[str, Any]:
-        seconds = [self._count(i) for i in range(math.floor(self._seconds))]
+        seconds = [self._count_second(i) for i in range(math.floor(self._seconds))]
         third = len(seconds) // 3
         late_starts = sum(
             1
             for run in self._ledger.runs
             if run.zone == self._zone
-            and outage.accepted_at + LATE_S < run.started_at < outage.ended_at
+            and outage.accepted_at + ZONE_OUT_LIMIT_S < run.started_at < outage.ended_at
         )
         return {
             "bench": "zone_outage",
             "zone": self._zone,
-            "before": _sum_up(seconds[:third]),
-            "out": _sum_up(seconds[third : 2 * third]),
-            "back": _sum_up(seconds[2 * third :]),
+            "before": _summarize_seconds(seconds[:third]),
+            "out": _summarize_seconds(seconds[third : 2 * third]),
+            "back": _summarize_seconds(seconds[2 * third :]),
             "new_work_after_3_s": late_starts,
             "cut": sum(1 for c in self._ledger.calls if c.ending is Ending.CUT),
             "problems": sum(1 for c in self._ledger.calls if c.problem),
             "seconds": [asdict(second) for second in seconds],
         }
 
-    def _count(self, i: int) -> Second:
-        begin = self._started_at + i
-        calls = [c for c in self._ledger.calls if begin <= c.ended_at < begin + 1]
+    def _count_second(self, i: int) -> Second:
+        begins_at = self._started_at + i
+        calls = [
+            c for c in self._ledger.calls if begins_at <= c.ended_at < begins_at + 1
+        ]
         answered = [c for c in calls if c.ending is Ending.ANSWERED]
         starts = [
             run
             for run in self._ledger.runs
-            if run.zone == self._zone and begin <= run.started_at < begin + 1
+            if run.zone == self._zone and begins_at <= run.started_at < begins_at + 1
         ]
         return Second(
             i,
@@ -133,7 +135,7 @@
             _count_endings(calls, Ending.NOT_RUN),
             _count_endings(calls, Ending.UNKNOWN),
             _count_endings(calls, Ending.CUT),
-            _read_p99_ms(answered),
+            _compute_p99_ms(answered),
             len(starts),
         )
 
@@ -142,13 +144,13 @@
     return sum(1 for call in calls if call.ending is ending)
 
 
-def _read_p99_ms(calls: list[Call]) -> float:
+def _compute_p99_ms(calls: list[Call]) -> float:
     if not calls:
         return 0.0
     return round(1000 * compute_percentile([c.latency_s for c in calls], 0.99), 1)
 
 
-def _sum_up(seconds: list[Second]) -> dict[str, float]:
+def _summarize_seconds(seconds: list[Second]) -> dict[str, float]:
     return {
         "goodput_per_s": round(sum(s.goodput for s in seconds) / len(seconds), 1),
         "refused": sum(s.refused for s in seconds),
--- a/bench/zone_outage_plot.py
+++ b/bench/zone_outage_plot.py
@@ -1,4 +1,4 @@
-"""Draw what `bench.zone_outage` has counted, as one SVG file."""
+"""Render the results of `bench.zone_outage` as an SVG document."""
 
 from dataclasses import dataclass
 from html import escape
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Mark:
-    """A moment to draw a line at."""
+    """A point in time that is marked by a labelled line."""
 
     at_s: float
     label: str
@@ -60,15 +60,15 @@
     scale_x: float,
 ) -> str:
     values = [float(second[key]) for second in seconds]
-    most = max([*values, 1.0])
+    maximum = max([*values, 1.0])
     bottom = top + PANEL_HEIGHT
     points = " ".join(
-        f"{LEFT + i * scale_x:.1f},{bottom - value / most * PANEL_HEIGHT:.1f}"
+        f"{LEFT + i * scale_x:.1f},{bottom - value / maximum * PANEL_HEIGHT:.1f}"
         for i, value in enumerate(values)
     )
     return (
         f'<text x="8" y="{top + 14}">{escape(label)}</text>'
-        f'<text x="{LEFT - 8}" y="{top + 10}" text-anchor="end">{most:g}</text>'
+        f'<text x="{LEFT - 8}" y="{top + 10}" text-anchor="end">{maximum:g}</text>'
         f'<text x="{LEFT - 8}" y="{bottom}" text-anchor="end">0</text>'
         f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{bottom}" y2="{bottom}" '
         'stroke="#999"/>'
