--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -1,12 +1,11 @@
 """Simulate many entries that choose among batching model engines independently.
 
-Each entry runs the real choice of targets on the loads that it knows, in virtual time
-and without a network.  Arrivals are a Poisson process; prompts and answers have
-typical sizes.  An engine works in passes: five decoding steps for all running
-requests, and between them the prefill of prompts in the order of arrival.  A request
-is in time if its first event comes within 0.5 s and no gap between events exceeds
-0.4 s.  A late answer has a quarter of the value to its caller, and counts as such in
-`worth`.
+Each entry runs the product's choice of targets with the loads that are known to it, in
+virtual time and without a network.  Arrivals are a Poisson process; prompts and
+answers have typical sizes.  An engine works in passes: five decoding steps for all
+running requests, and between them the prefill of prompts in the order of arrival.  A
+request is in time if its first event comes within 0.5 s and no gap between events
+exceeds 0.4 s.  `worth` counts a late answer as a quarter of one in time.
 
 Run ``python -m bench.many_deciders [--seconds 20]``; the last line is one JSON array.
 """
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -131,7 +131,7 @@
         promise = "a planned stop cuts off no request in progress"
         for stop in self._fault_injector.stops:
             if stop.exit_code != 0:
-                detail = f"{stop.daemon.name} ended with {stop.exit_code}"
+                detail = f"{stop.daemon.name} exited with {stop.exit_code}"
                 yield Violation(stop.ended_at, promise, detail)
             for call in self._ledger.calls:
                 overlaps = (
--- a/bench/stream_worker.py
+++ b/bench/stream_worker.py
@@ -37,7 +37,7 @@
             self.failures.append(detail)
 
 
-async def hold_stream(
+async def read_streams(
     client: httpx.AsyncClient, arguments: argparse.Namespace, number: int, tally: Tally
 ) -> None:
     """Read streams one after another until the counting period is over."""
@@ -90,7 +90,7 @@
         anyio.create_task_group() as tasks,
     ):
         for number in range(arguments.streams):
-            tasks.start_soon(hold_stream, client, arguments, number, tally)
+            tasks.start_soon(read_streams, client, arguments, number, tally)
     print(
         json.dumps(
             {
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -1,6 +1,6 @@
 """Simulated agents over rate-limited links.
 
-Each agent runs a real `Distribution`; its engine only accepts the chunks.
+Each agent runs a `Distribution` of the product; its engine only accepts the chunks.
 """
 
 import random
--- a/bench/zone_outage.py
+++ b/bench/zone_outage.py
@@ -65,7 +65,7 @@
         load = Load(self._launcher, self._ledger, PLAN, seed=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
-            outage = await self._take_zone_out_and_return_it()
+            outage = await self._run_outage()
             load.stop()
         await load.aclose()
         await self._ledger.read_targets(self._launcher)
@@ -86,7 +86,7 @@
         if len(loaded) < len(agents):
             raise TimeoutError(f"only {sorted(loaded)} loaded the version")
 
-    async def _take_zone_out_and_return_it(self) -> ZoneOutage:
+    async def _run_outage(self) -> ZoneOutage:
         await anyio.sleep(WARM_UP_S + self._seconds / 3)
         accepted = await self._operator.set_zone(self._zone, "out")
         outage = ZoneOutage(self._zone, accepted.at)
--- a/bench/zone_outage_plot.py
+++ b/bench/zone_outage_plot.py
@@ -13,9 +13,9 @@
 TOP = 30
 GAP = 24
 PANELS = (
-    ("goodput", "answered a second", "#1b6e3c"),
+    ("goodput", "answered per second", "#1b6e3c"),
     ("p99_ms", "p99, ms", "#1f4e9c"),
-    ("refused", "refused a second", "#a15c00"),
+    ("refused", "refused per second", "#a15c00"),
     ("zone_starts", "starts in the zone", "#8a1c1c"),
 )
 
