--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -42,7 +42,7 @@
 FORCED_STOP_MARGIN_S = 1.0
 """Time before the forced end for the last bytes of answers and closing sockets."""
 ACCEPTING_FRACTION = 0.4
-"""Fraction of a graceful stop in which new requests are still accepted.
+"""Fraction of the grace period in which new requests are still accepted.
 
 Callers cache an address for its time to live, a few for three times as long.  The
 remaining time is needed for the longest answers that usually occur."""
@@ -187,7 +187,7 @@
         network=links.on_demand("crashes"),
         dialer=adapters.create_dialer(view),
         adapter=adapters.caller_adapter,
-        others=adapters.metrics_app,
+        fallback=adapters.metrics_app,
         is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
         rng=rng,
         first_filters=(RequestLog(view, timers, adapters.metrics),),
