--- a/reedspar/admin/app.py
+++ b/reedspar/admin/app.py
@@ -135,8 +135,8 @@
                 Failure(
                     Reason.NOT_READY,
                     Step.CONFIGURE,
-                    detail="no configuration was received yet; if there is none, "
-                    "the first patch is based on version 0",
+                    detail="no configuration was learned yet; if there is none, "
+                    "the first patch is made against number 0",
                 )
             )
         return _create_response(document)
@@ -148,7 +148,7 @@
         if isinstance(found, Failure):
             return _create_failure_response(found)
         if found is None:
-            detail = f"version {version} is not available here"
+            detail = f"version {version} is not kept"
             return _create_failure_response(
                 Failure(Reason.NOT_FOUND, Step.CONFIGURE, detail=detail)
             )
--- a/reedspar/admin/stored_configuration.py
+++ b/reedspar/admin/stored_configuration.py
@@ -81,9 +81,7 @@
     detail = failure.detail
     if failure.reason is Reason.INVALID:
         errors = tuple(_split_error(line) for line in detail.splitlines())
-        detail = (
-            f"{len(errors)} rules violated" if len(errors) > 1 else "a rule violated"
-        )
+        detail = f"{len(errors)} rules broken" if len(errors) > 1 else "a rule broken"
     return PatchRefused(
         reason=failure.reason,
         step=failure.step,
--- a/reedspar/attempts/batches.py
+++ b/reedspar/attempts/batches.py
@@ -41,7 +41,7 @@
         raise ValueError("a batch is empty")
     # With wrong sizes, bytes of one caller's answer would end up in another's.
     if sum(batch.sizes) != len(batch.data):
-        raise ValueError("the sizes in a batch don't add up to the size of its data")
+        raise ValueError("the sizes of a batch differ from its data")
     messages = []
     start = 0
     for request_id, attempt, offset, size in columns:
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -180,7 +180,7 @@
             return Failure(Reason.NOT_READY, Step.CONFIGURE, retry_after_s=1.0)
         age_s = self._exchange.age_s()
         if age_s > self._freshness_s:
-            detail = f"version {self.version} last known to be the newest: "
+            detail = f"version {self.version} was last known to be the newest "
             detail += "never" if age_s == float("inf") else f"{age_s:.1f} s ago"
             return Failure(
                 Reason.STALE, Step.CONFIGURE, detail=detail, retry_after_s=1.0
--- a/reedspar/configuration/patching.py
+++ b/reedspar/configuration/patching.py
@@ -91,7 +91,7 @@
         return _make_conflict(document, request)
     if reserved := SYSTEM_KEYS & request.changes.keys():
         return _make_invalid(
-            "\n".join(f"{key}: managed by the system" for key in sorted(reserved))
+            "\n".join(f"{key}: kept by the system" for key in sorted(reserved))
         )
     if _measure_depth(request.changes) > DEPTH_LIMIT:
         return _make_invalid(f"changes: nested more than {DEPTH_LIMIT} deep")
@@ -134,7 +134,7 @@
             model.sequence == old.sequence and model.root_digest != old.root_digest
         ):
             errors.append(
-                f"models.{name}.sequence: {model.sequence} is not an increase "
+                f"models.{name}.sequence: {model.sequence} does not grow "
                 f"from {old.sequence}"
             )
     return errors
--- a/reedspar/configuration/store.py
+++ b/reedspar/configuration/store.py
@@ -160,7 +160,7 @@
                 f"the current version is {version}"
             )
             return Failure(Reason.CONFLICT, Step.CONFIGURE, detail=detail)
-        detail = "the key-value service repeatedly returned an outdated version"
+        detail = "the key-value service kept answering with an older version"
         return Failure(Reason.UNAVAILABLE, Step.CONFIGURE, detail=detail)
 
 
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -144,7 +144,7 @@
             )
         ]
         if not candidates:
-            detail = "every eligible target is cold or about to switch weights"
+            detail = "every fit target is cold or about to switch"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
         candidates = [
             candidate
@@ -152,7 +152,7 @@
             if _keeps_stream_pauses_short(candidate, request)
         ]
         if not candidates:
-            detail = "another prompt would delay the streams already running"
+            detail = "one more prompt would hold up the streams beside it"
             return self._refusals.refuse(detail, RETRY_AFTER_S)
         best = min(candidates, key=lambda item: item.expected_wait_s)
         best_s = best.expected_wait_s
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -171,7 +171,7 @@
     async def _run(self, attempt: OpenAttempt, running: _RunningAttempt) -> None:
         target = attempt.target
         failure: Failure | None = Failure(
-            Reason.CANCELLED, Step.TARGET_CALL, target, "closed by the entry"
+            Reason.CANCELLED, Step.TARGET_CALL, target, "let go of"
         )
         with running.scope:
             try:
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -98,9 +98,9 @@
 ) -> str:
     """Return why a target may get no request at all, or an empty string."""
     if record.state is not TargetState.READY:
-        return "it is leaving"
+        return "it leaves"
     if record.zone in view.zones_out:
-        return "its zone is taken out"
+        return "its zone is out"
     if loads.for_target(record.id).replaced_boot == record.boot_id:
         return "another target has its address"
     return ""
--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/limits.py
@@ -41,10 +41,10 @@
         unavailable = (
             ineligibility_reason(known.record, self._view, self._loads)
             if known
-            else "it is no longer known"
+            else "it is gone"
         )
         if unavailable:
-            return _refuse(target_id, f"unavailable after connecting: {unavailable}")
+            return _refuse(target_id, f"while connecting was found: {unavailable}")
         attempt = self._loads.for_target(target_id).own.get(request_id)
         if attempt is None:
             return None
--- a/reedspar/links/connection.py
+++ b/reedspar/links/connection.py
@@ -47,9 +47,7 @@
             head_end = start + LENGTH_SIZE_BYTES
             size = int.from_bytes(self._data[start:head_end], "big")
             if size > FRAME_SIZE_MAX_BYTES:
-                return Failure(
-                    Reason.CORRUPT, Step.LINK, detail=f"frame of {size} B is too long"
-                )
+                return Failure(Reason.CORRUPT, Step.LINK, detail=f"frame of {size} B")
             if len(self._data) - head_end < size:
                 break
             frames.append(bytes(self._data[head_end : head_end + size]))
@@ -95,16 +93,12 @@
         size = len(frame) + LENGTH_SIZE_BYTES
         if priority is Priority.BULK:
             if self._bulk_bytes + size > BULK_BACKLOG_MAX_BYTES:
-                return Failure(
-                    Reason.OVERLOADED, Step.LINK, detail="bulk backlog is full"
-                )
+                return Failure(Reason.OVERLOADED, Step.LINK, detail="bulk backlog")
             self._bulk.append(frame)
             self._bulk_bytes += size
         else:
             if self._live_bytes + size > LIVE_BACKLOG_MAX_BYTES:
-                return Failure(
-                    Reason.OVERLOADED, Step.LINK, detail="live backlog is full"
-                )
+                return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog")
             self._live.append(frame)
             self._live_bytes += size
         self._wake.set()
@@ -119,7 +113,7 @@
         if self._is_closed:
             return Failure(Reason.UNAVAILABLE, Step.LINK, detail="closed")
         if self._live_bytes + size_bytes > LIVE_BACKLOG_MAX_BYTES:
-            return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog is full")
+            return Failure(Reason.OVERLOADED, Step.LINK, detail="live backlog")
         batch = self._live[-1] if self._live else None
         if (
             not isinstance(batch, _Batch)
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -149,7 +149,7 @@
         """Queue a message; a failure means that nothing was sent."""
         connection = self._connection_to(peer)
         if connection is None:
-            return Failure(Reason.UNAVAILABLE, Step.LINK, peer, "no open link")
+            return Failure(Reason.UNAVAILABLE, Step.LINK, peer, "no link")
         batch = self._registry.batch_for(type(message))
         if batch is not None and priority is Priority.LIVE:
             failure = connection.send_in_batch(message, batch.measure(message))
--- a/reedspar/platform/http_body.py
+++ b/reedspar/platform/http_body.py
@@ -69,11 +69,9 @@
                 return
             tail = (tail + piece)[-2 * len(STREAM_END) :]
         if not self._is_framed:
-            yield self._fail(
-                "response has neither a content length nor chunked framing"
-            )
+            yield self._fail("the body's end is not marked")
         elif self._is_stream and STREAM_END not in tail:
-            yield self._fail("event stream ended without its [DONE] marker")
+            yield self._fail("the stream ended before its end marker")
 
     async def _next_piece(self, pieces: AsyncIterator[bytes]) -> bytes | Failure | None:
         """Return the next part of the body, None at its end, or a failure."""
--- a/reedspar/platform/http_key_value.py
+++ b/reedspar/platform/http_key_value.py
@@ -82,9 +82,7 @@
             return failure_of_status(response, STEP, self._peer)
         revision = response.headers.get(REVISION_HEADER, "")
         if not revision.isdecimal():
-            return Failure(
-                Reason.CORRUPT, STEP, self._peer, "response has no revision header"
-            )
+            return Failure(Reason.CORRUPT, STEP, self._peer, "answer has no revision")
         return KeyValueEntry(params["key"], response.content, int(revision))
 
     async def _write(
@@ -105,7 +103,7 @@
         return answer if isinstance(answer, dict) else self._make_unreadable_failure()
 
     def _make_unreadable_failure(self) -> Failure:
-        detail = "unreadable response"
+        detail = "the answer can't be read"
         return Failure(Reason.OUTCOME_UNKNOWN, STEP, self._peer, detail)
 
 
--- a/reedspar/platform/http_target.py
+++ b/reedspar/platform/http_target.py
@@ -84,7 +84,7 @@
 
     async def cancel(self, request_id: str) -> Failure | None:
         """Return `NOT_FOUND`: a plain service always finishes a started request."""
-        detail = f"{request_id}: plain services do not support cancellation"
+        detail = f"{request_id}: plain services take no cancellation"
         return Failure(Reason.NOT_FOUND, Step.TARGET_CALL, self._peer, detail)
 
     async def _open(self, request: TargetRequest) -> httpx.Response | Failure:
--- a/reedspar/requests/application.py
+++ b/reedspar/requests/application.py
@@ -191,10 +191,10 @@
     async def _answer_until_abort(self, request: Request) -> Answer:
         """Return the answer, or an unknown outcome if the request was aborted."""
         if not request.can_signal_truncation:
-            detail = "use HTTP/1.1: other versions can't signal a truncated answer"
+            detail = "use HTTP/1.1: no other version shows here that an answer was cut"
             return make_not_run(Failure(Reason.INVALID, Step.RELAY, detail=detail))
         if not self._is_admitting:
-            detail = "this entry is shutting down; use another address"
+            detail = "this entry is leaving; use another address"
             failure = Failure(
                 Reason.DRAINING, Step.DRAIN, detail=detail, retry_after_s=1.0
             )
@@ -205,7 +205,7 @@
                 return await self._answer(request)
             finally:
                 del self._active[request.request_id]
-        detail = "this entry shut down before the answer was complete"
+        detail = "this entry had to stop before the answer was whole"
         failure = Failure(Reason.DRAINING, Step.DRAIN, detail=detail)
         is_started = request.responder.is_started
         return Answer(Outcome.UNKNOWN, failure=failure, is_sent=is_started)
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -152,7 +152,7 @@
         if self.is_cancelled and (
             is_other_incarnation or age_s > REFUSAL_PROOF_MAX_AGE_S
         ):
-            return self.on_lost("revoked too late to prove that it did not run")
+            return self.on_lost("revoked too late for proof")
         after_s = message.retry_after_s or None
         return self._finish(
             Verdict.NOT_RUN, message.reason, message.detail, after_s, Step.AGENT_ADMIT
@@ -168,7 +168,7 @@
         if message.phase is AttemptPhase.UNKNOWN:
             if self.head is None and self.phase is AttemptPhase.UNKNOWN:
                 return Progress.MISSING
-            return self.on_lost("the agent has no record of the attempt any more")
+            return self.on_lost("the agent has let go of it")
         self.phase = message.phase
         if message.phase is AttemptPhase.REVOKED:
             return self._finish(Verdict.NOT_RUN, Reason.CANCELLED, "revoked")
@@ -202,7 +202,7 @@
             return self._finish(
                 Verdict.UNKNOWN,
                 Reason.CORRUPT,
-                "length or digest of the answer differ from the end marker",
+                "length or digest differ from the end's",
             )
         self.verdict = Verdict.COMPLETE
         return Progress.CHANGED
--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -99,7 +99,7 @@
         self, token: str, reply: ClaimReply | None, was_owner_asked: bool
     ) -> ClaimReply:
         if reply is None:
-            detail = "the claim was not confirmed in time"
+            detail = "no answer from the claims"
             return make_reply(token, ClaimVerdict.UNAVAILABLE, detail)
         # The owner that did not reply may still write the claim later.
         if reply.verdict is ClaimVerdict.NOT_WRITTEN and was_owner_asked:
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -39,8 +39,8 @@
 COMMIT_ATTEMPTS_MAX = 10
 RETRY_INTERVAL_S = 0.02
 UNDATED_OVERLOAD_DETAIL = (
-    "too many undated idempotency keys to write; "
-    "use version 7 UUIDs, whose claims share writes"
+    "more undated idempotency keys than can be written; "
+    "a UUID of version 7 shares its write with others"
 )
 CONCURRENT_COMMITS_MAX = 64
 
--- a/reedspar/requests/claim_places.py
+++ b/reedspar/requests/claim_places.py
@@ -74,9 +74,7 @@
 
 def make_expired_failure(ttl_s: float) -> Failure:
     """Return the failure for a key whose record may have been removed."""
-    detail = (
-        f"the key is older than {ttl_s:g} s; whether its order ran is no longer known"
-    )
+    detail = f"the key is older than {ttl_s:g} s; whether it ran is no longer known"
     return Failure(Reason.EXPIRED, Step.DEDUPLICATE, detail=detail)
 
 
--- a/reedspar/requests/deduplicate.py
+++ b/reedspar/requests/deduplicate.py
@@ -135,18 +135,18 @@
                 reply.weights_digest,
             )
         if reply.verdict is ClaimVerdict.RUNNING:
-            detail = "an earlier request with this key is running"
+            detail = "an earlier one with this key is running"
             failure = _make_failure(Reason.DUPLICATE, detail, RUNNING_RETRY_AFTER_S)
             return make_unknown(failure)
         if reply.verdict is ClaimVerdict.UNKNOWN:
-            detail = reply.detail or "an earlier request with this key may have run"
+            detail = reply.detail or "an earlier one with this key may have run"
             return make_unknown(_make_failure(Reason.OUTCOME_UNKNOWN, detail))
         if reply.verdict is ClaimVerdict.MISMATCH:
             detail = "the key was used for another request"
             return make_not_run(_make_failure(Reason.CONFLICT, detail))
         if reply.verdict is ClaimVerdict.EXPIRED:
             return make_not_run(make_expired_failure(self._ttl_s))
-        detail = f"this request was not run; {reply.detail}"
+        detail = f"this sending was not run; {reply.detail}"
         failure = Failure(
             Reason.UNAVAILABLE,
             Step.CLAIM,
--- a/reedspar/requests/filters.py
+++ b/reedspar/requests/filters.py
@@ -68,11 +68,11 @@
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Set the deadline; refuse bad deadlines and oversized bodies."""
         if len(request.body) > self._body_limit_bytes:
-            detail = f"the body is larger than {self._body_limit_bytes} bytes"
+            detail = f"the body has more than {self._body_limit_bytes} bytes"
             return make_not_run(Failure(Reason.OVERLOADED, Step.BOUND, detail=detail))
         allowed_s = self._read_deadline_s(request)
         if allowed_s is None:
-            detail = f"header {DEADLINE_HEADER} is not a positive number of seconds"
+            detail = f"header {DEADLINE_HEADER} is no positive number of seconds"
             return make_not_run(Failure(Reason.INVALID, Step.BOUND, detail=detail))
         request.deadline_s = request.arrived_s + allowed_s
         return await proceed(request)
--- a/reedspar/requests/guards.py
+++ b/reedspar/requests/guards.py
@@ -43,7 +43,7 @@
         with anyio.move_on_after(remaining_s) as scope:
             await self._suspect_slot.acquire()
         if scope.cancelled_caught:
-            detail = "other requests suspected of crashes ran until the deadline"
+            detail = "other suspects of crashes ran until the deadline"
             failure = Failure(Reason.EXPIRED, Step.QUARANTINE, detail=detail)
             return make_not_run(failure)
         try:
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -246,7 +246,7 @@
         return is_failed and has_more and request.is_idempotent
 
     def _make_timeout(self, request: Request, attempt: OpenAttempt) -> Answer:
-        detail = f"no complete answer in time; attempt {attempt.assembly.phase.value}"
+        detail = f"no whole answer within the deadline; {attempt.assembly.phase.value}"
         failure = Failure(Reason.TIMEOUT, Step.RELAY, attempt.target, detail)
         is_started = request.responder.is_started
         return Answer(
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -208,22 +208,18 @@
         self._timers.check_pause()
         step = Step.AGENT_ADMIT
         if start.agent_incarnation not in (0, self._incarnation):
-            return Failure(
-                Reason.STALE, step, detail="addressed to an earlier agent process"
-            )
+            return Failure(Reason.STALE, step, detail="meant for a predecessor")
         if start.pool != self._target_settings.pool:
-            return Failure(
-                Reason.NO_TARGET, step, detail=f"target is not in pool {start.pool}"
-            )
+            return Failure(Reason.NO_TARGET, step, detail=f"not of pool {start.pool}")
         if self._is_draining or self._switching:
             return Failure(Reason.DRAINING, step)
         failure = self._check_work_allowed()
         if failure is not None:
             return failure
         if not self._is_reachable or not self._offers.is_offering():
-            return Failure(Reason.NOT_READY, step, detail="target or weights not ready")
+            return Failure(Reason.NOT_READY, step, detail="target or weights")
         if start.weights_digest and not self._accepts_digest(start.weights_digest):
-            return Failure(Reason.NO_TARGET, step, detail="target holds other weights")
+            return Failure(Reason.NO_TARGET, step, detail="other weights")
         # A single request starts without a poll, which would cost about as much as
         # the request itself.  Further concurrent requests wait for a poll.
         is_alone = not self._gate.in_flight and not self._dispatcher.queued_count
--- a/reedspar/targets/runner.py
+++ b/reedspar/targets/runner.py
@@ -109,9 +109,7 @@
             with anyio.move_on_after(1.0, shield=True):
                 await self._target.cancel(request.request_id)
             if handle.is_cancelled:
-                return AttemptOutcome(
-                    EndKind.BROKEN, Reason.CANCELLED, "cancelled by the entry"
-                )
+                return AttemptOutcome(EndKind.BROKEN, Reason.CANCELLED, "by the entry")
         return outcome
 
     async def _exchange(
@@ -128,9 +126,7 @@
                 # The engine answered with unconfirmed weights: it restarted, or
                 # something other than this agent switched it.  No part of such an
                 # answer may reach the caller.
-                return AttemptOutcome(
-                    EndKind.BROKEN, Reason.CORRUPT, "unexpected weights"
-                )
+                return AttemptOutcome(EndKind.BROKEN, Reason.CORRUPT, "weights digest")
             self._store_head(record, response)
             return await self._store_body(record, response, handle)
 
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -121,7 +121,7 @@
         """Create the record of a new attempt; there must be none yet."""
         key = AttemptKey(start.request_id, start.attempt)
         if key in self._records:
-            raise InvariantError(f"attempt {key} already exists")
+            raise InvariantError(f"attempt {key} opened twice")
         record = AttemptRecord(
             key, entry, start, AttemptPhase.QUEUED, now_s + start.timeout_s
         )
@@ -131,7 +131,7 @@
     def note_running(self, record: AttemptRecord) -> None:
         """Mark an attempt as sent to the target; this happens at most once."""
         if record.phase is not AttemptPhase.QUEUED:
-            raise InvariantError(f"attempt {record.key} cannot start in {record.phase}")
+            raise InvariantError(f"attempt {record.key} runs from {record.phase}")
         record.phase = AttemptPhase.RUNNING
 
     def refuse(
@@ -139,9 +139,7 @@
     ) -> AttemptRefused:
         """Revoke an attempt that has not started, so that it never does."""
         if record.phase is not AttemptPhase.QUEUED:
-            raise InvariantError(
-                f"attempt {record.key} cannot be refused in {record.phase}"
-            )
+            raise InvariantError(f"attempt {record.key} refused from {record.phase}")
         record.phase = AttemptPhase.REVOKED
         key = record.key
         refusal = AttemptRefused(
@@ -157,7 +155,7 @@
     ) -> AttemptEnd:
         """End an attempt that ran; its answer is kept for resumption."""
         if record.phase is not AttemptPhase.RUNNING:
-            raise InvariantError(f"attempt {record.key} cannot end in {record.phase}")
+            raise InvariantError(f"attempt {record.key} ends from {record.phase}")
         record.phase = AttemptPhase.FINISHED
         key = record.key
         record.end = AttemptEnd(
@@ -187,9 +185,7 @@
         key = AttemptKey(request_id, attempt)
         record = AttemptRecord(key, entry, None, AttemptPhase.QUEUED, now_s)
         self._records[key] = record
-        return self.refuse(
-            record, Reason.CANCELLED, "cancelled before its start arrived", 0.0
-        )
+        return self.refuse(record, Reason.CANCELLED, "before it came", 0.0)
 
     def acknowledge(self, ack: AttemptAck) -> AttemptRecord | None:
         """Discard acknowledged bytes; return the record, or None if there is none."""
--- a/reedspar/weights/assembly.py
+++ b/reedspar/weights/assembly.py
@@ -45,14 +45,14 @@
         is_in_order = piece.offset == len(self._data) and piece.data
         is_in_bounds = end <= piece.total_bytes <= OBJECT_LIMIT_BYTES
         if not (is_in_order and is_in_bounds and piece.total_bytes == expected_bytes):
-            return self._fail(peer, f"unexpected piece at offset {piece.offset}")
+            return self._fail(peer, f"piece at {piece.offset} does not fit")
         self._size_bytes = piece.total_bytes
         self._data += piece.data
         if end < piece.total_bytes:
             return None
         data = bytes(self._data)
         if digest_bytes(data) != self._digest:
-            return self._fail(peer, "digest does not match")
+            return self._fail(peer, "digest does not fit")
         return data
 
     def _fail(self, peer: str, detail: str) -> Failure:
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -63,7 +63,7 @@
     ) -> None:
         self._deadlines = deadlines
         if settings.target is None:
-            raise ValueError("the weight controller requires settings with a target")
+            raise ValueError("weights are for agents: the settings have no target")
         self._target = settings.target
         self._network = network
         self._timers = timers
--- a/reedspar/weights/fencing.py
+++ b/reedspar/weights/fencing.py
@@ -143,9 +143,7 @@
         if isinstance(record, Failure):
             return record
         if record.highest(version.model) > version.sequence:
-            detail = (
-                f"{version.model}: version {record.highest(version.model)} was ordered"
-            )
+            detail = f"{version.model}: {record.highest(version.model)} was ordered"
             return Failure(Reason.FENCED, Step.LOAD, detail=detail)
         record = record.add(version)
         revision = entry.revision if entry else 0
--- a/reedspar/weights/loading.py
+++ b/reedspar/weights/loading.py
@@ -117,7 +117,7 @@
             for index in corrupt:
                 staged.mark_lost(index)
             if corrupt:
-                detail = f"{len(corrupt)} staged chunks are missing or corrupt"
+                detail = f"{len(corrupt)} staged chunks are spoilt"
                 return Failure(Reason.CORRUPT, Step.CHUNK_CHECK, detail=detail)
             if staged.is_whole and boot_id == self._offers.boot_id:
                 return await self._order(staged, number)
--- a/reedspar/weights/manifest.py
+++ b/reedspar/weights/manifest.py
@@ -56,9 +56,9 @@
         sizes: dict[str, int] = {}
         for chunk in self.chunks:
             if sizes.setdefault(chunk.digest, chunk.size_bytes) != chunk.size_bytes:
-                raise ValueError(f"chunk {chunk.digest} is listed with two sizes")
+                raise ValueError(f"chunk {chunk.digest} has two sizes")
         if compute_root_digest(c.digest for c in self.chunks) != self.root_digest:
-            raise ValueError("root_digest does not match the chunk digests")
+            raise ValueError("root_digest does not fit the chunk digests")
         return self
 
     @property
