--- a/reedspar/links/tests/test_tcp_network.py
+++ b/reedspar/links/tests/test_tcp_network.py
@@ -23,14 +23,15 @@
 from reedspar.messages import MessageRegistry, Sender
 from reedspar.settings import LinkSettings
 from reedspar.timers import create_timer_service
+from stand_ins.ports import PortAllocator
 
 SETTINGS = LinkSettings(heartbeat_s=0.05, silence_s=0.3, dial_timeout_s=0.3)
 WAIT_TIMEOUT_S = 20.0
+PORTS = PortAllocator()
 
 
 def find_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as server:
-        return server.getsockname()[1]
+    return PORTS.allocate()
 
 
 class Node:
@@ -67,6 +68,14 @@
             await anyio.sleep(0.01)
 
 
+class FindPortTest(unittest.TestCase):
+    def test_ports_of_nodes_differ(self) -> None:
+        # Nodes listen on their ports later.  The kernel may return a port again that
+        # was closed meanwhile, and the second node could then not listen on it.
+        ports = [find_port() for _ in range(2000)]
+        self.assertEqual(len(set(ports)), len(ports))
+
+
 class TcpNetworkTest(unittest.TestCase):
     def run_nodes(self, scenario, *nodes: Node) -> None:
         async def main() -> None:
