--- a/reedspar/platform/http_client.py
+++ b/reedspar/platform/http_client.py
@@ -11,7 +11,7 @@
     "NOT_EXECUTED_STATUS",
     "HttpAdapter",
     "create_client",
-    "create_unbounded_client",
+    "create_client_with_transport",
     "create_unbounded_transport",
     "failure_of_read",
     "failure_of_status",
@@ -25,7 +25,7 @@
 outcome of the request is unknown.  Closing the connection first avoids this.
 """
 NOT_EXECUTED_STATUS = 503
-MAX_CONNECTIONS = 64
+CONNECTIONS_MAX = 64
 IDENTITY_ENCODING_HEADERS = {"accept-encoding": "identity"}
 UNSENT_ERRORS = (
     httpx.ConnectError,
@@ -43,7 +43,7 @@
         trust_env=False,
         headers=IDENTITY_ENCODING_HEADERS,
         timeout=httpx.Timeout(timeout_s),
-        limits=make_limits(MAX_CONNECTIONS),
+        limits=make_limits(CONNECTIONS_MAX),
     )
 
 
@@ -58,7 +58,7 @@
     return PooledTransport(create_transport)
 
 
-def create_unbounded_client(
+def create_client_with_transport(
     url: str, timeout_s: float, transport: httpx.AsyncBaseTransport
 ) -> httpx.AsyncClient:
     """Return a client for one server that uses the given transport."""
@@ -71,11 +71,11 @@
     )
 
 
-def make_limits(max_connections: int) -> httpx.Limits:
+def make_limits(connections_max: int) -> httpx.Limits:
     """Return the limits of one connection pool."""
     return httpx.Limits(
-        max_connections=max_connections,
-        max_keepalive_connections=max_connections,
+        max_connections=connections_max,
+        max_keepalive_connections=connections_max,
         keepalive_expiry=IDLE_EXPIRY_S,
     )
 
--- a/reedspar/platform/http_target.py
+++ b/reedspar/platform/http_target.py
@@ -13,18 +13,18 @@
 
 from reedspar.errors import Failure, Reason, Step
 
-from .http_body import CONNECTION_HEADERS, HttpTargetResponse
 from .http_client import (
     IDENTITY_ENCODING_HEADERS,
     HttpAdapter,
-    create_unbounded_client,
+    create_client_with_transport,
     create_unbounded_transport,
     failure_of_read,
     failure_of_status,
     failure_of_write,
 )
+from .http_response import CONNECTION_HEADERS, HttpTargetResponse
 from .models import EngineState, LoadOrder, TargetRequest
-from .ordering import MonotonicReader
+from .monotonic_reader import MonotonicReader
 from .protocols import TargetResponse
 
 __all__ = [
@@ -201,7 +201,7 @@
     """Create an adapter; `timeout_s` bounds calls other than requests."""
     transport = create_unbounded_transport(url)
     return HttpPlainService(
-        create_unbounded_client(url, timeout_s, transport), transport
+        create_client_with_transport(url, timeout_s, transport), transport
     )
 
 
@@ -209,5 +209,5 @@
     """Create an adapter; `timeout_s` bounds calls other than requests and loads."""
     transport = create_unbounded_transport(url)
     return HttpModelEngine(
-        create_unbounded_client(url, timeout_s, transport), transport
+        create_client_with_transport(url, timeout_s, transport), transport
     )
--- a/reedspar/platform/tests/test_http_key_value.py
+++ b/reedspar/platform/tests/test_http_key_value.py
@@ -40,7 +40,9 @@
             self.assert_reason(too_large, Reason.INVALID)
             await store.aclose()
 
-    async def test_lost_answer_is_unknown_and_found_again(self) -> None:
+    async def test_write_with_lost_answer_has_unknown_outcome_and_is_readable(
+        self,
+    ) -> None:
         # Guards against treating a lost response as a refusal: the service has
         # written, so the caller would write twice, or report to the operator that
         # an applied patch had failed.
@@ -54,7 +56,7 @@
             self.assertEqual(entry.value, b"mine")
             await store.aclose()
 
-    async def test_outage_and_refused_dial_take_no_effect(self) -> None:
+    async def test_outage_and_refused_connection_have_no_effect(self) -> None:
         # If the service refuses or its port is closed, nothing was written.  The
         # caller may retry without reading first.
         async with open_server(create_app()) as url:
@@ -69,11 +71,11 @@
         with socket.create_server(("127.0.0.1", 0)) as probe:
             port = probe.getsockname()[1]
         store = create_http_key_value_store(f"http://127.0.0.1:{port}")
-        dial = await store.compare_and_swap("k", b"1", 0)
-        self.assert_reason(dial, Reason.UNAVAILABLE)
+        refused_connection = await store.compare_and_swap("k", b"1", 0)
+        self.assert_reason(refused_connection, Reason.UNAVAILABLE)
         await store.aclose()
 
-    async def test_write_that_is_too_slow_is_unknown(self) -> None:
+    async def test_timed_out_write_has_unknown_outcome(self) -> None:
         # Guards against reporting a timed-out write as failed: it takes effect
         # after the caller has stopped waiting.
         async with open_server(create_app()) as url:
--- a/reedspar/platform/tests/test_http_reads.py
+++ b/reedspar/platform/tests/test_http_reads.py
@@ -81,7 +81,7 @@
             await source.aclose()
 
 
-class UnmarkedEndTest(unittest.IsolatedAsyncioTestCase):
+class UnframedBodyTest(unittest.IsolatedAsyncioTestCase):
     async def test_body_without_length_or_chunked_framing_is_incomplete(self) -> None:
         # Guards against forwarding a truncated confirmation: a service that ends
         # its response by closing the connection looks like a broken connection.
--- a/reedspar/platform/tests/test_http_target.py
+++ b/reedspar/platform/tests/test_http_target.py
@@ -189,7 +189,7 @@
 
 
 class PlainServiceTest(unittest.IsolatedAsyncioTestCase):
-    async def test_answer_lost_after_the_run_is_unknown(self) -> None:
+    async def test_answer_lost_after_the_run_has_unknown_outcome(self) -> None:
         # Guards against booking a deposit twice: the service books it and crashes
         # before it responds, so the request must not count as not run.
         async with open_server(plain_service.create_app()) as url:
--- a/reedspar/platform/tests/test_ordering.py
+++ b/reedspar/platform/tests/test_monotonic_reader.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from reedspar.platform.ordering import MonotonicReader
+from reedspar.platform.monotonic_reader import MonotonicReader
 
 
 class MonotonicReaderTest(unittest.TestCase):
