--- a/reedspar/platform/http_key_value.py
+++ b/reedspar/platform/http_key_value.py
@@ -110,5 +110,5 @@
 def create_http_key_value_store(
     url: str, *, timeout_s: float = 2.0
 ) -> HttpKeyValueStore:
-    """Create an adapter; `timeout_s` bounds a call, and is added to a watch's own."""
+    """Create an adapter; `timeout_s` bounds each call, not counting a watch's wait."""
     return HttpKeyValueStore(create_client(url, timeout_s), timeout_s)
--- a/reedspar/platform/http_target.py
+++ b/reedspar/platform/http_target.py
@@ -58,7 +58,7 @@
         self._state_reader = MonotonicReader(self._read_state)
 
     async def read_state(self) -> EngineState | Failure:
-        """Return the target's report, never an older one than returned before."""
+        """Return the target's report, never one older than a report returned before."""
         return await self._state_reader.read()
 
     @asynccontextmanager
@@ -184,7 +184,7 @@
 
 
 def make_headers(request: TargetRequest) -> list[tuple[str, str]]:
-    """Return the caller's headers without hop-by-hop ones, plus our own."""
+    """Return the caller's headers without hop-by-hop ones, plus reedspar's own."""
     headers = [
         (name, value)
         for name, value in request.headers
--- a/reedspar/platform/protocols.py
+++ b/reedspar/platform/protocols.py
@@ -94,7 +94,7 @@
     """A back end that runs requests: a model engine or a plain service."""
 
     async def read_state(self) -> EngineState | Failure:
-        """Return the target's report, never an older one than returned before."""
+        """Return the target's report, never one older than a report returned before."""
         ...
 
     def send(
--- a/reedspar/platform/tests/test_monotonic_reader.py
+++ b/reedspar/platform/tests/test_monotonic_reader.py
@@ -1,4 +1,4 @@
-"""Tests that an overtaken read does not bring back an older state."""
+"""Tests that a read overtaken by a later one returns the later result."""
 
 import unittest
 
