--- a/reedspar/platform/tests/test_ordering.py
+++ b/reedspar/platform/tests/test_monotonic_reader.py
@@ -1,10 +1,10 @@
-"""Tests that an overtaken read does not bring back an older state."""
+"""Tests that a read overtaken by a later one returns the later result."""
 
 import unittest
 
 import anyio
 
-from reedspar.platform.ordering import MonotonicReader
+from reedspar.platform.monotonic_reader import MonotonicReader
 
 
 class MonotonicReaderTest(unittest.TestCase):
