--- a/bench/cold_start.py
+++ b/bench/cold_start.py
@@ -133,8 +133,8 @@
 
     def _stop(self) -> None:
         for request in self._target.stop():
-            self._limiters[request.limiter_index].handle_event("note_ended")
-            self._limiters[request.limiter_index].handle_event("note_broken")
+            self._limiters[request.limiter_index].handle_event("record_ended")
+            self._limiters[request.limiter_index].handle_event("record_broken")
         self._is_known_up = False
         self._at(self._now_s + RESTART_DURATION_S, self._boot)
 
@@ -165,7 +165,7 @@
                 limiter.handle_report(f"boot-{target.boot}", is_cold, self._now_s)
                 self._start_queued(limiter_index)
             else:
-                limiter.handle_event("drop")
+                limiter.handle_event("drop_to_cold_limit")
 
     def _arrive(self) -> None:
         entry = self._rng.randrange(self._entries)
@@ -195,7 +195,7 @@
         request.boot = target.boot
         target.running.add(request)
         target.update_overload(self._now_s)
-        self._limiters[request.limiter_index].handle_event("note_started")
+        self._limiters[request.limiter_index].handle_event("record_started")
         service_s = COLD_SERVICE_S if is_cold else WARM_SERVICE_S
         first_s = service_s * FIRST_BYTE_TIME_SHARE
         if request.is_long:
@@ -212,7 +212,7 @@
     def _first_byte(self, request: Request, latency_s: float) -> None:
         if request in self._target.running:
             limiter = self._limiters[request.limiter_index]
-            limiter.handle_event("note_first_byte", latency_s)
+            limiter.handle_event("record_first_byte", latency_s)
 
     def _end(self, request: Request) -> None:
         if request not in self._target.running:
@@ -222,8 +222,8 @@
         self._target.update_overload(self._now_s)
         self._timely_answers += self._now_s - request.arrived_s <= DEADLINE_S
         limiter = self._limiters[request.limiter_index]
-        limiter.handle_event("note_ended")
-        limiter.handle_event("note_completed")
+        limiter.handle_event("record_ended")
+        limiter.handle_event("record_completed")
         self._start_queued(request.limiter_index)
 
 
--- a/bench/cold_start_model.py
+++ b/bench/cold_start_model.py
@@ -113,8 +113,8 @@
 
     def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
         """Pass a report of the target to the gate."""
-        self._gate.note_boot(boot_id, now_s)
-        self._gate.note_report(is_cold=is_cold, now_s=now_s)
+        self._gate.record_boot(boot_id, now_s)
+        self._gate.record_report(is_cold=is_cold, now_s=now_s)
 
 
 class TimedLimiter:
@@ -145,7 +145,7 @@
 
     def handle_event(self, event: str, value: Any = None) -> None:
         """Count the requests in flight."""
-        self._in_flight += {"note_started": 1, "note_ended": -1}.get(event, 0)
+        self._in_flight += {"record_started": 1, "record_ended": -1}.get(event, 0)
 
     def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
         """Start again from the cold limit after another boot."""
--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -19,11 +19,11 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 
-from reedspar.direct.choice import DirectChooser
-from reedspar.direct.cold import ColdLimits
+from reedspar.direct.cold_limits import ColdLimits
 from reedspar.direct.crashes import CrashDetector
 from reedspar.direct.loads import LoadReport, TargetLoads
-from reedspar.direct.replaced import ReplacedWeightsLog
+from reedspar.direct.replaced_weights_log import ReplacedWeightsLog
+from reedspar.direct.target_choice import DirectChooser
 from reedspar.direct.tests.fakes import ENGINE, make_engine_target, make_table
 from reedspar.direct.versions import VersionRule
 from reedspar.errors import Failure
@@ -309,7 +309,7 @@
         assert not isinstance(job.chosen, Failure)
         chooser = job.entry.at(self._now_s)
         chooser.on_first_byte(job.request, job.chosen)
-        chooser.note_report(job.chosen.name, report)
+        chooser.record_report(job.chosen.name, report)
 
     def _report_end(self, job: _Job) -> None:
         assert not isinstance(job.chosen, Failure)
--- a/reedspar/daemon/agent.py
+++ b/reedspar/daemon/agent.py
@@ -91,7 +91,7 @@
         """Start the weight controller, if the target needs weights."""
         if self._weights is None:
             return
-        self._weights.on_offer_change(self._controller.note_offers_changed)
+        self._weights.on_offer_change(self._controller.handle_offers_changed)
         self._weights.start()
 
     def describe(self) -> AgentStatus:
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -15,7 +15,7 @@
     choose_entries,
     create_direct_service,
 )
-from reedspar.direct.directory import list_allowed_regions
+from reedspar.direct.entry_choice import list_allowed_regions
 from reedspar.direct.load_listener import create_load_listener
 from reedspar.direct.request_log import RequestLog
 from reedspar.fleet import DaemonRecord, FleetView
@@ -109,7 +109,7 @@
 
     async def _register(self) -> None:
         await self.base.feed.wait_initialized()
-        self.service.note_store_listed()
+        self.service.record_store_listing()
         _logger.info("ready", extra={"targets": self.base.view.target_count()})
         await self.base.registration.run()
 
@@ -192,7 +192,9 @@
         rng=rng,
         first_filters=(RequestLog(view, timers, adapters.metrics),),
     )
-    adapters.metrics.replaced_begun.set_callback(service.replaced.read_counts)
+    adapters.metrics.replaced_begun.set_callback(
+        service.replaced_weights_log.read_counts
+    )
     create_load_listener(view, service.chooser, links.transport)
     weights_network = links.on_demand("weights")
     origin = create_origin_with_exchange(
--- a/reedspar/direct/__init__.py
+++ b/reedspar/direct/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from .client import DirectAttemptClient, DirectResponse, TargetDialer
-from .directory import choose_entries
+from .entry_choice import choose_entries
 from .loads import LoadReport
 from .service import DirectService, create_direct_service
 
--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/attempt_checks.py
@@ -9,13 +9,13 @@
 from .refusals import RETRY_AFTER_S
 from .versions import VersionRule
 
-__all__ = ["AttemptLimits"]
+__all__ = ["AttemptChecks"]
 
 LINK_DELAY_MAX_S = 0.4
 """Upper bound of the assumed delay to a target."""
 
 
-class AttemptLimits:
+class AttemptChecks:
     """Repeats the checks by which a target was chosen, with current information."""
 
     def __init__(
@@ -45,7 +45,7 @@
         )
         if unavailable:
             return _refuse(target_id, f"while connecting was found: {unavailable}")
-        attempt = self._loads.for_target(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own_attempts.get(request_id)
         if attempt is None:
             return None
         version = self._version_of(target_id, attempt)
@@ -66,7 +66,7 @@
         The next check is `check_interval_s` later.  The withdrawal is assumed to reach
         the target within the time of a round trip, which is that of connecting.
         """
-        attempt = self._loads.for_target(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own_attempts.get(request_id)
         if attempt is None or attempt.handed_over_s is None:
             return None
         version = self._version_of(target_id, attempt)
--- a/reedspar/direct/client.py
+++ b/reedspar/direct/client.py
@@ -21,7 +21,7 @@
 from reedspar.requests.attempt_client import OpenAttempt
 from reedspar.timers import TimerService
 
-from .limits import AttemptLimits
+from .attempt_checks import AttemptChecks
 from .loads import LoadReport
 
 __all__ = [
@@ -89,14 +89,14 @@
         dialer: TargetDialer,
         timers: TimerService,
         tasks: TaskGroup,
-        note_report: Callable[[str, LoadReport], None],
-        limits: AttemptLimits,
+        record_report: Callable[[str, LoadReport], None],
+        checks: AttemptChecks,
     ) -> None:
         self._dialer = dialer
         self._timers = timers
         self._tasks = tasks
-        self._note_report = note_report
-        self._limits = limits
+        self._record_report = record_report
+        self._checks = checks
         self._running: dict[int, _RunningAttempt] = {}
         timers.call_every(SWEEP_INTERVAL_S, self.sweep)
 
@@ -151,7 +151,7 @@
         """End an attempt that may no longer begin; return whether it was ended."""
         attempt = running.attempt
         request_id = attempt.assembly.start.request_id
-        failure = self._limits.check_waiting(
+        failure = self._checks.check_waiting(
             attempt.target, request_id, SWEEP_INTERVAL_S
         )
         if failure is None:
@@ -205,7 +205,7 @@
         target = attempt.target
 
         def check_before_write() -> Failure | None:
-            return self._limits.check_hand_over(
+            return self._checks.check_hand_over(
                 target, start.request_id, SWEEP_INTERVAL_S
             )
 
@@ -222,7 +222,7 @@
             )
             attempt.assembly.on_head(head)
             if response.load is not None:
-                self._note_report(attempt.target, response.load)
+                self._record_report(attempt.target, response.load)
             self._mark_received(attempt)
             return await self._read_body(attempt, running, response)
 
@@ -258,8 +258,8 @@
     dialer: TargetDialer,
     timers: TimerService,
     tasks: TaskGroup,
-    note_report: Callable[[str, LoadReport], None],
-    limits: AttemptLimits,
+    record_report: Callable[[str, LoadReport], None],
+    checks: AttemptChecks,
 ) -> DirectAttemptClient:
     """Create a client whose attempts run in `tasks`."""
-    return DirectAttemptClient(dialer, timers, tasks, note_report, limits)
+    return DirectAttemptClient(dialer, timers, tasks, record_report, checks)
--- a/reedspar/direct/cold.py
+++ b/reedspar/direct/cold_limits.py
@@ -44,18 +44,18 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._names: frozenset[str] = frozenset({name})
+        self._entry_names: frozenset[str] = frozenset({name})
         self._top_ranked_cache: dict[str, bool] = {}
-        """Results of `_is_top_ranked` by target id, valid for the current `_names`."""
+        """Results of `_is_top_ranked` by target id, for the current `_entry_names`."""
         self._target_count = 0
         self._startup_end_s = self._startup_deadline_s = float("-inf")
 
-    def note_started(self, now_s: float) -> None:
+    def begin_startup(self, now_s: float) -> None:
         """Apply startup limits until entries are stable, at most `STARTUP_MAX_S`."""
         self._startup_deadline_s = now_s + STARTUP_MAX_S
         self._startup_end_s = now_s + ENTRIES_SETTLE_TIME_S
 
-    def note_entries_changed(self, now_s: float) -> None:
+    def record_entries_change(self, now_s: float) -> None:
         """Restart the wait for stable entries if the startup limits still apply."""
         if self._is_starting(now_s):
             self._startup_end_s = min(
@@ -69,8 +69,8 @@
     def set_entries(self, names: Iterable[str]) -> None:
         """Set the names of the entries that may send; this entry is always included."""
         names = frozenset({self._name, *names})
-        if names != self._names:
-            self._names = names
+        if names != self._entry_names:
+            self._entry_names = names
             self._top_ranked_cache.clear()
 
     def may_send(
@@ -89,7 +89,7 @@
             bucket.take(COLD_BURST + self._score_fraction(target_id), now_s)
         return bucket.is_ready(now_s)
 
-    def note_sent(self, load: TargetLoad, rate_per_s: float, now_s: float) -> None:
+    def record_sent(self, load: TargetLoad, rate_per_s: float, now_s: float) -> None:
         """Count a request to a cold target."""
         if rate_per_s > 0:
             self._update_bucket(load, rate_per_s, now_s).take(1, now_s)
@@ -97,10 +97,10 @@
     def _is_sender(self, target_id: str, now_s: float) -> bool:
         """Return whether this entry is one of the senders for a target."""
         expected = ENTRIES_PER_TARGET * self._target_count
-        if self._is_starting(now_s) and expected > len(self._names):
+        if self._is_starting(now_s) and expected > len(self._entry_names):
             # Approximates the ranking that holds once all entries are known.
             return (1 - self._score_fraction(target_id)) * expected < SENDERS_MAX
-        if len(self._names) <= SENDERS_MAX:
+        if len(self._entry_names) <= SENDERS_MAX:
             return True
         return self._is_top_ranked(target_id)
 
@@ -108,7 +108,7 @@
         """Return whether this entry ranks in the first `SENDERS_MAX` for a target."""
         is_top_ranked = self._top_ranked_cache.get(target_id)
         if is_top_ranked is None:
-            ranked = rank_by_rendezvous(target_id, self._names)
+            ranked = rank_by_rendezvous(target_id, self._entry_names)
             is_top_ranked = self._name in ranked[:SENDERS_MAX]
             if len(self._top_ranked_cache) >= CACHED_TARGETS_MAX:
                 self._top_ranked_cache.clear()
@@ -126,10 +126,12 @@
         self, load: TargetLoad, rate_per_s: float, now_s: float
     ) -> TokenBucket:
         min_senders = SENDERS_MAX if self._is_starting(now_s) else SENDERS_MIN
-        share = rate_per_s / min(SENDERS_MAX, max(min_senders, len(self._names)))
+        share_per_s = rate_per_s / min(
+            SENDERS_MAX, max(min_senders, len(self._entry_names))
+        )
         bucket = load.cold_bucket
         if bucket is None:
-            bucket = load.cold_bucket = TokenBucket(share, COLD_BURST)
-        elif bucket.rate_per_s != share:
-            bucket.set_rate(share, now_s)
+            bucket = load.cold_bucket = TokenBucket(share_per_s, COLD_BURST)
+        elif bucket.rate_per_s != share_per_s:
+            bucket.set_rate(share_per_s, now_s)
         return bucket
--- a/reedspar/direct/crashes.py
+++ b/reedspar/direct/crashes.py
@@ -34,7 +34,7 @@
         self._broken: deque[tuple[float, str, str]] = deque(maxlen=BROKEN_ATTEMPTS_MAX)
         self._known: dict[str, KnownTarget] = {}
 
-    def note_broken(self, target_id: str, fingerprint: str) -> None:
+    def record_broken(self, target_id: str, fingerprint: str) -> None:
         """Record that a target broke off while it may have been running a request."""
         self._broken.append((self._timers.now_s(), target_id, fingerprint))
 
--- a/reedspar/direct/eligibility.py
+++ b/reedspar/direct/eligibility.py
@@ -9,7 +9,7 @@
 from reedspar.requests.request import Request
 from reedspar.routes import ServiceParameters
 
-from .cold import ColdLimits
+from .cold_limits import ColdLimits
 from .loads import TargetLoad, TargetLoads
 from .versions import VersionRule
 
@@ -23,13 +23,13 @@
         self,
         view: FleetView,
         loads: TargetLoads,
-        cold: ColdLimits,
+        cold_limits: ColdLimits,
         versions: VersionRule,
         region_by_zone: Mapping[str, str],
     ) -> None:
         self._view = view
         self._loads = loads
-        self._cold = cold
+        self._cold_limits = cold_limits
         self._versions = versions
         self._region_by_zone = region_by_zone
 
@@ -61,7 +61,7 @@
             (known, load)
             for known, load in pairs
             if not known.is_cold(now_s)
-            or self._cold.may_send(known.record.id, load, rate_per_s, now_s)
+            or self._cold_limits.may_send(known.record.id, load, rate_per_s, now_s)
         ]
         available = [pair for pair in pairs if now_s >= pair[1].backoff_until_s]
         if len(available) * 2 >= len(pairs):
@@ -101,7 +101,7 @@
         return "it leaves"
     if record.zone in view.zones_out:
         return "its zone is out"
-    if loads.for_target(record.id).replaced_boot == record.boot_id:
+    if loads.for_target(record.id).replaced_boot_id == record.boot_id:
         return "another target has its address"
     return ""
 
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/entry_choice.py
@@ -33,9 +33,9 @@
         or entry.region in allowed_regions
         or entry.region == region
     ]
-    near = [entry for entry in allowed if entry.zone == zone]
-    if len(near) >= NEARBY_ENTRIES_MIN:
-        return near
+    same_zone = [entry for entry in allowed if entry.zone == zone]
+    if len(same_zone) >= NEARBY_ENTRIES_MIN:
+        return same_zone
     same_region = [entry for entry in allowed if entry.region == region]
     if len(same_region) >= NEARBY_ENTRIES_MIN:
         return same_region
--- a/reedspar/direct/estimate.py
+++ b/reedspar/direct/estimate.py
@@ -44,7 +44,7 @@
     """Requests whose answers have begun."""
     waiting: float
     """Requests whose answers have not begun."""
-    pace: float = 1.0
+    slowdown_factor: float = 1.0
     """Ratio of the engine's current processing time to its usual one."""
 
 
@@ -59,7 +59,9 @@
     if engine_load.decoding >= 1:
         decoding_s = passes * _decode_pass_time_s(engine, engine_load.decoding)
     slot_wait_s = _slot_wait_s(engine, engine_load)
-    return NETWORK_DELAY_S + engine_load.pace * (prefill_s + decoding_s + slot_wait_s)
+    return NETWORK_DELAY_S + engine_load.slowdown_factor * (
+        prefill_s + decoding_s + slot_wait_s
+    )
 
 
 def estimate_stream_pause_s(engine: EngineParameters, engine_load: EngineLoad) -> float:
@@ -74,7 +76,7 @@
         return 0.0
     max_tokens = engine.steps_per_pass * engine.prefill_tokens_per_pass
     prefill_s = _prefill_time_s(engine, min(engine_load.waiting_tokens, max_tokens), 0)
-    return engine_load.pace * (
+    return engine_load.slowdown_factor * (
         prefill_s + _decode_pass_time_s(engine, engine_load.decoding)
     )
 
--- a/reedspar/direct/load_listener.py
+++ b/reedspar/direct/load_listener.py
@@ -4,8 +4,8 @@
 from reedspar.links import Network
 from reedspar.messages import Sender
 
-from .choice import DirectChooser
 from .loads import LoadReport
+from .target_choice import DirectChooser
 
 __all__ = ["LoadListener", "create_load_listener"]
 
@@ -18,16 +18,20 @@
     ) -> None:
         self._view = view
         self._chooser = chooser
-        network.subscribe(TargetLoadNews, self._on_news)
+        network.subscribe(TargetLoadNews, self._on_target_load)
 
-    def _on_news(self, sender: Sender, news: TargetLoadNews) -> None:
-        known = self._view.find_target(news.host, news.port)
+    def _on_target_load(self, sender: Sender, message: TargetLoadNews) -> None:
+        known = self._view.find_target(message.host, message.port)
         if known is None:
             return
         report = LoadReport(
-            news.running, news.waiting, news.slots, news.is_taking, news.pace
+            message.running,
+            message.waiting,
+            message.slots,
+            message.is_taking,
+            message.pace,
         )
-        self._chooser.note_report(known.record.id, report)
+        self._chooser.record_report(known.record.id, report)
 
 
 def create_load_listener(
--- a/reedspar/direct/loads.py
+++ b/reedspar/direct/loads.py
@@ -43,9 +43,9 @@
     running: int
     waiting: int
     slots: int
-    is_taking: bool = True
+    is_accepting: bool = True
     """False while the target takes no new requests."""
-    pace: float = 1.0
+    slowdown_factor: float = 1.0
     """Ratio of the target's current processing time to its usual one."""
 
 
@@ -71,7 +71,7 @@
 class TargetLoad:
     """Load of one target as this entry knows it."""
 
-    own: dict[str, OwnAttempt] = field(default_factory=dict)
+    own_attempts: dict[str, OwnAttempt] = field(default_factory=dict)
     report: LoadReport | None = None
     reported_s: float = float("-inf")
     own_at_report: int = 0
@@ -79,18 +79,20 @@
     backoff_until_s: float = float("-inf")
     failures: int = 0
     cold_bucket: TokenBucket | None = None
-    replaced_boot: str = ""
+    replaced_boot_id: str = ""
     """Boot id of the target that another one has replaced at its address."""
     not_accepting_until_s: float = float("-inf")
     """End of the period in which the target takes no requests, as last reported."""
 
     def own_waiting_tokens(self) -> int:
         """Return the prompt tokens of own attempts whose answers have not begun."""
-        return sum(a.prompt_tokens for a in self.own.values() if not a.has_begun)
+        return sum(
+            a.prompt_tokens for a in self.own_attempts.values() if not a.has_begun
+        )
 
     def own_waiting(self) -> int:
         """Return the number of own attempts whose answers have not begun."""
-        return sum(not attempt.has_begun for attempt in self.own.values())
+        return sum(not attempt.has_begun for attempt in self.own_attempts.values())
 
     def others_in_flight(
         self, now_s: float, average: "AverageLoad | None" = None
@@ -115,9 +117,11 @@
         )
         return report_weight * self.waiting_at_report + average_part
 
-    def count(self, now_s: float, average: "AverageLoad | None" = None) -> float:
+    def total_in_flight(
+        self, now_s: float, average: "AverageLoad | None" = None
+    ) -> float:
         """Return the estimated number of all requests at the target."""
-        return len(self.own) + self.others_in_flight(now_s, average)
+        return len(self.own_attempts) + self.others_in_flight(now_s, average)
 
     @property
     def others_at_report(self) -> int:
@@ -134,26 +138,26 @@
             return 0
         return min(self.report.waiting, self.others_at_report)
 
-    def note_report(self, report: LoadReport, now_s: float) -> None:
+    def record_report(self, report: LoadReport, now_s: float) -> None:
         """Record a report that has just arrived."""
         self.report = report
         self.reported_s = now_s
-        self.own_at_report = len(self.own)
+        self.own_at_report = len(self.own_attempts)
         self.not_accepting_until_s = (
-            now_s + NOT_ACCEPTING_TTL_S if not report.is_taking else now_s
+            now_s + NOT_ACCEPTING_TTL_S if not report.is_accepting else now_s
         )
 
-    def note_unreachable(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Back off from the target, longer after each consecutive failure."""
         backoff_s = min(BACKOFF_MAX_S, BACKOFF_MIN_S * 2**self.failures)
         self.failures = min(self.failures + 1, 8)
         self.backoff_until_s = now_s + backoff_s
 
-    def note_full(self, now_s: float) -> None:
+    def record_full(self, now_s: float) -> None:
         """Back off from the target until a slot may be free."""
         self.backoff_until_s = max(self.backoff_until_s, now_s + FULL_BACKOFF_S)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the failure count, as the target answers."""
         self.failures = 0
 
@@ -205,7 +209,7 @@
     def remove(self, target_id: str) -> None:
         """Remove a target that no longer exists, unless it has open attempts."""
         load = self._loads.get(target_id)
-        if load is not None and not load.own:
+        if load is not None and not load.own_attempts:
             del self._loads[target_id]
 
     def reset_after_restart(self, target_id: str) -> None:
--- a/reedspar/direct/replaced.py
+++ b/reedspar/direct/replaced_weights_log.py
@@ -34,7 +34,9 @@
         """Return the counts of requests that began on replaced weights, with labels."""
         return [(count, {"when": when}) for when, count in self._counts.items()]
 
-    def note_begun(self, request_id: str, target_id: str, attempt: OwnAttempt) -> None:
+    def record_begun(
+        self, request_id: str, target_id: str, attempt: OwnAttempt
+    ) -> None:
         """Count an answer that begins now, and log it if it is near the bound."""
         if attempt.version is None:
             return
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -23,14 +23,14 @@
 from reedspar.settings import BoundSettings, SiteSettings
 from reedspar.timers import TimerService
 
-from .choice import DirectChooser
+from .attempt_checks import AttemptChecks
 from .client import DirectAttemptClient, TargetDialer, create_direct_attempt_client
-from .cold import ColdLimits
+from .cold_limits import ColdLimits
 from .crashes import CrashDetector
 from .filters import DeadlineFilter, RouteIdentificationFilter
-from .limits import AttemptLimits
 from .loads import TargetLoads
-from .replaced import ReplacedWeightsLog
+from .replaced_weights_log import ReplacedWeightsLog
+from .target_choice import DirectChooser
 from .versions import VersionRule
 
 __all__ = ["DirectService", "create_direct_service"]
@@ -52,13 +52,13 @@
     chooser: DirectChooser
     loads: TargetLoads
     versions: VersionRule
-    replaced: ReplacedWeightsLog
+    replaced_weights_log: ReplacedWeightsLog
     follower: "_FleetFollower"
 
-    def note_store_listed(self) -> None:
+    def record_store_listing(self) -> None:
         """Record the initial listing of the store, before this entry registers."""
-        self.versions.note_store_listed()
-        self.follower.note_started()
+        self.versions.record_store_listing()
+        self.follower.begin_startup()
 
     def apply_bounds(self, bounds: BoundSettings) -> None:
         """Apply changed bounds."""
@@ -73,24 +73,24 @@
         self,
         view: FleetView,
         loads: TargetLoads,
-        cold: ColdLimits,
+        cold_limits: ColdLimits,
         budgets: RetryBudgets,
         retry_slack: float,
         timers: TimerService,
     ) -> None:
         self._view = view
         self._loads = loads
-        self._cold = cold
+        self._cold_limits = cold_limits
         self._budgets = budgets
         self._retry_slack = retry_slack
         self._boot_ids: dict[str, str] = {}
         self._timers = timers
         self._update_entries()
 
-    def note_started(self) -> None:
+    def begin_startup(self) -> None:
         """Apply the startup limits for cold targets from now on."""
-        self._cold.set_target_count(self._view.target_count())
-        self._cold.note_started(self._timers.now_s())
+        self._cold_limits.set_target_count(self._view.target_count())
+        self._cold_limits.begin_startup(self._timers.now_s())
 
     def set_retry_limits(self, share: float, slack: float) -> None:
         """Set the limits of retries by all entries together."""
@@ -101,11 +101,11 @@
     def apply_change(self, change: FleetChange) -> None:
         """Process a change of the fleet."""
         if isinstance(change, TargetChange):
-            self._cold.set_target_count(self._view.target_count())
+            self._cold_limits.set_target_count(self._view.target_count())
             self._update_target(change)
         elif isinstance(change, DaemonChange):
             self._update_entries()
-            self._cold.note_entries_changed(self._timers.now_s())
+            self._cold_limits.record_entries_change(self._timers.now_s())
 
     def _update_target(self, change: TargetChange) -> None:
         record = change.record
@@ -118,7 +118,7 @@
 
     def _update_entries(self) -> None:
         entries = self._view.daemons(Role.ENTRY.value)
-        self._cold.set_entries(entry.name for entry in entries)
+        self._cold_limits.set_entries(entry.name for entry in entries)
         count = max(ENTRIES_MIN, len(entries))
         self._budgets.set_burst(RETRY_SLACK_FRACTION * self._retry_slack / count)
 
@@ -148,9 +148,9 @@
     """Create the request service of an entry on the daemon's view of the fleet."""
     bounds = settings.bounds
     loads = TargetLoads()
-    cold = ColdLimits(settings.name)
+    cold_limits = ColdLimits(settings.name)
     versions = VersionRule(view, timers, bounds.version_ms / 1000)
-    replaced = ReplacedWeightsLog(versions, timers)
+    replaced_weights_log = ReplacedWeightsLog(versions, timers)
     quarantine = Quarantine()
     gossip = create_crash_gossip(
         settings.name,
@@ -164,21 +164,23 @@
     chooser = DirectChooser(
         view,
         loads,
-        cold,
+        cold_limits,
         versions,
         timers,
         settings.zones,
         settings.region,
         crashes,
-        replaced,
+        replaced_weights_log,
         rng,
     )
-    limits = AttemptLimits(view, loads, versions, timers)
+    checks = AttemptChecks(view, loads, versions, timers)
     client = create_direct_attempt_client(
-        dialer, timers, tasks, chooser.note_report, limits
+        dialer, timers, tasks, chooser.record_report, checks
     )
     budgets = RetryBudgets(bounds.retry_share)
-    follower = _FleetFollower(view, loads, cold, budgets, bounds.retry_slack, timers)
+    follower = _FleetFollower(
+        view, loads, cold_limits, budgets, bounds.retry_slack, timers
+    )
     view.on_change(follower.apply_change)
     view.on_change(lambda change: _pass_to_crash_detector(crashes, view, change))
     relay_options = RelayOptions(retry_wait_s=0.0, deadline_margin_s=0.0)
@@ -198,5 +200,5 @@
         fallback,
     )
     return DirectService(
-        application, client, chooser, loads, versions, replaced, follower
+        application, client, chooser, loads, versions, replaced_weights_log, follower
     )
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/target_choice.py
@@ -11,7 +11,7 @@
 from reedspar.routes import EngineParameters, ServiceParameters
 from reedspar.timers import TimerService
 
-from .cold import ColdLimits
+from .cold_limits import ColdLimits
 from .crashes import CrashDetector
 from .eligibility import TargetEligibility, cold_rate_per_s
 from .estimate import (
@@ -29,7 +29,7 @@
     compute_average_load,
 )
 from .refusals import RETRY_AFTER_S, Refusals
-from .replaced import ReplacedWeightsLog
+from .replaced_weights_log import ReplacedWeightsLog
 from .versions import VersionRule
 
 __all__ = ["DirectChooser", "DirectTarget"]
@@ -94,27 +94,27 @@
         self,
         view: FleetView,
         loads: TargetLoads,
-        cold: ColdLimits,
+        cold_limits: ColdLimits,
         versions: VersionRule,
         timers: TimerService,
         region_by_zone: dict[str, str],
         region: str,
         crashes: CrashDetector,
-        replaced: ReplacedWeightsLog,
+        replaced_weights_log: ReplacedWeightsLog,
         rng: random.Random,
     ) -> None:
         self._view = view
         self._loads = loads
-        self._cold = cold
+        self._cold_limits = cold_limits
         self._eligibility = TargetEligibility(
-            view, loads, cold, versions, region_by_zone
+            view, loads, cold_limits, versions, region_by_zone
         )
         self._refusals = Refusals(view, timers, rng)
         self._timers = timers
         self._region_by_zone = region_by_zone
         self._region = region
         self._crashes = crashes
-        self._replaced = replaced
+        self._replaced_weights_log = replaced_weights_log
         self._rng = rng
         self._calibrations: dict[str, Calibration] = {}
 
@@ -179,7 +179,7 @@
         now_s = self._timers.now_s()
         load = self._loads.for_target(chosen.name)
         assert isinstance(chosen, DirectTarget)
-        load.own[request.request_id] = OwnAttempt(
+        load.own_attempts[request.request_id] = OwnAttempt(
             request.prompt_tokens,
             now_s,
             chosen.raw_estimate_s,
@@ -190,37 +190,39 @@
         known = self._view.target(chosen.name)
         if known is not None and known.is_cold(now_s):
             rate_per_s = cold_rate_per_s(self._find_service(request.pool))
-            self._cold.note_sent(load, rate_per_s, now_s)
+            self._cold_limits.record_sent(load, rate_per_s, now_s)
 
     def on_first_byte(self, request: Request, chosen: ChosenTarget) -> None:
         """Record the end of the prompt's prefill."""
         load = self._loads.for_target(chosen.name)
-        load.note_success()
-        attempt = load.own.get(request.request_id)
+        load.record_success()
+        attempt = load.own_attempts.get(request.request_id)
         if attempt is not None and not attempt.has_begun:
             attempt.has_begun = True
             took_s = self._timers.now_s() - attempt.started_s
             self._calibration(request.pool).record(attempt.raw_estimate_s, took_s)
-            self._replaced.note_begun(request.request_id, chosen.name, attempt)
+            self._replaced_weights_log.record_begun(
+                request.request_id, chosen.name, attempt
+            )
 
     def on_ended(
         self, request: Request, chosen: ChosenTarget, answer: Answer | None
     ) -> None:
         """Remove the attempt and update the target's state from its failure, if any."""
         load = self._loads.for_target(chosen.name)
-        load.own.pop(request.request_id, None)
+        load.own_attempts.pop(request.request_id, None)
         failure = answer.failure if answer is not None else None
         if answer is None or failure is None or failure.reason in LOCAL_REASONS:
             return
         now_s = self._timers.now_s()
         if answer.outcome is Outcome.UNKNOWN:
-            self._crashes.note_broken(chosen.name, request.fingerprint)
+            self._crashes.record_broken(chosen.name, request.fingerprint)
         if failure.reason is Reason.CONFLICT:
             self._mark_replaced(chosen.name)
         elif failure.step is Step.LINK or answer.outcome is Outcome.UNKNOWN:
-            load.note_unreachable(now_s)
+            load.record_unreachable(now_s)
         elif answer.outcome is Outcome.NOT_RUN:
-            load.note_full(now_s)
+            load.record_full(now_s)
 
     def _mark_replaced(self, target_id: str) -> None:
         """Exclude a target whose address now belongs to another one.
@@ -232,15 +234,15 @@
         """
         known = self._view.target(target_id)
         if known is not None:
-            self._loads.for_target(target_id).replaced_boot = known.record.boot_id
+            self._loads.for_target(target_id).replaced_boot_id = known.record.boot_id
 
     def on_refused(self, chosen: ChosenTarget, failure: Failure) -> None:
         """Back off from a target that no longer has an address."""
-        self._loads.for_target(chosen.name).note_unreachable(self._timers.now_s())
+        self._loads.for_target(chosen.name).record_unreachable(self._timers.now_s())
 
-    def note_report(self, target_id: str, report: LoadReport) -> None:
+    def record_report(self, target_id: str, report: LoadReport) -> None:
         """Process a target's report of its load."""
-        self._loads.for_target(target_id).note_report(report, self._timers.now_s())
+        self._loads.for_target(target_id).record_report(report, self._timers.now_s())
 
     def _find_service(self, pool: str) -> ServiceParameters | None:
         routes = self._view.routes
@@ -258,7 +260,7 @@
         region_penalty_s = self._region_penalty_s(known)
         engine = service.engine if service is not None else None
         if engine is None:
-            waiting_s = load.count(now_s) * ESTIMATE_TOLERANCE_S
+            waiting_s = load.total_in_flight(now_s) * ESTIMATE_TOLERANCE_S
             return _Candidate(known, load, waiting_s, waiting_s + region_penalty_s)
         engine_load = _make_engine_load(load, average, engine, now_s)
         raw_estimate_s = estimate_first_event_s(
@@ -267,7 +269,9 @@
         expected_wait_s = (
             raw_estimate_s * self._calibration(request.pool).factor + region_penalty_s
         )
-        empty_queue = EngineLoad(0.0, engine_load.decoding, 0.0, engine_load.pace)
+        empty_queue = EngineLoad(
+            0.0, engine_load.decoding, 0.0, engine_load.slowdown_factor
+        )
         unqueued_wait_s = estimate_first_event_s(
             engine, empty_queue, request.prompt_tokens
         )
@@ -289,8 +293,8 @@
 
     def _region_penalty_s(self, known: KnownTarget) -> float:
         """Return the penalty for a target in another region, 0 in this region."""
-        is_near = self._region_by_zone.get(known.record.zone) == self._region
-        return 0.0 if is_near else OTHER_REGION_PENALTY_S
+        is_same_region = self._region_by_zone.get(known.record.zone) == self._region
+        return 0.0 if is_same_region else OTHER_REGION_PENALTY_S
 
     def _wait_limit_s(self, request: Request, best: _Candidate) -> float:
         """Return the longest acceptable expected time to the first event.
@@ -318,6 +322,6 @@
     own_waiting = load.own_waiting()
     waiting = own_waiting + others_waiting
     tokens = load.own_waiting_tokens() + others_waiting * engine.typical_prompt_tokens
-    pace = load.report.pace if load.report is not None else 1.0
-    decoding = max(0.0, load.count(now_s, average) - waiting)
-    return EngineLoad(tokens, decoding, waiting, max(1.0, pace))
+    slowdown_factor = load.report.slowdown_factor if load.report is not None else 1.0
+    decoding = max(0.0, load.total_in_flight(now_s, average) - waiting)
+    return EngineLoad(tokens, decoding, waiting, max(1.0, slowdown_factor))
--- a/reedspar/direct/tests/cases.py
+++ b/reedspar/direct/tests/cases.py
@@ -16,15 +16,15 @@
 from reedspar.timers import create_timer_service
 
 __all__ = [
-    "EVENTS",
+    "EVENT_STREAM_TYPE",
     "STREAM_PAUSE_S",
     "Call",
     "DirectTestCase",
-    "event",
+    "make_event",
     "make_order_target",
 ]
 
-EVENTS = "text/event-stream"
+EVENT_STREAM_TYPE = "text/event-stream"
 STREAM_PAUSE_S = 0.02
 DEFAULT_HEADERS = {"authorization": "Bearer key", "host": "shop.example"}
 
@@ -33,7 +33,7 @@
     return make_engine_target(target_id, pool="orders", weights={}, **changes)
 
 
-def event(number: int) -> bytes:
+def make_event(number: int) -> bytes:
     return b"id: %d\ndata: x%d\n\n" % (number, number)
 
 
--- a/reedspar/direct/tests/test_decisions.py
+++ b/reedspar/direct/tests/test_choice_rules.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from reedspar.direct.cold import ColdLimits
-from reedspar.direct.directory import choose_entries, list_allowed_regions
+from reedspar.direct.cold_limits import ColdLimits
+from reedspar.direct.entry_choice import choose_entries, list_allowed_regions
 from reedspar.direct.estimate import (
     EngineLoad,
     estimate_first_event_s,
@@ -46,27 +46,27 @@
 class LoadTest(unittest.TestCase):
     def test_report_counts_others_beside_own_attempts(self) -> None:
         load = TargetLoad()
-        load.own["r1"] = OwnAttempt(500, 0.0)
-        load.note_report(LoadReport(6, 2, 16), 0.0)
+        load.own_attempts["r1"] = OwnAttempt(500, 0.0)
+        load.record_report(LoadReport(6, 2, 16), 0.0)
         self.assertEqual(load.others_in_flight(0.0), 7)
-        load.own["r2"] = OwnAttempt(700, 0.0)
-        self.assertEqual(load.count(0.0), 9)
+        load.own_attempts["r2"] = OwnAttempt(700, 0.0)
+        self.assertEqual(load.total_in_flight(0.0), 9)
         self.assertEqual(load.own_waiting_tokens(), 1200)
 
     def test_report_weight_decays(self) -> None:
         # Guards against never using a target again that was once reported as full:
         # reports arrive only with answers.
         load = TargetLoad()
-        load.note_report(LoadReport(16, 10, 16), 0.0)
-        self.assertLess(load.count(5.0), 1.0)
+        load.record_report(LoadReport(16, 10, 16), 0.0)
+        self.assertLess(load.total_in_flight(5.0), 1.0)
 
     def test_backoff_from_unreachable_target_grows(self) -> None:
         load = TargetLoad()
-        load.note_unreachable(0.0)
+        load.record_unreachable(0.0)
         first_s = load.backoff_until_s
-        load.note_unreachable(first_s)
+        load.record_unreachable(first_s)
         self.assertGreater(load.backoff_until_s - first_s, first_s)
-        load.note_success()
+        load.record_success()
         self.assertEqual(load.failures, 0)
 
 
@@ -85,7 +85,7 @@
                     for limit, load in zip(limits, loads, strict=True):
                         limit.set_entries(names)
                         if limit.may_send("t1", load, 36.0, now_s):
-                            limit.note_sent(load, 36.0, now_s)
+                            limit.record_sent(load, 36.0, now_s)
                             sent.append(now_s)
                 worst = max(
                     sum(start <= at < start + 1.0 for at in sent) for start in sent
@@ -93,11 +93,11 @@
                 self.assertLessEqual(worst, 36 * 1.5 + 5)
                 self.assertGreater(len(sent), 60)
 
-    def test_unbounded_service_has_no_limit(self) -> None:
+    def test_service_without_a_cold_rate_is_not_limited(self) -> None:
         limits = ColdLimits("entry-1")
         load = TargetLoad()
         for _ in range(100):
-            limits.note_sent(load, 0.0, 0.0)
+            limits.record_sent(load, 0.0, 0.0)
         self.assertTrue(limits.may_send("t1", load, 0.0, 0.0))
 
 
@@ -108,13 +108,13 @@
         self.view = FleetView(timers)
         self.rule = VersionRule(self.view, timers, 8.0)
 
-    def name(self, version: int) -> None:
+    def name_version(self, version: int) -> None:
         self.view.apply(WeightsChange("m", version))
 
     def test_older_version_serves_until_shortly_before_the_bound(self) -> None:
-        self.rule.note_store_listed()
+        self.rule.record_store_listing()
         self.clock.advance(1.0)
-        self.name(2)
+        self.name_version(2)
         self.assertTrue(self.rule.may_serve("m", 1))
         self.clock.advance(7.0)
         self.assertTrue(self.rule.may_serve("m", 1))
@@ -125,9 +125,9 @@
 
     def test_earlier_naming_time_from_peer_moves_the_deadline(self) -> None:
         # The version became known here 2 s late; the bound counts from its naming.
-        self.rule.note_store_listed()
+        self.rule.record_store_listing()
         self.clock.advance(1.0)
-        self.name(2)
+        self.name_version(2)
         self.view.record_naming_time("m", 2, self.clock.now_s() - 2.0, "entry-2")
         self.clock.advance(5.5)
         self.assertTrue(self.rule.may_serve("m", 1))
@@ -135,8 +135,8 @@
         self.assertFalse(self.rule.may_serve("m", 1))
 
     def test_naming_time_from_peer_does_not_extend_the_grace_after_start(self) -> None:
-        self.name(2)
-        self.rule.note_store_listed()
+        self.name_version(2)
+        self.rule.record_store_listing()
         self.view.record_naming_time("m", 2, self.clock.now_s() - 0.5, "entry-2")
         self.clock.advance(0.9)
         self.assertTrue(self.rule.may_serve("m", 1))
@@ -147,11 +147,11 @@
         # Guards against a third version that moves the first version's deadline: the
         # first version may be used until the bound that follows from the second one,
         # and the second until the bound that follows from the third.
-        self.rule.note_store_listed()
+        self.rule.record_store_listing()
         self.clock.advance(1.0)
-        self.name(2)
+        self.name_version(2)
         self.clock.advance(4.0)
-        self.name(3)
+        self.name_version(3)
         self.clock.advance(4.0)
         self.assertFalse(self.rule.may_serve("m", 1))
         self.assertTrue(self.rule.may_serve("m", 2))
@@ -159,13 +159,13 @@
     def test_version_listed_at_start_is_not_taken_for_new(self) -> None:
         # Guards against a restarted entry taking a listed version for a new one: it
         # began requests on the older version 20 s after its deadline.
-        self.name(2)
-        self.rule.note_store_listed()
+        self.name_version(2)
+        self.rule.record_store_listing()
         self.clock.advance(1.1)
         self.assertFalse(self.rule.may_serve("m", 1))
 
 
-class DirectoryTest(unittest.TestCase):
+class EntryChoiceTest(unittest.TestCase):
     entries = [
         DaemonRecord("a1", "entry", "a", "ra", "10.0.0.1", 1, 80),
         DaemonRecord("a2", "entry", "a", "ra", "10.0.0.2", 1, 80),
--- a/reedspar/direct/tests/test_cold_starts.py
+++ b/reedspar/direct/tests/test_cold_starts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from unittest import mock
 
-from reedspar.direct.cold import ENTRIES_SETTLE_TIME_S, ColdLimits
+from reedspar.direct.cold_limits import ENTRIES_SETTLE_TIME_S, ColdLimits
 from reedspar.direct.loads import TargetLoad
 from reedspar.utils import rank_by_rendezvous
 
@@ -47,7 +47,7 @@
     loads = {name: TargetLoad() for name in names}
     for name, limit in limits.items():
         limit.set_target_count(fleet.targets)
-        limit.note_started(started_s[name])
+        limit.begin_startup(started_s[name])
     known_names: dict[str, frozenset[str]] = {}
     sent: list[float] = []
     for step in range(round(SIMULATED_S / STEP_S)):
@@ -62,9 +62,9 @@
                 if known != known_names.get(name):
                     known_names[name] = known
                     limit.set_entries(known)
-                    limit.note_entries_changed(now_s)
+                    limit.record_entries_change(now_s)
             if limit.may_send(target_id, load, fleet.rate_per_s, now_s):
-                limit.note_sent(load, fleet.rate_per_s, now_s)
+                limit.record_sent(load, fleet.rate_per_s, now_s)
                 sent.append(now_s)
     return sent
 
@@ -87,7 +87,9 @@
             with self.subTest(entries=fleet.entries):
                 self.check_peak(fleet)
 
-    def test_simultaneous_starts_on_a_large_site(self) -> None:
+    def test_simultaneous_starts_on_a_large_site_do_not_overload_a_cold_target(
+        self,
+    ) -> None:
         self.check_peak(LARGE_FLEET)
 
     def test_cold_target_gets_most_of_its_rate_after_startup(self) -> None:
@@ -104,7 +106,7 @@
         limit = ColdLimits("entry-0")
         limit.set_entries(f"entry-{i}" for i in range(fleet.entries))
         limit.set_target_count(fleet.targets)
-        limit.note_started(0.0)
+        limit.begin_startup(0.0)
         now_s = ENTRIES_SETTLE_TIME_S
         for i in range(TARGETS):
             load = TargetLoad()
@@ -118,7 +120,7 @@
         limit = ColdLimits("entry-0")
         limit.set_entries(f"entry-{i}" for i in range(LARGE_FLEET.entries))
         with mock.patch(
-            "reedspar.direct.cold.rank_by_rendezvous", wraps=rank_by_rendezvous
+            "reedspar.direct.cold_limits.rank_by_rendezvous", wraps=rank_by_rendezvous
         ) as rank:
             for round_index in range(3):
                 for i in range(TARGETS):
--- a/reedspar/direct/tests/test_crashes.py
+++ b/reedspar/direct/tests/test_crashes.py
@@ -53,7 +53,7 @@
 
         self.run_with(script)
 
-    def test_target_that_leaves_as_it_should_has_not_crashed(self) -> None:
+    def test_announced_shutdown_is_not_counted_as_a_crash(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_endings.py
+++ b/reedspar/direct/tests/test_endings.py
@@ -25,7 +25,7 @@
 
 
 class EndingTest(DirectTestCase):
-    def test_complete_answer(self) -> None:
+    def test_complete_answer_reaches_the_caller(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
@@ -38,7 +38,7 @@
 
         self.run_with(script)
 
-    def test_refusals_before_any_target(self) -> None:
+    def test_invalid_request_is_refused_without_calling_a_target(self) -> None:
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
--- a/reedspar/direct/tests/test_hand_over.py
+++ b/reedspar/direct/tests/test_hand_over.py
@@ -51,7 +51,7 @@
     async def _call(self, service: DirectService, call: Call) -> None:
         await service.application(call.scope, call.receive, call.send)
 
-    def check_moved(self, *changes: FleetChange) -> None:
+    def check_sent_to_second_target(self, *changes: FleetChange) -> None:
         second = make_order_target("second", zone="b")
         for path in ("/s/1", "/o/1"):
             call, dialer = self.send(path, TargetChange("second", second), *changes)
@@ -62,17 +62,17 @@
         # Guards against sending a request to a target that announced its shutdown while
         # the connection was being made, which takes up to 0.4 s.
         leaving = make_order_target("first", state=TargetState.LEAVING)
-        self.check_moved(TargetChange("first", leaving))
+        self.check_sent_to_second_target(TargetChange("first", leaving))
 
     def test_target_that_is_removed_meanwhile_gets_nothing(self) -> None:
         # Guards against sending to a target that was removed, without announcing it,
         # while the connection was being made.
-        self.check_moved(TargetChange("first", None))
+        self.check_sent_to_second_target(TargetChange("first", None))
 
     def test_zone_that_is_taken_out_meanwhile_gets_nothing(self) -> None:
         # Guards against sending to a zone that operators took out while the connection
         # was being made.
-        self.check_moved(ZoneChange("a", True))
+        self.check_sent_to_second_target(ZoneChange("a", True))
 
     def test_caller_that_disconnects_meanwhile_sends_nothing_to_a_target(
         self,
--- a/reedspar/direct/tests/test_replaced.py
+++ b/reedspar/direct/tests/test_replaced_weights_log.py
@@ -3,12 +3,12 @@
 import unittest
 
 from reedspar.direct.loads import OwnAttempt
-from reedspar.direct.replaced import LOG_LINES_BURST, ReplacedWeightsLog
+from reedspar.direct.replaced_weights_log import LOG_LINES_BURST, ReplacedWeightsLog
 from reedspar.direct.versions import VersionRule
 from reedspar.fleet import FleetView, WeightsChange
 from reedspar.timers import TimerService, VirtualClock
 
-LOGGER = "reedspar.direct.replaced"
+LOGGER = "reedspar.direct.replaced_weights_log"
 BOUND_S = 8.0
 
 
@@ -20,10 +20,10 @@
         self.log = ReplacedWeightsLog(VersionRule(self.view, timers, BOUND_S), timers)
         self.view.apply(WeightsChange("m", 2))
 
-    def note(self, version: int | None = 1) -> None:
+    def record_begun(self, version: int | None = 1) -> None:
         now_s = self.clock.now_s()
         attempt = OwnAttempt(9, now_s - 0.9, 0.1, False, "m", version, 0.2, now_s - 0.5)
-        self.log.note_begun("r1", "t1", attempt)
+        self.log.record_begun("r1", "t1", attempt)
 
     def counts(self) -> dict[str, float]:
         return {labels["when"]: count for count, labels in self.log.read_counts()}
@@ -31,7 +31,7 @@
     def test_log_line_shows_the_timing(self) -> None:
         self.clock.advance(BOUND_S + 0.1)
         with self.assertLogs(LOGGER, "INFO") as logs:
-            self.note()
+            self.record_begun()
         record = vars(logs.records[0])
         self.assertEqual(record["left_ms"], -100)
         self.assertEqual(record["chosen_ms"], 7200)
@@ -42,19 +42,19 @@
 
     def test_only_the_last_second_is_logged(self) -> None:
         with self.assertNoLogs(LOGGER, "INFO"):
-            self.note()
-            self.note(version=2)
-            self.note(version=None)
+            self.record_begun()
+            self.record_begun(version=2)
+            self.record_begun(version=None)
         self.clock.advance(BOUND_S - 0.5)
         with self.assertLogs(LOGGER, "INFO"):
-            self.note()
+            self.record_begun()
         self.assertEqual(self.counts(), {"in_time": 1, "near": 1, "past": 0})
 
     def test_log_lines_are_limited_and_counts_are_not(self) -> None:
         self.clock.advance(BOUND_S)
         with self.assertLogs(LOGGER, "INFO") as logs:
             for _ in range(100):
-                self.note()
+                self.record_begun()
         self.assertEqual(len(logs.records), LOG_LINES_BURST)
         self.assertEqual(sum(self.counts().values()), 100)
 
--- a/reedspar/direct/tests/test_streams.py
+++ b/reedspar/direct/tests/test_streams.py
@@ -5,11 +5,11 @@
 
 from reedspar.direct import DirectService
 from reedspar.direct.tests.cases import (
-    EVENTS,
+    EVENT_STREAM_TYPE,
     STREAM_PAUSE_S,
     Call,
     DirectTestCase,
-    event,
+    make_event,
 )
 from reedspar.direct.tests.fakes import (
     FakeDialer,
@@ -33,18 +33,20 @@
             def answer(target_id: str, request: Any) -> Any:
                 if len(dialer.sent) == 1:
                     pieces = [
-                        event(1),
-                        event(2) + b"id: 3\nda",
+                        make_event(1),
+                        make_event(2) + b"id: 3\nda",
                         STREAM_PAUSE_S,
                         broken(target_id),
                     ]
-                    return FakeResponse(pieces, content_type=EVENTS)
-                return FakeResponse([event(3), event(4)], content_type=EVENTS)
+                    return FakeResponse(pieces, content_type=EVENT_STREAM_TYPE)
+                return FakeResponse(
+                    [make_event(3), make_event(4)], content_type=EVENT_STREAM_TYPE
+                )
 
             dialer.script = answer
             call = Call("/q/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
-            self.assertEqual(call.body, b"".join(map(event, (1, 2, 3, 4))))
+            self.assertEqual(call.body, b"".join(map(make_event, (1, 2, 3, 4))))
             self.assertTrue(call.is_whole)
             second = dict(dialer.sent[1][1].headers)
             self.assertEqual(second["last-event-id"], "2")
@@ -64,14 +66,16 @@
 
             def answer(target_id: str, request: Any) -> Any:
                 version = {"q1": "1", "q2": "2"}[target_id]
-                pieces = [event(1), STREAM_PAUSE_S, broken(target_id)]
-                return FakeResponse(pieces, content_type=EVENTS, weights=version)
+                pieces = [make_event(1), STREAM_PAUSE_S, broken(target_id)]
+                return FakeResponse(
+                    pieces, content_type=EVENT_STREAM_TYPE, weights=version
+                )
 
             dialer.script = answer
             self.assertEqual(older.weights, {"m": 1})
             call = Call("/q/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
-            self.assertEqual(call.body, event(1))
+            self.assertEqual(call.body, make_event(1))
             self.assertFalse(call.is_whole)
             self.assertEqual(len(dialer.sent), 1)
 
@@ -85,15 +89,15 @@
             def answer(target_id: str, request: Any) -> Any:
                 if len(dialer.sent) > 1:
                     return broken(target_id)
-                pieces = [event(1), STREAM_PAUSE_S, broken(target_id)]
-                return FakeResponse(pieces, content_type=EVENTS)
+                pieces = [make_event(1), STREAM_PAUSE_S, broken(target_id)]
+                return FakeResponse(pieces, content_type=EVENT_STREAM_TYPE)
 
             dialer.script = answer
             call = Call("/q/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
             starts = [m for m in call.messages if m["type"] == "http.response.start"]
             self.assertEqual(len(starts), 1)
-            self.assertEqual(call.body, event(1))
+            self.assertEqual(call.body, make_event(1))
             self.assertFalse(call.is_whole)
 
         self.run_with(script)
@@ -103,7 +107,8 @@
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
             dialer.script = lambda target_id, request: FakeResponse(
-                [event(1), STREAM_PAUSE_S, broken(target_id)], content_type=EVENTS
+                [make_event(1), STREAM_PAUSE_S, broken(target_id)],
+                content_type=EVENT_STREAM_TYPE,
             )
             call = Call("/once/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
@@ -119,14 +124,14 @@
             def answer(target_id: str, request: Any) -> Any:
                 if len(dialer.sent) == 1:
                     return FakeResponse(
-                        [b"id: 1\n", broken(target_id)], content_type=EVENTS
+                        [b"id: 1\n", broken(target_id)], content_type=EVENT_STREAM_TYPE
                     )
-                return FakeResponse([event(1)], content_type=EVENTS)
+                return FakeResponse([make_event(1)], content_type=EVENT_STREAM_TYPE)
 
             dialer.script = answer
             call = Call("/q/1", x_model="m")
             await service.application(call.scope, call.receive, call.send)
-            self.assertEqual((call.body, call.is_whole), (event(1), True))
+            self.assertEqual((call.body, call.is_whole), (make_event(1), True))
 
         self.run_with(script)
 
--- a/reedspar/direct/tests/test_choice.py
+++ b/reedspar/direct/tests/test_target_choice.py
@@ -37,7 +37,7 @@
         await service.application(call.scope, call.receive, call.send)
         return call
 
-    def test_leaving_targets_and_zones_that_are_out_get_nothing(self) -> None:
+    def test_leaving_targets_and_zones_taken_out_get_no_requests(self) -> None:
         # Guards against sending new work to a target that is shutting down, or into a
         # zone that operators took out.
         async def script(
@@ -110,14 +110,14 @@
 
         self.run_with(script)
 
-    def test_full_engines_are_not_sent_more(self) -> None:
+    def test_request_is_refused_while_all_engines_are_full(self) -> None:
         # Guards against queueing a request behind long prompts at full engines: the
         # caller must be refused at once, with a retry delay.
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
             for target_id in ("q1", "q2"):
-                service.chooser.note_report(target_id, LoadReport(16, 20, 16))
+                service.chooser.record_report(target_id, LoadReport(16, 20, 16))
             call = await self.send(service, Call("/q/1", x_model="m", x_tokens="900"))
             self.assertEqual(call.outcome, "not-run")
             self.assertEqual(call.status, 503)
@@ -162,8 +162,8 @@
         async def script(
             service: DirectService, dialer: FakeDialer, view: FleetView
         ) -> None:
-            service.chooser.note_report("q1", LoadReport(10, 5, 16))
-            service.chooser.note_report("q2", LoadReport(2, 0, 16))
+            service.chooser.record_report("q1", LoadReport(10, 5, 16))
+            service.chooser.record_report("q2", LoadReport(2, 0, 16))
             for _ in range(5):
                 await self.send(service, Call("/q/1", x_model="m", x_tokens="900"))
             self.assertEqual({name for name, _ in dialer.sent}, {"q2"})
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_version_deadline.py
@@ -7,7 +7,7 @@
 import anyio
 
 from reedspar.direct import DirectService, LoadReport
-from reedspar.direct.tests.cases import EVENTS, Call, event
+from reedspar.direct.tests.cases import EVENT_STREAM_TYPE, Call, make_event
 from reedspar.direct.tests.fakes import (
     FakeDialer,
     FakeResponse,
@@ -26,7 +26,7 @@
 Script = Callable[[DirectService, FakeDialer, float], Awaitable[None]]
 
 
-class ReplacedWeightsTest(unittest.TestCase):
+class VersionDeadlineTest(unittest.TestCase):
     """One idle target has the older version and a busy one the newer version."""
 
     targets = [
@@ -46,7 +46,7 @@
                 made = make_direct_service(timers, tasks, self.targets)
                 service, dialer, self.view = made
                 service.versions.set_bound(BOUND_S)
-                service.versions.note_store_listed()
+                service.versions.record_store_listing()
                 await anyio.sleep(1.0)
                 self.view.apply(WeightsChange("m", 2))
                 await script(service, dialer, anyio.current_time())
@@ -59,8 +59,8 @@
     ) -> Call:
         """Send a request at `at_s`, when `newer` is busy and `older` idle."""
         await anyio.sleep_until(at_s)
-        service.chooser.note_report("older", IDLE)
-        service.chooser.note_report("newer", BUSY)
+        service.chooser.record_report("older", IDLE)
+        service.chooser.record_report("newer", BUSY)
         call = Call(path, x_model="m", **headers)
         await service.application(call.scope, call.receive, call.send)
         return call
@@ -96,7 +96,7 @@
             self.assertIn("retry-after", call.headers)
             self.assertEqual(dialer.sent, [])
             load = service.loads.for_target("older")
-            self.assertEqual((load.failures, len(load.own)), (0, 0))
+            self.assertEqual((load.failures, len(load.own_attempts)), (0, 0))
 
         self.run_with(script)
 
@@ -187,12 +187,12 @@
             def answer(target_id: str, request: object) -> object:
                 if len(dialer.sent) > 1:
                     return 1.2
-                pieces = [event(1), SHORT_DELAY_S, broken(target_id)]
-                return FakeResponse(pieces, content_type=EVENTS)
+                pieces = [make_event(1), SHORT_DELAY_S, broken(target_id)]
+                return FakeResponse(pieces, content_type=EVENT_STREAM_TYPE)
 
             dialer.script = answer
             call = await self.call_at(service, named_s + 9.0)
-            self.assertEqual(call.body, event(1))
+            self.assertEqual(call.body, make_event(1))
             self.assertFalse(call.is_whole)
             self.assertEqual(len(dialer.sent), 2)
             self.assertEqual(len(dialer.begun), 1)
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -38,7 +38,7 @@
         """Set the time in which a newer version must be in use everywhere."""
         self._bound_s = bound_s
 
-    def note_store_listed(self) -> None:
+    def record_store_listing(self) -> None:
         """Record the initial listing; versions that arrive later are new."""
         self._listed_at_s = self._timers.now_s()
 
--- a/reedspar/targets/controller.py
+++ b/reedspar/targets/controller.py
@@ -24,7 +24,7 @@
 from reedspar.settings import DaemonSettings, TargetSettings
 from reedspar.timers import TimerService
 
-from .crashes import CrashSuspects
+from .crash_suspects import CrashSuspects
 from .dispatcher import AttemptDispatcher
 from .gate import ColdStartGate, GateSettings
 from .queue import AttemptQueue
@@ -96,16 +96,16 @@
         self._crashes = CrashSuspects()
         self._is_reachable = False
         self._is_draining = False
-        self._switching: set[str] = set()
+        self._switching_models: set[str] = set()
         self._is_polling = False
-        self._polled_s = float("-inf")
+        self._poll_started_s = float("-inf")
         self._missed_polls = 0
         runner = AttemptRunner(
             target,
             timers.clock,
             network.send,
             self._accepts_digest,
-            self._gate.note_first_byte,
+            self._gate.record_first_byte,
         )
         self._dispatcher = AttemptDispatcher(
             AttemptTable(incarnation, target_settings.answer_ttl_s),
@@ -133,7 +133,7 @@
             return TargetStatus.LEAVING
         if not self._is_reachable or not self._offers.is_offering():
             return TargetStatus.DOWN
-        if self._switching:
+        if self._switching_models:
             return TargetStatus.DOWN
         return TargetStatus.COLD if self._gate.is_cold else TargetStatus.READY
 
@@ -151,20 +151,20 @@
         """Send a report to all linked entries."""
         self._reports.publish()
 
-    def note_offers_changed(self) -> None:
+    def handle_offers_changed(self) -> None:
         """Report a change of the confirmed weights."""
         self._reports.publish_if_changed()
 
     async def begin_switch(self, model: str) -> None:
         """Refuse new work and wait until nothing uses the model's old weights."""
-        self._switching.add(model)
+        self._switching_models.add(model)
         self._dispatcher.refuse_queued(Reason.DRAINING, "switching weights")
         self._reports.publish_if_changed()
         await self._dispatcher.wait_idle()
 
     def end_switch(self, model: str) -> None:
         """Accept new work again."""
-        self._switching.discard(model)
+        self._switching_models.discard(model)
         self._reports.publish_if_changed()
 
     def begin_drain(self) -> None:
@@ -203,7 +203,7 @@
             latency_s=self._gate.latency_s,
         )
 
-    def check(self, start: AttemptStart) -> Failure | None:
+    def check_admission(self, start: AttemptStart) -> Failure | None:
         """Return why this attempt may not start now, or None if it may."""
         self._timers.check_pause()
         step = Step.AGENT_ADMIT
@@ -211,7 +211,7 @@
             return Failure(Reason.STALE, step, detail="meant for a predecessor")
         if start.pool != self._target_settings.pool:
             return Failure(Reason.NO_TARGET, step, detail=f"not of pool {start.pool}")
-        if self._is_draining or self._switching:
+        if self._is_draining or self._switching_models:
             return Failure(Reason.DRAINING, step)
         failure = self._check_work_allowed()
         if failure is not None:
@@ -227,10 +227,10 @@
             self._start_poll()
         return None
 
-    def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
+    def record_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
         """Process the outcome of an attempt."""
         if outcome.kind is EndKind.COMPLETE:
-            self._gate.note_completed()
+            self._gate.record_completed()
         elif outcome.reason is not Reason.CANCELLED:
             self._handle_broken_attempt(start, outcome.reason)
         self._reports.publish_if_changed()
@@ -238,24 +238,24 @@
     def _handle_broken_attempt(self, start: AttemptStart, reason: Reason) -> None:
         if reason is Reason.TIMEOUT:
             return
-        self._gate.note_broken()
-        self._crashes.note_broken(start.fingerprint, self._timers.now_s())
+        self._gate.record_broken()
+        self._crashes.record_broken(start.fingerprint, self._timers.now_s())
         self._start_poll()
 
     def _poll_if_due(self) -> None:
         now_s = self._timers.now_s()
         if self._is_polling:
-            self._handle_overdue_poll(now_s - self._polled_s)
+            self._handle_overdue_poll(now_s - self._poll_started_s)
             return
         is_busy = self._dispatcher.running_count > 0 or not self._offers.is_offering()
         interval_s = POLL_INTERVAL_S if is_busy else IDLE_POLL_INTERVAL_S
-        if now_s - self._polled_s >= interval_s:
+        if now_s - self._poll_started_s >= interval_s:
             self._start_poll()
 
     def _start_poll(self) -> None:
         if not self._is_polling:
             self._is_polling = True
-            self._polled_s = self._timers.now_s()
+            self._poll_started_s = self._timers.now_s()
             self._spawn(self._poll)
 
     async def _poll(self) -> None:
@@ -289,7 +289,7 @@
         the cold target at once when the path recovers.
         """
         if waited_s >= POLL_OVERDUE_S:
-            self._gate.note_overdue()
+            self._gate.record_overdue_report()
         if waited_s >= POLL_TIMEOUT_S and self._is_reachable:
             self._mark_unreachable()
             self._reports.publish_if_changed()
@@ -302,7 +302,7 @@
     def _invalidate_state(self) -> None:
         """Treat the target's state as unknown until the next successful poll."""
         self._is_reachable = False
-        self._gate.drop()
+        self._gate.drop_to_cold_limit()
 
     def _handle_pause(self, gap_s: float) -> None:
         # The target may have restarted while this process was paused.
@@ -312,9 +312,9 @@
     def _apply_state(self, state: EngineState) -> None:
         now_s = self._timers.now_s()
         previous = self._gate.boot_id
-        if self._gate.note_boot(state.boot_id, now_s) and previous:
+        if self._gate.record_boot(state.boot_id, now_s) and previous:
             self._report_crash(previous)
-        self._gate.note_report(is_cold=state.is_cold, now_s=now_s)
+        self._gate.record_report(is_cold=state.is_cold, now_s=now_s)
         self._is_reachable = True
         self._missed_polls = 0
         self._offers.record_engine_state(state)
--- a/reedspar/targets/crashes.py
+++ b/reedspar/targets/crash_suspects.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._broken: deque[_BrokenRequest] = deque()
 
-    def note_broken(self, fingerprint: str, now_s: float) -> None:
+    def record_broken(self, fingerprint: str, now_s: float) -> None:
         """Record that the target broke off a request."""
         if fingerprint:
             self._broken.append(_BrokenRequest(fingerprint, now_s))
--- a/reedspar/targets/dispatcher.py
+++ b/reedspar/targets/dispatcher.py
@@ -32,17 +32,17 @@
 """Polls of a drain between two repetitions of undelivered ends."""
 ENTRY_RECONNECT_TIMEOUT_S = 3.0
 """Time in which a live entry replaces a broken link to a stopping agent."""
-MIN_RETRY_AFTER_S = 0.25
+RETRY_AFTER_MIN_S = 0.25
 
 
 class DispatchPolicy(Protocol):
     """Decisions that the target's controller makes for the dispatcher."""
 
-    def check(self, start: AttemptStart) -> Failure | None:
+    def check_admission(self, start: AttemptStart) -> Failure | None:
         """Return why this attempt may not start now, or None if it may."""
         ...
 
-    def note_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
+    def record_outcome(self, start: AttemptStart, outcome: AttemptOutcome) -> None:
         """Process the outcome of an attempt."""
         ...
 
@@ -107,7 +107,7 @@
             if record is None:
                 return
             assert record.start is not None
-            failure = self._policy.check(record.start)
+            failure = self._policy.check_admission(record.start)
             if failure is not None:
                 self._refuse(record, failure)
                 continue
@@ -157,7 +157,7 @@
             self._send(sender.name, known.refusal or known.describe())
             return
         record = self._table.open(sender.name, start, self._timers.now_s())
-        failure = self._policy.check(start)
+        failure = self._policy.check_admission(start)
         if failure is not None:
             self._refuse(record, failure)
         elif self._gate.has_room and not len(self._queue):
@@ -180,11 +180,11 @@
     def _estimate_wait_s(self) -> float:
         attempts_ahead = len(self._queue) + self._gate.in_flight
         rounds = 1 + attempts_ahead / max(self._gate.limit, 1)
-        return max(rounds * self._gate.latency_s, MIN_RETRY_AFTER_S)
+        return max(rounds * self._gate.latency_s, RETRY_AFTER_MIN_S)
 
     def _launch(self, record: AttemptRecord) -> None:
-        self._table.note_running(record)
-        self._gate.note_started()
+        self._table.mark_running(record)
+        self._gate.record_started()
         self._handles[record.key] = RunHandle()
         self._spawn(self._run, record)
 
@@ -193,8 +193,8 @@
         assert start is not None
         outcome = await self._runner.run(record, self._handles[record.key])
         del self._handles[record.key]
-        self._gate.note_ended()
-        self._policy.note_outcome(start, outcome)
+        self._gate.record_ended()
+        self._policy.record_outcome(start, outcome)
         end = self._table.finish(record, outcome.kind, outcome.reason, outcome.detail)
         self._send(record.entry, end)
         self.dispatch_queued()
@@ -255,7 +255,7 @@
             return
         handle = self._handles.get(record.key)
         if handle is not None:
-            handle.note_acknowledged()
+            handle.record_acknowledgement()
 
     def _expire(self) -> None:
         now_s = self._timers.now_s()
--- a/reedspar/targets/gate.py
+++ b/reedspar/targets/gate.py
@@ -101,7 +101,7 @@
         bound = self._limit if self._is_confirmed else min(cold, self._limit)
         return self._in_flight < bound
 
-    def note_boot(self, boot_id: str, now_s: float) -> bool:
+    def record_boot(self, boot_id: str, now_s: float) -> bool:
         """Record the boot id just read; return whether it has changed."""
         self._updated_s = now_s
         self._is_confirmed = True
@@ -114,7 +114,7 @@
         self._is_confirmed = True
         return True
 
-    def note_report(self, *, is_cold: bool, now_s: float) -> None:
+    def record_report(self, *, is_cold: bool, now_s: float) -> None:
         """Process the target's own report, which lags.
 
         Within the lag after a boot, or after the latency has shown that the target
@@ -123,31 +123,31 @@
         """
         self._updated_s = now_s
         if is_cold and not self._is_reported_cold:
-            self.drop()
+            self.drop_to_cold_limit()
         may_be_outdated = now_s - self._cold_since_s < self._settings.report_lag_s
         self._is_reported_cold = is_cold or may_be_outdated
 
-    def note_overdue(self) -> None:
+    def record_overdue_report(self) -> None:
         """Require a new confirmation: the target's report is overdue."""
         self._is_confirmed = False
 
-    def drop(self) -> None:
+    def drop_to_cold_limit(self) -> None:
         """Drop to the cold limit."""
         self._is_confirmed = False
         self._limit = self._settings.cold_concurrency
         self._completions_since_cold = 0
 
-    def note_started(self) -> None:
+    def record_started(self) -> None:
         """Count a request sent to the target."""
         self._in_flight += 1
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Remove a request that is no longer at the target from the count."""
         self._in_flight -= 1
         if not self._in_flight:
             self._is_confirmed = False
 
-    def note_first_byte(self, latency_s: float, *, is_streamed: bool = True) -> None:
+    def record_first_byte(self, latency_s: float, *, is_streamed: bool = True) -> None:
         """Record the time to the first byte of an answer.
 
         Only streamed answers are checked for lateness.  The first byte of an answer
@@ -167,15 +167,15 @@
         else:
             self._consecutive_late = 0
 
-    def note_completed(self) -> None:
+    def record_completed(self) -> None:
         """Record a completed answer and raise the limit if the target is warm."""
         self._completions_since_cold += 1
         if not self.is_cold:
             self._limit = min(self._limit + 1, self._settings.concurrency_limit)
 
-    def note_broken(self) -> None:
+    def record_broken(self) -> None:
         """Drop to the cold limit: a broken answer may come from a restart."""
-        self.drop()
+        self.drop_to_cold_limit()
 
     def _handle_late_first_byte(self) -> None:
         """Reduce the limit: the target may have turned cold without reporting it.
@@ -196,7 +196,7 @@
         self._cold_since_s = self._updated_s
         self._is_reported_cold = True
         self._consecutive_late = 0
-        self.drop()
+        self.drop_to_cold_limit()
 
 
 def _smooth(known: float, value: float, weight: float) -> float:
--- a/reedspar/targets/reports.py
+++ b/reedspar/targets/reports.py
@@ -18,10 +18,10 @@
         self,
         network: Network,
         timers: TimerService,
-        describe: Callable[[int], TargetReport],
+        build_report: Callable[[int], TargetReport],
     ) -> None:
         self._network = network
-        self._describe = describe
+        self._build_report = build_report
         self._sequence = 0
         self._last_significant_state: tuple[object, ...] = ()
         timers.call_every(REPORT_INTERVAL_S, self.publish)
@@ -35,7 +35,7 @@
 
     def publish_if_changed(self) -> None:
         """Send a report if a field that decides about new work has changed."""
-        report = self._describe(self._sequence)
+        report = self._build_report(self._sequence)
         if self._significant_state(report) != self._last_significant_state:
             self.publish()
 
@@ -47,7 +47,7 @@
 
     def _next_report(self) -> TargetReport:
         self._sequence += 1
-        report = self._describe(self._sequence)
+        report = self._build_report(self._sequence)
         self._last_significant_state = self._significant_state(report)
         return report
 
--- a/reedspar/targets/runner.py
+++ b/reedspar/targets/runner.py
@@ -70,7 +70,7 @@
         self.is_cancelled = True
         self.scope.cancel()
 
-    def note_acknowledged(self) -> None:
+    def record_acknowledgement(self) -> None:
         """Wake a run that waits for an acknowledgement."""
         self.acknowledged.set()
 
@@ -84,13 +84,13 @@
         clock: Clock,
         send: Callable[[str, object], object],
         accepts_digest: Callable[[str], bool],
-        note_first_byte: FirstByteListener,
+        record_first_byte: FirstByteListener,
     ) -> None:
         self._target = target
         self._clock = clock
         self._send = send
         self._accepts_digest = accepts_digest
-        self._note_first_byte = note_first_byte
+        self._record_first_byte = record_first_byte
 
     async def run(self, record: AttemptRecord, handle: RunHandle) -> AttemptOutcome:
         """Run the attempt and return its outcome."""
@@ -120,7 +120,7 @@
             if isinstance(response, Failure):
                 return _make_failed_outcome(response)
             latency_s = self._clock.now_s() - started_s
-            self._note_first_byte(latency_s, is_streamed=_is_streamed(response))
+            self._record_first_byte(latency_s, is_streamed=_is_streamed(response))
             digest = response.weights_digest
             if digest and not self._accepts_digest(digest):
                 # The engine answered with unconfirmed weights: it restarted, or
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -75,10 +75,10 @@
 
     def acknowledge(self, offset: int) -> None:
         """Discard the body before `offset`."""
-        held = min(offset, self.length_bytes) - self.data_offset
-        if held > 0:
-            del self.data[:held]
-            self.data_offset += held
+        discarded_bytes = min(offset, self.length_bytes) - self.data_offset
+        if discarded_bytes > 0:
+            del self.data[:discarded_bytes]
+            self.data_offset += discarded_bytes
 
     def describe(self) -> AttemptStatus:
         """Return the status message."""
@@ -128,7 +128,7 @@
         self._records[key] = record
         return record
 
-    def note_running(self, record: AttemptRecord) -> None:
+    def mark_running(self, record: AttemptRecord) -> None:
         """Mark an attempt as sent to the target; this happens at most once."""
         if record.phase is not AttemptPhase.QUEUED:
             raise InvariantError(f"attempt {record.key} runs from {record.phase}")
@@ -204,8 +204,8 @@
             record = self._records[key]
             if record.expires_s == float("inf"):
                 record.expires_s = now_s + self._answer_ttl_s
-            too_many = len(self._ended) > ENDED_ATTEMPTS_MAX
-            if record.expires_s > now_s and not too_many:
+            is_over_limit = len(self._ended) > ENDED_ATTEMPTS_MAX
+            if record.expires_s > now_s and not is_over_limit:
                 continue
             del self._records[key]
             del self._ended[key]
