--- a/reedspar/direct/attempt_checks.py
+++ b/reedspar/direct/attempt_checks.py
@@ -33,7 +33,7 @@
     def check_hand_over(
         self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
-        """Return why a request must not be sent now, or None and record the hand-over.
+        """Return why a request must not be sent now; otherwise record its hand-over.
 
         `check_interval_s` is the time between two calls of `check_waiting`.
         """
@@ -64,7 +64,9 @@
         """Return why a request that has not begun must be withdrawn, or None.
 
         The next check is `check_interval_s` later.  The withdrawal is assumed to reach
-        the target within the time of a round trip, which is that of connecting.
+        the target within the time of a round trip, which is that of connecting.  So
+        this check withdraws the request if a withdrawal by the next one would arrive
+        too late.
         """
         attempt = self._loads.for_target(target_id).own_attempts.get(request_id)
         if attempt is None or attempt.handed_over_s is None:
@@ -72,12 +74,14 @@
         version = self._version_of(target_id, attempt)
         if version is None:
             return None
-        noticed_at_s = (
+        withdrawal_arrives_s = (
             self._timers.now_s()
             + check_interval_s
             + _link_delay_s(attempt, attempt.handed_over_s)
         )
-        if noticed_at_s < self._versions.service_deadline_s(attempt.model, version):
+        if withdrawal_arrives_s < self._versions.service_deadline_s(
+            attempt.model, version
+        ):
             return None
         detail = f"withdrawn before it began on version {version}"
         return Failure(Reason.CANCELLED, Step.TARGET_CALL, target_id, detail)
--- a/reedspar/direct/cold_limits.py
+++ b/reedspar/direct/cold_limits.py
@@ -25,7 +25,7 @@
 COLD_BURST = 1.0
 """Requests that an entry may send to a cold target at once after a pause."""
 SENDERS_MAX = 9
-"""Entries that may send to one cold target.
+"""Maximum number of entries that may send to one cold target.
 
 Each may send one request at once after a pause, so nine senders exceed the rate by at
 most nine within a second.  The platform tolerates an excess of half the rate and five,
@@ -96,10 +96,10 @@
 
     def _is_sender(self, target_id: str, now_s: float) -> bool:
         """Return whether this entry is one of the senders for a target."""
-        expected = ENTRIES_PER_TARGET * self._target_count
-        if self._is_starting(now_s) and expected > len(self._entry_names):
+        expected_count = ENTRIES_PER_TARGET * self._target_count
+        if self._is_starting(now_s) and expected_count > len(self._entry_names):
             # Approximates the ranking that holds once all entries are known.
-            return (1 - self._score_fraction(target_id)) * expected < SENDERS_MAX
+            return (1 - self._score_fraction(target_id)) * expected_count < SENDERS_MAX
         if len(self._entry_names) <= SENDERS_MAX:
             return True
         return self._is_top_ranked(target_id)
--- a/reedspar/direct/crashes.py
+++ b/reedspar/direct/crashes.py
@@ -40,24 +40,24 @@
 
     def on_target_change(self, change: TargetChange, known: KnownTarget | None) -> None:
         """Process a change of a target; `known` is its new state, None if removed."""
-        before = self._known.pop(change.target_id, None)
+        previous = self._known.pop(change.target_id, None)
         if known is not None:
             self._known[change.target_id] = known
-        if before is None or before.record.state is TargetState.LEAVING:
+        if previous is None or previous.record.state is TargetState.LEAVING:
             return
-        if known is None or known.record.boot_id != before.record.boot_id:
-            self._check_crash(before)
+        if known is None or known.record.boot_id != previous.record.boot_id:
+            self._check_crash(previous)
 
-    def _check_crash(self, before: KnownTarget) -> None:
+    def _check_crash(self, previous: KnownTarget) -> None:
         horizon_s = self._timers.now_s() - SUSPECT_WINDOW_S
         fingerprints = {
             fingerprint
             for at_s, target_id, fingerprint in self._broken
-            if at_s >= horizon_s and target_id == before.record.id
+            if at_s >= horizon_s and target_id == previous.record.id
         }
         if not fingerprints:
             return
-        boot_id = before.record.boot_id
+        boot_id = previous.record.boot_id
         _logger.info(
             "target crashed", extra={"target": boot_id, "requests": len(fingerprints)}
         )
--- a/reedspar/direct/entry_choice.py
+++ b/reedspar/direct/entry_choice.py
@@ -21,7 +21,7 @@
 ) -> list[DaemonRecord]:
     """Return the entries for a caller: those of its zone, its region, or all.
 
-    Traffic between zones is charged and traffic between regions shares links of little
+    Traffic between zones is charged and traffic between regions shares links of low
     bandwidth, so a caller gets the entries of its zone if there are enough.  If its
     requests are restricted to some regions, it gets only entries there or in its own
     region.
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -57,7 +57,7 @@
         return await proceed(request)
 
     def _refuse_or_defer(self, reason: Reason, detail: str) -> Answer:
-        """Refuse for good, or only for now while the store's updates may be late."""
+        """Refuse permanently, or temporarily while the store's updates may be late."""
         if not self._is_store_slow():
             return _refuse(reason, detail)
         return _refuse(
@@ -109,7 +109,7 @@
     return first & second
 
 
-def _refuse(reason: Reason, detail: str, after_s: float | None = None) -> Answer:
+def _refuse(reason: Reason, detail: str, retry_after_s: float | None = None) -> Answer:
     return make_not_run(
-        Failure(reason, Step.IDENTIFY, detail=detail, retry_after_s=after_s)
+        Failure(reason, Step.IDENTIFY, detail=detail, retry_after_s=retry_after_s)
     )
--- a/reedspar/direct/loads.py
+++ b/reedspar/direct/loads.py
@@ -24,11 +24,11 @@
 BACKOFF_MAX_S = 2.0
 """Bounds of the exponential backoff from an unreachable target."""
 FULL_BACKOFF_S = 0.1
-"""Backoff from a target that reported that it is full: about ten steps of a batch, in
+"""Backoff from a target that reported itself full: about ten steps of a batch, within
 which a slot becomes free."""
 
 NO_REPORT_WEIGHT = 0.1
-"""Weight of the assumption that targets are idle, in units of a fresh report."""
+"""Weight of the assumption that targets are idle, relative to a fresh report."""
 
 NOT_ACCEPTING_TTL_S = 1.0
 """Time for which an agent's report that its target takes no requests is valid.
--- a/reedspar/direct/refusals.py
+++ b/reedspar/direct/refusals.py
@@ -14,16 +14,16 @@
 """Retry delay of a request that can no longer begin in time.
 
 The request is late in any case and callers retry only once, so the retry should
-succeed.  Targets switch weights in 1.5 s, and a full one works off its queue in 1 s."""
+succeed.  Targets switch weights in 1.5 s, and a full one empties its queue in 1 s."""
 NO_TARGET_RETRY_FRACTION = 0.27
 """Retry delay, as a fraction of the caller's time left, if no target can serve.
 
-This takes seconds to change, as targets have to load weights or to start.  Callers
-retry once and wait at most a third of their time."""
+Targets need seconds to load weights or to start.  Callers retry once and wait at most a
+third of their time."""
 NO_TARGET_RETRY_JITTER = 0.2
-"""Maximum fraction by which that delay is extended; it stays below a third."""
+"""Maximum fraction by which that delay is extended, so that it stays below a third."""
 SHORT_EXCESS_MAX_S = 0.15
-"""Excess over the latency goal below which it is used as the retry delay."""
+"""Excess over the latency goal below which the excess itself is the retry delay."""
 RETRY_JITTER = 0.5
 """Maximum fraction by which a retry delay is extended, so that callers refused at the
 same time don't retry at the same time."""
@@ -43,18 +43,20 @@
         self, request: Request, tried: Collection[str]
     ) -> Failure:
         """Return the refusal of a request that no known target can run."""
-        known = sum(1 for _ in self._view.targets(request.pool))
-        detail = f"none of {known} known targets of {request.pool} may be given work"
+        known_count = sum(1 for _ in self._view.targets(request.pool))
+        detail = (
+            f"none of {known_count} known targets of {request.pool} may be given work"
+        )
         if tried:
             detail += f", {len(tried)} were tried"
         left_s = max(0.0, request.deadline_s - self._timers.now_s())
-        after_s = (
+        retry_after_s = (
             NO_TARGET_RETRY_FRACTION
             * left_s
             * (1 + NO_TARGET_RETRY_JITTER * self._rng.random())
         )
         return Failure(
-            Reason.NO_TARGET, Step.ROUTE, detail=detail, retry_after_s=after_s
+            Reason.NO_TARGET, Step.ROUTE, detail=detail, retry_after_s=retry_after_s
         )
 
     def refuse_late(self, detail: str, excess_s: float) -> Failure:
@@ -63,9 +65,9 @@
             detail, excess_s if excess_s < SHORT_EXCESS_MAX_S else RETRY_AFTER_S
         )
 
-    def refuse(self, detail: str, after_s: float) -> Failure:
-        """Return a refusal with a retry delay of at least `after_s`."""
-        jittered_s = after_s * (1 + RETRY_JITTER * self._rng.random())
+    def refuse(self, detail: str, retry_after_s: float) -> Failure:
+        """Return a refusal with a retry delay of at least `retry_after_s`."""
+        jittered_s = retry_after_s * (1 + RETRY_JITTER * self._rng.random())
         return Failure(
             Reason.OVERLOADED, Step.ROUTE, detail=detail, retry_after_s=jittered_s
         )
--- a/reedspar/direct/target_choice.py
+++ b/reedspar/direct/target_choice.py
@@ -51,12 +51,13 @@
 The rest is a reserve for requests that other entries send meanwhile.  An answer after
 the goal is worth little to its caller and delays the requests behind it."""
 LONG_PROMPT_QUEUE_MAX_S = 0.1
-"""Queueing time, of about two typical prompts, allowed before a request whose prompt
-alone exceeds the latency goal."""
+"""Maximum queueing time, that of about two typical prompts, before a request whose
+prompt alone exceeds the latency goal."""
 LOCAL_REASONS = frozenset({Reason.SUPERSEDED, Reason.CANCELLED})
 """Failures caused by this entry, which say nothing about the target."""
 GAP_FRACTION = 0.95
-"""Fraction of the acceptable gap between events that queued prompts may cause."""
+"""Fraction of the acceptable gap between two events for which queued prompts may pause
+a stream."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -227,9 +228,9 @@
     def _mark_replaced(self, target_id: str) -> None:
         """Exclude a target whose address now belongs to another one.
 
-        The store may list the replaced target for seconds.  After a power loss every
-        target is replaced; without this exclusion each request was sent to two
-        replaced targets and refused: 200 in three seconds, a twelfth of a day's
+        The store may list the replaced target for seconds.  After a power loss, which
+        replaces every target, each request would otherwise be sent to two replaced
+        targets and refused: 200 requests in three seconds, a twelfth of a day's
         refusals.
         """
         known = self._view.target(target_id)
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -2,7 +2,8 @@
 
 The loads are those of busy days: within and at the capacity of ten engines, a quarter
 above the capacity of five engines while others still load weights, and a large site.
-The asserted bounds lie between the results of the current rules and of earlier ones.
+The asserted bounds lie between the results of the current rules and of the faulty ones
+that the tests describe.
 """
 
 import unittest
--- a/reedspar/direct/tests/test_route_identification.py
+++ b/reedspar/direct/tests/test_route_identification.py
@@ -23,7 +23,7 @@
             self.view, lambda: self.is_store_slow, random.Random(1)
         )
 
-    def ask(self, host: str) -> Answer:
+    def send(self, host: str) -> Answer:
         responder: Any = None
         request = Request("", "", "GET", "", "/", (), b"", responder, 0.0)
         request.host = host
@@ -36,16 +36,16 @@
 
         return anyio.run(run)
 
-    def test_unknown_route_is_refused_for_good(self) -> None:
-        failure = self.ask("nobody.example").failure
+    def test_unknown_route_is_refused_permanently(self) -> None:
+        failure = self.send("nobody.example").failure
         assert failure is not None
         self.assertIs(failure.reason, Reason.NOT_FOUND)
 
-    def test_unknown_route_is_refused_for_now_while_the_store_is_slow(self) -> None:
+    def test_unknown_route_is_refused_temporarily_while_the_store_is_slow(self) -> None:
         # Guards against a permanent refusal of a new route that a slow store has not
         # delivered to this entry yet.
         self.is_store_slow = True
-        failure = self.ask("nobody.example").failure
+        failure = self.send("nobody.example").failure
         assert failure is not None
         self.assertIs(failure.reason, Reason.STALE)
         self.assertIsNotNone(failure.retry_after_s)
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -1,4 +1,4 @@
-"""Rule for which versions of a model's weights may still begin a request."""
+"""Rule that decides on which versions of a model's weights requests may begin."""
 
 from reedspar.fleet import FleetView, NamedVersion
 from reedspar.timers import TimerService
--- a/reedspar/targets/dispatcher.py
+++ b/reedspar/targets/dispatcher.py
@@ -202,14 +202,14 @@
     def _on_cancel(self, sender: Sender, cancel: AttemptCancel) -> None:
         record = self._table.get(cancel.request_id, cancel.attempt)
         if record is None:
-            answer: Any = self._table.revoke_unknown(
+            reply: Any = self._table.revoke_unknown(
                 cancel.request_id,
                 cancel.attempt,
                 sender.name,
                 cancel.agent_incarnation,
                 self._timers.now_s(),
             )
-            self._send(sender.name, answer)
+            self._send(sender.name, reply)
             return
         if record.phase is AttemptPhase.QUEUED and self._queue.remove(record):
             self._refuse(
--- a/reedspar/targets/gate.py
+++ b/reedspar/targets/gate.py
@@ -17,6 +17,7 @@
 """Multiple of the average first byte time above which a first byte is late."""
 LATE_THRESHOLD_MIN_S = 0.05
 WARM_COMPLETIONS_PER_SLOT = 2
+"""Requests, per slot of the cold limit, to be completed before a target is warm."""
 LATE_FIRST_BYTE_SMOOTHING = 0.004
 """Weight of a late first byte in the average.
 
@@ -142,7 +143,7 @@
         self._in_flight += 1
 
     def record_ended(self) -> None:
-        """Remove a request that is no longer at the target from the count."""
+        """Stop counting a request that is no longer at the target."""
         self._in_flight -= 1
         if not self._in_flight:
             self._is_confirmed = False
@@ -192,7 +193,7 @@
             self._turn_cold()
 
     def _turn_cold(self) -> None:
-        """Apply the cold limit until a report must be more recent than this."""
+        """Apply the cold limit until a report is certain to be newer."""
         self._cold_since_s = self._updated_s
         self._is_reported_cold = True
         self._consecutive_late = 0
--- a/reedspar/targets/reports.py
+++ b/reedspar/targets/reports.py
@@ -34,7 +34,7 @@
             self._network.send(peer, report)
 
     def publish_if_changed(self) -> None:
-        """Send a report if a field that decides about new work has changed."""
+        """Send a report if a field that affects the choice of targets has changed."""
         report = self._build_report(self._sequence)
         if self._significant_state(report) != self._last_significant_state:
             self.publish()
--- a/reedspar/targets/runner.py
+++ b/reedspar/targets/runner.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """Outcome of a run."""
+    """How the run of an attempt ended."""
 
     kind: EndKind
     reason: Reason = Reason.UNAVAILABLE
--- a/reedspar/targets/table.py
+++ b/reedspar/targets/table.py
@@ -1,4 +1,4 @@
-"""Table of an agent's attempts, by which none runs twice.
+"""Table of an agent's attempts, which ensures that none runs twice.
 
 Attempts outlive connections: the answer is kept until the entry has it, and a start,
 cancel or resume message may arrive late, twice or out of order.  The table covers a
@@ -24,7 +24,7 @@
 __all__ = ["AttemptKey", "AttemptRecord", "AttemptTable"]
 
 ENDED_ATTEMPTS_MAX = 100_000
-"""Ended attempts above which the oldest are removed before their time to live."""
+"""Ended attempts above which the oldest are removed before their time to live ends."""
 
 
 @dataclass(frozen=True, slots=True)
