--- a/reedspar/direct/limits.py
+++ b/reedspar/direct/attempt_checks.py
@@ -9,13 +9,13 @@
 from .refusals import RETRY_AFTER_S
 from .versions import VersionRule
 
-__all__ = ["AttemptLimits"]
+__all__ = ["AttemptChecks"]
 
 LINK_DELAY_MAX_S = 0.4
 """Upper bound of the assumed delay to a target."""
 
 
-class AttemptLimits:
+class AttemptChecks:
     """Repeats the checks by which a target was chosen, with current information."""
 
     def __init__(
@@ -33,7 +33,7 @@
     def check_hand_over(
         self, target_id: str, request_id: str, check_interval_s: float
     ) -> Failure | None:
-        """Return why a request must not be sent now, or None and record the hand-over.
+        """Return why a request must not be sent now; otherwise record its hand-over.
 
         `check_interval_s` is the time between two calls of `check_waiting`.
         """
@@ -45,7 +45,7 @@
         )
         if unavailable:
             return _refuse(target_id, f"while connecting was found: {unavailable}")
-        attempt = self._loads.for_target(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own_attempts.get(request_id)
         if attempt is None:
             return None
         version = self._version_of(target_id, attempt)
@@ -64,20 +64,24 @@
         """Return why a request that has not begun must be withdrawn, or None.
 
         The next check is `check_interval_s` later.  The withdrawal is assumed to reach
-        the target within the time of a round trip, which is that of connecting.
+        the target within the time of a round trip, which is that of connecting.  So
+        this check withdraws the request if a withdrawal by the next one would arrive
+        too late.
         """
-        attempt = self._loads.for_target(target_id).own.get(request_id)
+        attempt = self._loads.for_target(target_id).own_attempts.get(request_id)
         if attempt is None or attempt.handed_over_s is None:
             return None
         version = self._version_of(target_id, attempt)
         if version is None:
             return None
-        noticed_at_s = (
+        withdrawal_arrives_s = (
             self._timers.now_s()
             + check_interval_s
             + _link_delay_s(attempt, attempt.handed_over_s)
         )
-        if noticed_at_s < self._versions.service_deadline_s(attempt.model, version):
+        if withdrawal_arrives_s < self._versions.service_deadline_s(
+            attempt.model, version
+        ):
             return None
         detail = f"withdrawn before it began on version {version}"
         return Failure(Reason.CANCELLED, Step.TARGET_CALL, target_id, detail)
--- a/reedspar/direct/directory.py
+++ b/reedspar/direct/entry_choice.py
@@ -21,7 +21,7 @@
 ) -> list[DaemonRecord]:
     """Return the entries for a caller: those of its zone, its region, or all.
 
-    Traffic between zones is charged and traffic between regions shares links of little
+    Traffic between zones is charged and traffic between regions shares links of low
     bandwidth, so a caller gets the entries of its zone if there are enough.  If its
     requests are restricted to some regions, it gets only entries there or in its own
     region.
@@ -33,9 +33,9 @@
         or entry.region in allowed_regions
         or entry.region == region
     ]
-    near = [entry for entry in allowed if entry.zone == zone]
-    if len(near) >= NEARBY_ENTRIES_MIN:
-        return near
+    same_zone = [entry for entry in allowed if entry.zone == zone]
+    if len(same_zone) >= NEARBY_ENTRIES_MIN:
+        return same_zone
     same_region = [entry for entry in allowed if entry.region == region]
     if len(same_region) >= NEARBY_ENTRIES_MIN:
         return same_region
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -1,4 +1,4 @@
-"""Rule for which versions of a model's weights may still begin a request."""
+"""Rule that decides on which versions of a model's weights requests may begin."""
 
 from reedspar.fleet import FleetView, NamedVersion
 from reedspar.timers import TimerService
@@ -38,7 +38,7 @@
         """Set the time in which a newer version must be in use everywhere."""
         self._bound_s = bound_s
 
-    def note_store_listed(self) -> None:
+    def record_store_listing(self) -> None:
         """Record the initial listing; versions that arrive later are new."""
         self._listed_at_s = self._timers.now_s()
 
