--- a/bench/claims.py
+++ b/bench/claims.py
@@ -25,9 +25,9 @@
 from reedspar.requests import Answer, EntryAddress, Outcome, Request
 from reedspar.requests.claim_client import ClaimClient
 from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
-from reedspar.requests.deduplicate import DeduplicationFilter
+from reedspar.requests.deduplication import DeduplicationFilter
 from reedspar.requests.tests.fakes import FakeEntries, FakeKeyValue, FakeNetwork
-from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
+from reedspar.requests.tests.virtual_time import create_loop_timers, run_virtual
 
 ENTRY_NAMES = tuple(f"entry-{number}" for number in range(1, 10))
 START_UNIX_TIME_S = 1_800_000_000.0
--- a/bench/many_deciders.py
+++ b/bench/many_deciders.py
@@ -28,7 +28,7 @@
 from reedspar.direct.versions import VersionRule
 from reedspar.errors import Failure
 from reedspar.fleet import FleetView, RoutesChange, TargetChange
-from reedspar.requests.attempting import ChosenTarget
+from reedspar.requests.relay_interfaces import ChosenTarget
 from reedspar.requests.request import Answer, Outcome, Request, Responder
 from reedspar.timers import TimerService, VirtualClock
 
--- a/reedspar/direct/choice.py
+++ b/reedspar/direct/choice.py
@@ -6,7 +6,7 @@
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.fleet import FleetView, KnownTarget
-from reedspar.requests.attempting import ChosenTarget
+from reedspar.requests.relay_interfaces import ChosenTarget
 from reedspar.requests.request import Answer, Outcome, Request
 from reedspar.routes import EngineParameters, ServiceParameters
 from reedspar.timers import TimerService
--- a/reedspar/direct/filters.py
+++ b/reedspar/direct/filters.py
@@ -5,8 +5,8 @@
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.fleet import FleetView
-from reedspar.requests.endings import make_not_run
 from reedspar.requests.filters import fingerprint_request
+from reedspar.requests.outcome_encoding import make_not_run
 from reedspar.requests.request import Answer, Proceed, Request
 from reedspar.routes import (
     RequestKind,
--- a/reedspar/direct/service.py
+++ b/reedspar/direct/service.py
@@ -10,15 +10,15 @@
 from reedspar.fleet import DaemonChange, FleetChange, FleetView, TargetChange
 from reedspar.links import Network, Role
 from reedspar.requests.application import RequestApplication, RequestIdGenerator
-from reedspar.requests.attempting import RelayOptions
 from reedspar.requests.caller_adapter import CallerAdapter
 from reedspar.requests.crash_gossip import create_crash_gossip
 from reedspar.requests.filters import chain_filters
-from reedspar.requests.guards import QuarantineFilter
+from reedspar.requests.protection_filters import QuarantineFilter
 from reedspar.requests.quarantine import Quarantine
 from reedspar.requests.relay import Relay
+from reedspar.requests.relay_interfaces import RelayOptions
 from reedspar.requests.request import Filter
-from reedspar.requests.retries import RetryBudgets
+from reedspar.requests.retry_budgets import RetryBudgets
 from reedspar.routes import CallerLimits
 from reedspar.settings import BoundSettings, SiteSettings
 from reedspar.timers import TimerService
--- a/reedspar/direct/tests/test_hand_over.py
+++ b/reedspar/direct/tests/test_hand_over.py
@@ -12,7 +12,7 @@
     make_engine_target,
 )
 from reedspar.fleet import FleetChange, TargetChange, TargetState, ZoneChange
-from reedspar.requests.tests.virtual import LoopClock, run_virtual
+from reedspar.requests.tests.virtual_time import LoopClock, run_virtual
 from reedspar.timers import TimerService
 
 CONNECT_TIME_S = 0.39
--- a/reedspar/direct/tests/test_replaced_weights.py
+++ b/reedspar/direct/tests/test_replaced_weights.py
@@ -16,7 +16,7 @@
     make_engine_target,
 )
 from reedspar.fleet import FleetView, TargetChange, WeightsChange
-from reedspar.requests.tests.virtual import LoopClock, run_virtual
+from reedspar.requests.tests.virtual_time import LoopClock, run_virtual
 from reedspar.timers import TimerService
 
 BOUND_S = 10.0
--- a/reedspar/fleet/tests/test_document_poll.py
+++ b/reedspar/fleet/tests/test_document_poll.py
@@ -20,7 +20,7 @@
 from reedspar.fleet.reader_selection import READERS_KEY
 from reedspar.fleet.tests.fakes import FakeCodec, FakeStore
 from reedspar.requests.tests.fakes import FakeNetwork
-from reedspar.requests.tests.virtual import LoopClock, run_virtual
+from reedspar.requests.tests.virtual_time import LoopClock, run_virtual
 from reedspar.timers import TimerService
 from reedspar.utils import rank_by_rendezvous
 
--- a/reedspar/fleet/tests/test_gate.py
+++ b/reedspar/fleet/tests/test_gate.py
@@ -5,7 +5,7 @@
 import anyio
 
 from reedspar.fleet.gate import WatchGate
-from reedspar.requests.tests.virtual import run_virtual
+from reedspar.requests.tests.virtual_time import run_virtual
 
 
 class GateTest(unittest.TestCase):
--- a/reedspar/requests/application.py
+++ b/reedspar/requests/application.py
@@ -13,7 +13,7 @@
 from reedspar.timers import TimerService
 
 from .caller_adapter import CallerAdapter
-from .endings import make_not_run
+from .outcome_encoding import make_not_run
 from .request import Answer, Outcome, Proceed, Request
 
 __all__ = ["AsgiResponder", "RequestApplication", "RequestIdGenerator"]
--- a/reedspar/requests/caller_adapter.py
+++ b/reedspar/requests/caller_adapter.py
@@ -13,7 +13,7 @@
 
 from reedspar.attempts import Header
 
-from .endings import REQUEST_ID_HEADER, encode_refusal, make_headers
+from .outcome_encoding import REQUEST_ID_HEADER, encode_refusal, make_headers
 from .request import Answer, Outcome, Request, Responder
 
 __all__ = ["CallerAdapter", "EncodedAnswer", "PoolAdapter", "read_headers"]
--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -15,7 +15,7 @@
 from reedspar.utils import rank_by_rendezvous
 
 from .claim_ledger import ClaimLedger
-from .claim_places import UNDATED, ClaimPlace, partition_of
+from .claim_locations import UNDATED, ClaimPlace, partition_of
 from .claim_table import make_reply
 from .messages import (
     ClaimReply,
--- a/reedspar/requests/claim_leases.py
+++ b/reedspar/requests/claim_leases.py
@@ -8,7 +8,7 @@
 from reedspar.platform import KeyValueStore
 from reedspar.timers import TimerService
 
-from .claim_places import FUTURE_SKEW_MAX_S, UNDATED, UNDATED_TTL_S, partition_of
+from .claim_locations import FUTURE_SKEW_MAX_S, UNDATED, UNDATED_TTL_S, partition_of
 
 __all__ = ["ClaimLeases"]
 
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -19,9 +19,9 @@
 from reedspar.timers import TimerService
 
 from .claim_leases import ClaimLeases
-from .claim_pace import WritePace, WritePaceOptions
-from .claim_places import is_location_expired
+from .claim_locations import is_location_expired
 from .claim_table import ClaimTable, make_reply
+from .claim_write_limiter import WritePace, WritePaceOptions
 from .messages import (
     ClaimRecord,
     ClaimReply,
--- a/reedspar/requests/claim_pace.py
+++ b/reedspar/requests/claim_write_limiter.py
@@ -7,7 +7,7 @@
 
 from reedspar.timers import TimerService
 
-from .claim_places import UNDATED, partition_of
+from .claim_locations import UNDATED, partition_of
 
 __all__ = ["WritePace", "WritePaceOptions"]
 
--- a/reedspar/requests/deduplicate.py
+++ b/reedspar/requests/deduplication.py
@@ -9,9 +9,9 @@
 from reedspar.timers import TimerService
 
 from .claim_client import ClaimClient
-from .claim_places import ClaimPlace, make_expired_failure, place_claim
-from .endings import make_not_run, make_unknown
+from .claim_locations import ClaimPlace, make_expired_failure, place_claim
 from .messages import ClaimReply, ClaimState, ClaimUpdate, ClaimVerdict
+from .outcome_encoding import make_not_run, make_unknown
 from .request import Answer, Outcome, Proceed, Request
 
 __all__ = ["DeduplicationFilter"]
--- a/reedspar/requests/filters.py
+++ b/reedspar/requests/filters.py
@@ -7,7 +7,7 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.timers import TimerService
 
-from .endings import make_not_run
+from .outcome_encoding import make_not_run
 from .request import Answer, Filter, Proceed, Request
 from .views import ConfigurationView
 
--- a/reedspar/requests/guards.py
+++ b/reedspar/requests/protection_filters.py
@@ -7,7 +7,7 @@
 from reedspar.timers import TimerService
 
 from .admission import AdmissionControl, WorkspaceLimits
-from .endings import make_not_run
+from .outcome_encoding import make_not_run
 from .quarantine import Quarantine, Standing
 from .request import Answer, Outcome, Proceed, Request
 from .target_directory import TargetDirectory
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -16,12 +16,12 @@
 
 from .assembly import Verdict
 from .attempt_client import OpenAttempt
-from .attempting import AttemptOpener, ChosenTarget, RelayOptions, TargetChooser
-from .endings import make_not_run
-from .passing import StreamForwarder, is_streamed
+from .outcome_encoding import make_not_run
 from .quarantine import Quarantine, Standing
+from .relay_interfaces import AttemptOpener, ChosenTarget, RelayOptions, TargetChooser
 from .request import Answer, Outcome, Proceed, Request
-from .retries import RetryBudgets
+from .retry_budgets import RetryBudgets
+from .stream_forwarder import StreamForwarder, is_streamed
 
 __all__ = ["Relay"]
 
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -12,7 +12,7 @@
 from reedspar.timers import TimerService
 from reedspar.utils import rank_by_rendezvous
 
-from .attempting import ChosenTarget
+from .relay_interfaces import ChosenTarget
 from .request import Answer, Outcome, Request
 from .target_directory import TargetDirectory, TargetView
 from .views import ConfigurationView
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -20,7 +20,7 @@
 from .claim_client import ClaimClient
 from .claim_ledger import ClaimLedger, LedgerOptions
 from .crash_gossip import create_crash_gossip
-from .deduplicate import DeduplicationFilter
+from .deduplication import DeduplicationFilter
 from .draining import DrainOptions, run_drain
 from .filters import (
     ClassificationFilter,
@@ -28,11 +28,11 @@
     RequestLimitsFilter,
     chain_filters,
 )
-from .guards import AdmissionFilter, QuarantineFilter
+from .protection_filters import AdmissionFilter, QuarantineFilter
 from .quarantine import Quarantine
 from .relay import Relay
 from .request import Filter
-from .retries import RetryBudgets
+from .retry_budgets import RetryBudgets
 from .routing import PoolChooser, Router
 from .target_directory import TargetDirectory, create_target_directory
 from .views import ConfigurationView, EntryDirectory
--- a/reedspar/requests/passing.py
+++ b/reedspar/requests/stream_forwarder.py
@@ -5,8 +5,8 @@
 
 from .assembly import Verdict
 from .attempt_client import OpenAttempt
-from .attempting import AttemptOpener
 from .event_stream import EVENT_STREAM_TYPE, LAST_EVENT_ID_HEADER, EventSplitter
+from .relay_interfaces import AttemptOpener
 from .request import Answer, Outcome, Request
 
 __all__ = ["StreamForwarder", "is_streamed"]
--- a/reedspar/requests/tests/test_decisions.py
+++ b/reedspar/requests/tests/test_admission_and_routing.py
@@ -12,7 +12,7 @@
 from reedspar.errors import Failure
 from reedspar.requests.admission import AdmissionControl, WorkspaceLimits
 from reedspar.requests.quarantine import Quarantine, Standing
-from reedspar.requests.retries import RetryBudget
+from reedspar.requests.retry_budgets import RetryBudget
 from reedspar.requests.routing import Router
 from reedspar.requests.target_directory import create_target_directory
 from reedspar.requests.tests.fakes import DOCUMENT, FakeNetwork, make_report
--- a/reedspar/requests/tests/test_agent_stop.py
+++ b/reedspar/requests/tests/test_agent_stop.py
@@ -10,7 +10,7 @@
 from reedspar.requests.tests.fakes import make_service
 from reedspar.requests.tests.mesh import Mesh, PlainOffers, make_agent_settings
 from reedspar.requests.tests.test_histories import CountingService
-from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
+from reedspar.requests.tests.virtual_time import create_loop_timers, run_virtual
 from reedspar.targets import create_target_controller
 
 
--- a/reedspar/requests/tests/test_claims.py
+++ b/reedspar/requests/tests/test_claims.py
@@ -16,16 +16,16 @@
 from reedspar.requests.claim_client import ClaimClient
 from reedspar.requests.claim_ledger import ClaimLedger, LedgerOptions
 from reedspar.requests.claim_table import ClaimTable
-from reedspar.requests.deduplicate import DeduplicationFilter
-from reedspar.requests.endings import make_not_run, make_unknown
+from reedspar.requests.deduplication import DeduplicationFilter
 from reedspar.requests.messages import (
     ClaimRequest,
     ClaimState,
     ClaimUpdate,
     ClaimVerdict,
 )
+from reedspar.requests.outcome_encoding import make_not_run, make_unknown
 from reedspar.requests.tests.fakes import FakeEntries, FakeKeyValue, FakeNetwork
-from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
+from reedspar.requests.tests.virtual_time import create_loop_timers, run_virtual
 
 TTL_S = 60.0
 EPOCH_S = 1_800_000_000.0
--- a/reedspar/requests/tests/test_draining.py
+++ b/reedspar/requests/tests/test_draining.py
@@ -15,7 +15,7 @@
     make_report,
     make_service,
 )
-from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
+from reedspar.requests.tests.virtual_time import create_loop_timers, run_virtual
 from reedspar.settings import RequestSettings
 
 SETTINGS = RequestSettings(address_ttl_s=5, drain_timeout_s=20, deadline_s=60)
--- a/reedspar/requests/tests/test_histories.py
+++ b/reedspar/requests/tests/test_histories.py
@@ -20,7 +20,7 @@
 from reedspar.requests import RequestService
 from reedspar.requests.tests.fakes import make_service
 from reedspar.requests.tests.mesh import Mesh, PlainOffers, make_agent_settings
-from reedspar.requests.tests.virtual import create_loop_timers, run_virtual
+from reedspar.requests.tests.virtual_time import create_loop_timers, run_virtual
 from reedspar.targets import create_target_controller
 from reedspar.telemetry import (
     create_invariant_reporter,
--- a/reedspar/weights/tests/test_manifest_exchange.py
+++ b/reedspar/weights/tests/test_manifest_exchange.py
@@ -10,7 +10,7 @@
 
 from reedspar.errors import Failure, Reason, Step
 from reedspar.requests.tests.fakes import FakeNetwork
-from reedspar.requests.tests.virtual import run_virtual
+from reedspar.requests.tests.virtual_time import run_virtual
 from reedspar.weights import (
     Manifest,
     WeightPeer,
--- a/reedspar/weights/tests/test_staged.py
+++ b/reedspar/weights/tests/test_staged.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from reedspar.requests.tests.virtual import LoopClock, run_virtual
+from reedspar.requests.tests.virtual_time import LoopClock, run_virtual
 from reedspar.timers import TimerService
 from reedspar.weights.staged import StagedRecovery
 from reedspar.weights.verification import StagedVerifier
