--- a/reedspar/daemon/entry.py
+++ b/reedspar/daemon/entry.py
@@ -39,7 +39,7 @@
         """Return the entry's part of the daemon status."""
         return EntryStatus(
             in_flight=self._service.application.in_flight,
-            target_count=self._service.directory.usable_count(),
+            target_count=self._service.directory.usable_target_count(),
         )
 
     async def drain(self) -> None:
--- a/reedspar/requests/address_list.py
+++ b/reedspar/requests/address_list.py
@@ -4,13 +4,13 @@
 from starlette.responses import JSONResponse
 from starlette.routing import Route
 
-from .addresses import order_addresses
+from .addresses import rank_addresses
 from .views import ConfigurationView, EntryDirectory
 
-__all__ = ["AddressList"]
+__all__ = ["AddressListEndpoint"]
 
 
-class AddressList:
+class AddressListEndpoint:
     """Endpoint that returns the addresses of the entries that a caller may use."""
 
     def __init__(
@@ -26,12 +26,12 @@
         self._configuration = configuration
         self._entries = entries
         self._ttl_s = ttl_s
-        self._is_named = True
+        self._is_self_listed = True
         self.route = Route("/v1/addresses", self._list_addresses)
 
     def exclude_self(self) -> None:
         """Omit this entry from the addresses that it lists from now on."""
-        self._is_named = False
+        self._is_self_listed = False
 
     async def _list_addresses(self, http_request: HttpRequest) -> JSONResponse:
         client = http_request.client
@@ -40,9 +40,9 @@
         entries = [
             entry
             for entry in self._entries.entries()
-            if self._is_named or entry.name != self._name
+            if self._is_self_listed or entry.name != self._name
         ]
-        addresses = order_addresses(
+        addresses = rank_addresses(
             entries, self._configuration.document, self._zone, key
         )
         document = {"addresses": addresses, "ttl_s": self._ttl_s}
--- a/reedspar/requests/addresses.py
+++ b/reedspar/requests/addresses.py
@@ -7,13 +7,13 @@
 
 from .views import EntryAddress
 
-__all__ = ["ADDRESSES_MAX", "order_addresses"]
+__all__ = ["ADDRESSES_MAX", "rank_addresses"]
 
 ADDRESSES_MAX = 5
 """Maximum number of addresses in one list."""
 
 
-def order_addresses(
+def rank_addresses(
     entries: Iterable[EntryAddress],
     document: ConfigurationDocument | None,
     own_zone: str,
@@ -33,14 +33,14 @@
         and (document is None or document.is_zone_in(entry.zone))
     }
     ranked = [usable[name] for name in rank_by_rendezvous(key, usable)]
-    seen: dict[str, int] = {}
-    order = []
+    listed_by_zone: dict[str, int] = {}
+    ordered = []
     for rank, entry in enumerate(ranked):
-        turn = seen.get(entry.zone, 0)
-        seen[entry.zone] = turn + 1
-        order.append((turn, entry.zone != own_zone, rank, entry))
-    order.sort(key=lambda item: item[:3])
+        zone_rank = listed_by_zone.get(entry.zone, 0)
+        listed_by_zone[entry.zone] = zone_rank + 1
+        ordered.append((zone_rank, entry.zone != own_zone, rank, entry))
+    ordered.sort(key=lambda item: item[:3])
     return [
         f"http://{entry.host}:{entry.http_port}"
-        for _, _, _, entry in order[:ADDRESSES_MAX]
+        for _, _, _, entry in ordered[:ADDRESSES_MAX]
     ]
--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -53,11 +53,11 @@
     limits: WorkspaceLimits
     in_flight: int = 0
     last_request_s: float = 0.0
-    refused: float = 0.0
+    recent_refusals: float = 0.0
     """Recent refusals, decayed over one latency.
 
     Estimates the additional requests that the workspace would have in flight."""
-    refused_s: float = 0.0
+    last_refusal_s: float = 0.0
     demand_estimate: float = 0.0
 
     def demand(self) -> float:
@@ -66,13 +66,15 @@
 
     def record_refusal(self, latency_s: float, now_s: float) -> None:
         """Count a refusal; earlier ones decay exponentially with the latency."""
-        decayed = math.exp((self.refused_s - now_s) / max(latency_s, LATENCY_MIN_S))
-        self.refused = self.refused * decayed + 1
-        self.refused_s = now_s
+        decayed = math.exp(
+            (self.last_refusal_s - now_s) / max(latency_s, LATENCY_MIN_S)
+        )
+        self.recent_refusals = self.recent_refusals * decayed + 1
+        self.last_refusal_s = now_s
 
     def update_demand(self) -> None:
         """Update the moving average of the demand, at each arriving request."""
-        current = self.in_flight + self.refused
+        current = self.in_flight + self.recent_refusals
         self.demand_estimate += DEMAND_EWMA_WEIGHT * (current - self.demand_estimate)
 
 
@@ -199,13 +201,13 @@
             self._workspaces.values(),
             key=lambda item: item.demand() / item.limits.share,
         )
-        left = slots
+        remaining = slots
         shares = sum(item.limits.share for item in active)
         for item in active:
-            fair_share = left * item.limits.share / shares
+            fair_share = remaining * item.limits.share / shares
             if item is state:
                 return state.in_flight + 1 > max(WINDOW_MIN, fair_share)
-            left -= min(fair_share, item.demand())
+            remaining -= min(fair_share, item.demand())
             shares -= item.limits.share
         return False
 
--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -81,8 +81,8 @@
     def acknowledgeable_bytes(self) -> int:
         """Return how many bytes of the answer the agent may discard."""
         assembly = self.assembly
-        waiting = assembly.pending_bytes if self.is_streamed else 0
-        return assembly.size_bytes - waiting
+        unread_bytes = assembly.pending_bytes if self.is_streamed else 0
+        return assembly.size_bytes - unread_bytes
 
     def wake(self) -> None:
         """Wake the waiting task, if there is one."""
--- a/reedspar/requests/claim_client.py
+++ b/reedspar/requests/claim_client.py
@@ -15,7 +15,7 @@
 from reedspar.utils import rank_by_rendezvous
 
 from .claim_ledger import ClaimLedger
-from .claim_locations import UNDATED, ClaimPlace, partition_of
+from .claim_locations import UNDATED, ClaimLocator, partition_of
 from .claim_table import make_reply
 from .messages import (
     ClaimReply,
@@ -64,8 +64,8 @@
         self._timers = timers
         self._ledger = ledger
         self._entries = entries
-        self._pending: dict[str, _PendingClaim] = {}
-        self._updates: dict[str, tuple[ClaimUpdate, float]] = {}
+        self._pending_claims: dict[str, _PendingClaim] = {}
+        self._pending_updates: dict[str, tuple[ClaimUpdate, float]] = {}
         self._excluded_since_s: dict[str, float] = {}
         self._last_reply_s: dict[str, float] = {}
         network.subscribe(ClaimRequest, self._on_request)
@@ -74,26 +74,28 @@
         network.subscribe(ClaimUpdated, self._on_updated)
         timers.call_every(UPDATE_RETRY_INTERVAL_S, self._send_updates)
 
-    async def claim(self, place: ClaimPlace, token: str, payload: str) -> ClaimReply:
+    async def claim(
+        self, locator: ClaimLocator, token: str, payload: str
+    ) -> ClaimReply:
         """Return the reply to a claim; the order may run only if it is ``GRANTED``."""
-        request = ClaimRequest(place.claim_key, token, payload, place.location)
-        waiting = self._pending[token] = _PendingClaim()
+        request = ClaimRequest(locator.claim_key, token, payload, locator.location)
+        pending = self._pending_claims[token] = _PendingClaim()
         try:
-            owner = self._owner_of(place.location)
+            owner = self._owner_of(locator.location)
             was_owner_asked = False
             if owner != self._name and self._network.send(owner, request) is None:
                 with anyio.move_on_after(OWNER_TIMEOUT_S):
-                    await waiting.event.wait()
-                if waiting.reply is not None:
-                    return waiting.reply
+                    await pending.event.wait()
+                if pending.reply is not None:
+                    return pending.reply
                 self._exclude_owner(owner)
                 was_owner_asked = True
             self._ledger.submit_claim(request, self._on_reply)
             with anyio.move_on_after(DIRECT_CLAIM_TIMEOUT_S):
-                await waiting.event.wait()
-            return self._finish_claim(token, waiting.reply, was_owner_asked)
+                await pending.event.wait()
+            return self._finish_claim(token, pending.reply, was_owner_asked)
         finally:
-            del self._pending[token]
+            del self._pending_claims[token]
 
     def _finish_claim(
         self, token: str, reply: ClaimReply | None, was_owner_asked: bool
@@ -108,10 +110,10 @@
 
     def update(self, update: ClaimUpdate) -> None:
         """Record how the order ended, and retry until it is written."""
-        if len(self._updates) >= PENDING_UPDATES_MAX:
-            del self._updates[next(iter(self._updates))]
+        if len(self._pending_updates) >= PENDING_UPDATES_MAX:
+            del self._pending_updates[next(iter(self._pending_updates))]
         now_s = self._timers.now_s()
-        self._updates[update.token] = (update, now_s)
+        self._pending_updates[update.token] = (update, now_s)
         self._send_update(update, now_s)
 
     def _owner_of(self, location: str) -> str:
@@ -138,20 +140,20 @@
             self._excluded_since_s[owner] = now_s
 
     def _send_updates(self) -> None:
-        for update, since_s in list(self._updates.values()):
-            self._send_update(update, since_s)
+        for update, submitted_s in list(self._pending_updates.values()):
+            self._send_update(update, submitted_s)
 
-    def _send_update(self, update: ClaimUpdate, since_s: float) -> None:
+    def _send_update(self, update: ClaimUpdate, submitted_s: float) -> None:
         owner = self._owner_of(update.location)
-        is_late = self._timers.now_s() - since_s > UPDATE_DIRECT_AFTER_S
-        is_own = owner == self._name or is_late
-        if not is_own and self._network.send(owner, update) is None:
+        is_late = self._timers.now_s() - submitted_s > UPDATE_DIRECT_AFTER_S
+        is_direct = owner == self._name or is_late
+        if not is_direct and self._network.send(owner, update) is None:
             return
         token = update.token
         self._ledger.submit_update(update, lambda: self._remove_update(token))
 
     def _remove_update(self, token: str) -> None:
-        self._updates.pop(token, None)
+        self._pending_updates.pop(token, None)
 
     def _on_request(self, sender: Sender, request: ClaimRequest) -> None:
         def reply_to_sender(reply: ClaimReply) -> None:
@@ -164,10 +166,10 @@
         self._on_reply(reply)
 
     def _on_reply(self, reply: ClaimReply) -> None:
-        waiting = self._pending.get(reply.token)
-        if waiting is not None and waiting.reply is None:
-            waiting.reply = reply
-            waiting.event.set()
+        pending = self._pending_claims.get(reply.token)
+        if pending is not None and pending.reply is None:
+            pending.reply = reply
+            pending.event.set()
 
     def _on_update(self, sender: Sender, update: ClaimUpdate) -> None:
         def confirm() -> None:
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -21,7 +21,7 @@
 from .claim_leases import ClaimLeases
 from .claim_locations import is_location_expired
 from .claim_table import ClaimTable, make_reply
-from .claim_write_limiter import WritePace, WritePaceOptions
+from .claim_write_limiter import WriteRateLimiter, WriteRateOptions
 from .messages import (
     ClaimRecord,
     ClaimReply,
@@ -60,7 +60,7 @@
     """Time for which the record of an order is kept."""
     running_timeout_s: float
     """Age up to which a claimed order may still be running."""
-    pace: WritePaceOptions = field(default_factory=WritePaceOptions)
+    write_rate: WriteRateOptions = field(default_factory=WriteRateOptions)
     update_delay_s: float = 0.25
     """How long an outcome waits for a claim that can share its write."""
     cache_s: float = 1.0
@@ -119,7 +119,9 @@
         self._timers = timers
         self._unix_time = unix_time
         self._options = options
-        self._pace = WritePace(timers, options.pace, count_entries)
+        self._write_limiter = WriteRateLimiter(
+            timers, options.write_rate, count_entries
+        )
         self._leases = ClaimLeases(key_value, timers, options.ttl_s)
         registry = MessageRegistry()
         register_messages(registry)
@@ -145,7 +147,7 @@
     def submit_claim(self, request: ClaimRequest, on_reply: OnReply) -> None:
         """Submit a claim; `on_reply` is called once it is written or refused."""
         self.counts.claims += 1
-        if not self._pace.try_enqueue(request.location):
+        if not self._write_limiter.try_enqueue(request.location):
             on_reply(
                 make_reply(
                     request.token, ClaimVerdict.NOT_WRITTEN, UNDATED_OVERLOAD_DETAIL
@@ -179,7 +181,7 @@
                 del self._batches[location]
                 return
             async with self._slots:
-                await self._pace.wait(location)
+                await self._write_limiter.wait(location)
                 batch = self._batches[location]
                 self._batches[location] = _Batch()
                 await self._commit_within_timeout(location, batch)
--- a/reedspar/requests/claim_locations.py
+++ b/reedspar/requests/claim_locations.py
@@ -14,24 +14,24 @@
 from reedspar.errors import Failure, Reason, Step
 
 __all__ = [
-    "PARTITIONS",
+    "PARTITION_COUNT",
     "SLICE_DURATION_S",
     "UNDATED",
     "UNDATED_TTL_S",
-    "ClaimPlace",
+    "ClaimLocator",
     "is_location_expired",
+    "locate_claim",
     "partition_of",
-    "place_claim",
 ]
 
-PARTITIONS = 8
+PARTITION_COUNT = 8
 """Number of partitions.
 
 For changing it, the same conditions apply as for `SLICE_DURATION_S`."""
 SLICE_DURATION_S = 1.0
 """Time span of the keys in one slice.
 
-The location of a key depends on this and on `PARTITIONS`.  A release that changes
+The location of a key depends on this and on `PARTITION_COUNT`.  A release that changes
 either must refuse keys dated before its roll-out, or their orders could run again."""
 UNDATED_TTL_S = 30 * 86_400.0
 """How long an undated key is refused after the time to live of its record."""
@@ -46,30 +46,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimPlace:
+class ClaimLocator:
     """The key of a claim, and the location of the value that contains it."""
 
     claim_key: str
     location: str
 
 
-def place_claim(
+def locate_claim(
     workspace: str, pool: str, key: str, now_s: float, ttl_s: float
-) -> ClaimPlace | Failure:
+) -> ClaimLocator | Failure:
     """Return the place of a key at Unix time `now_s`, or the failure to refuse it."""
     identity = "\0".join((workspace, pool, key)).encode()
     claim_key = hashlib.blake2b(identity, digest_size=16).hexdigest()
     if UUID_7.fullmatch(key) is None:
-        return ClaimPlace(claim_key, f"{LOCATION_PREFIX}/{UNDATED}/{claim_key}")
+        return ClaimLocator(claim_key, f"{LOCATION_PREFIX}/{UNDATED}/{claim_key}")
     key_time_s = int(key.replace("-", "")[:12], 16) / 1000
     if key_time_s > now_s + FUTURE_SKEW_MAX_S:
         detail = "the date in the idempotency key lies in the future"
         return Failure(Reason.INVALID, Step.DEDUPLICATE, detail=detail)
     if key_time_s + ttl_s < now_s:
         return make_expired_failure(ttl_s)
-    partition = int(claim_key[:8], 16) % PARTITIONS
+    partition = int(claim_key[:8], 16) % PARTITION_COUNT
     number = int(key_time_s // SLICE_DURATION_S)
-    return ClaimPlace(claim_key, f"{LOCATION_PREFIX}/{partition}/{number}")
+    return ClaimLocator(claim_key, f"{LOCATION_PREFIX}/{partition}/{number}")
 
 
 def make_expired_failure(ttl_s: float) -> Failure:
--- a/reedspar/requests/claim_write_limiter.py
+++ b/reedspar/requests/claim_write_limiter.py
@@ -9,28 +9,28 @@
 
 from .claim_locations import UNDATED, partition_of
 
-__all__ = ["WritePace", "WritePaceOptions"]
+__all__ = ["WriteRateLimiter", "WriteRateOptions"]
 
 
 @dataclass(frozen=True, slots=True)
-class WritePaceOptions:
+class WriteRateOptions:
     """Rate limits of the writes of claims."""
 
     write_interval_s: float = 0.04
     """Minimum time between two writes to one partition."""
     undated_writes_per_s: float = 200.0
     """Maximum write rate for undated keys, from all entries together."""
-    undated_wait_s: float = 0.5
+    undated_wait_max_s: float = 0.5
     """Expected wait above which the claim of an undated key is refused at once."""
 
 
-class WritePace:
+class WriteRateLimiter:
     """Schedules the writes of one entry."""
 
     def __init__(
         self,
         timers: TimerService,
-        options: WritePaceOptions,
+        options: WriteRateOptions,
         count_entries: Callable[[], int],
     ) -> None:
         self._timers = timers
@@ -50,7 +50,7 @@
         turn_s = self._next_write_s.get(UNDATED, 0.0)
         queued_s = len(self._undated_waiting) * self._interval_s(UNDATED)
         wait_s = max(0.0, turn_s - self._timers.now_s()) + queued_s
-        if wait_s > self._options.undated_wait_s:
+        if wait_s > self._options.undated_wait_max_s:
             return False
         self._undated_waiting.add(location)
         return True
--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -18,10 +18,10 @@
 
 __all__ = ["CrashGossip", "create_crash_gossip"]
 
-NEWS_FANOUT = 4
+REPORT_FANOUT = 4
 """Number of entries to which news of a crash is sent at once."""
 REPEAT_INTERVAL_S = 2.0
-REPEATED_CRASHES_MAX = 16
+REPEATED_REPORTS_MAX = 16
 """Maximum number of recent crashes sent in one repetition."""
 
 
@@ -44,45 +44,45 @@
         self._timers = timers
         self._rng = rng
         network.subscribe(CrashNotice, self._on_notice)
-        network.subscribe(CrashNews, self._on_news)
+        network.subscribe(CrashNews, self._on_report)
         timers.call_every(REPEAT_INTERVAL_S, self._repeat_recent)
 
     def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
         """Add a crash that this entry detected itself, and send it to others."""
-        self._handle_news(CrashNews(crash_id, fingerprints, 0))
+        self._handle_report(CrashNews(crash_id, fingerprints, 0))
 
     def _on_notice(self, sender: Sender, notice: CrashNotice) -> None:
         crash_id = f"{notice.target}/{notice.boot_id}"
-        self._handle_news(CrashNews(crash_id, notice.fingerprints, 0))
+        self._handle_report(CrashNews(crash_id, notice.fingerprints, 0))
 
-    def _on_news(self, sender: Sender, news: CrashNews) -> None:
-        self._handle_news(news)
+    def _on_report(self, sender: Sender, report: CrashNews) -> None:
+        self._handle_report(report)
 
-    def _handle_news(self, news: CrashNews) -> None:
+    def _handle_report(self, report: CrashNews) -> None:
         now_s = self._timers.now_s()
-        at_s = now_s - news.age_ms / 1000
+        at_s = now_s - report.age_ms / 1000
         is_new = self._quarantine.on_crash(
-            news.crash_id, news.fingerprints, at_s, now_s
+            report.crash_id, report.fingerprints, at_s, now_s
         )
         if is_new:
-            for peer in self._pick_entries(NEWS_FANOUT):
-                self._network.send(peer, news)
+            for peer in self._pick_entries(REPORT_FANOUT):
+                self._network.send(peer, report)
 
     def _repeat_recent(self) -> None:
         now_s = self._timers.now_s()
-        crashes = self._quarantine.list_recent(now_s)[:REPEATED_CRASHES_MAX]
+        crashes = self._quarantine.list_recent(now_s)[:REPEATED_REPORTS_MAX]
         if not crashes:
             return
         for peer in self._pick_entries(1):
             for crash in crashes:
-                self._network.send(peer, _make_news(crash, now_s))
+                self._network.send(peer, _make_report(crash, now_s))
 
     def _pick_entries(self, count: int) -> list[str]:
         peers = [name for name in self._list_entries() if name != self._name]
         return self._rng.sample(peers, min(count, len(peers)))
 
 
-def _make_news(crash: Crash, now_s: float) -> CrashNews:
+def _make_report(crash: Crash, now_s: float) -> CrashNews:
     age_ms = max(0, round((now_s - crash.at_s) * 1000))
     fingerprints = tuple(sorted(crash.fingerprints))
     return CrashNews(crash.crash_id, fingerprints, age_ms)
--- a/reedspar/requests/deduplication.py
+++ b/reedspar/requests/deduplication.py
@@ -9,7 +9,7 @@
 from reedspar.timers import TimerService
 
 from .claim_client import ClaimClient
-from .claim_locations import ClaimPlace, make_expired_failure, place_claim
+from .claim_locations import ClaimLocator, locate_claim, make_expired_failure
 from .messages import ClaimReply, ClaimState, ClaimUpdate, ClaimVerdict
 from .outcome_encoding import make_not_run, make_unknown
 from .request import Answer, Outcome, Proceed, Request
@@ -46,41 +46,41 @@
         """Run a request if its key was not claimed before or it has none."""
         if not request.idempotency_key:
             return await proceed(request)
-        place = place_claim(
+        locator = locate_claim(
             request.workspace,
             request.pool,
             request.idempotency_key,
             self._unix_time(),
             self._ttl_s,
         )
-        if isinstance(place, Failure):
-            return make_not_run(place)
-        reply = await self._claim(request, place)
+        if isinstance(locator, Failure):
+            return make_not_run(locator)
+        reply = await self._claim(request, locator)
         if reply.verdict is ClaimVerdict.GRANTED:
-            return await self._run(request, place, proceed)
+            return await self._run(request, locator, proceed)
         if reply.verdict is ClaimVerdict.UNAVAILABLE:
             # The claim may have been written although it was not confirmed.  The
             # order was not handed over, so the key is released.
-            self._record_end(request, place, ClaimState.RELEASED)
+            self._record_end(request, locator, ClaimState.RELEASED)
         return self._answer(reply)
 
-    async def _claim(self, request: Request, place: ClaimPlace) -> ClaimReply:
+    async def _claim(self, request: Request, locator: ClaimLocator) -> ClaimReply:
         """Claim the key, and wait while an earlier order with it is running.
 
         Without the wait, a repeat would end as unknown, possibly just before the
         first request is answered.
         """
-        reply = await self._claim_once(request, place)
+        reply = await self._claim_once(request, locator)
         wait_s = INITIAL_POLL_INTERVAL_S
         may_be_written = False
         while reply.verdict is ClaimVerdict.RUNNING:
             if self._timers.now_s() + wait_s >= request.deadline_s:
                 if may_be_written:
-                    self._record_end(request, place, ClaimState.RELEASED)
+                    self._record_end(request, locator, ClaimState.RELEASED)
                 return reply
             await anyio.sleep(wait_s)
             wait_s = min(wait_s * POLL_INTERVAL_GROWTH, POLL_INTERVAL_MAX_S)
-            latest = await self._claim_once(request, place)
+            latest = await self._claim_once(request, locator)
             # A failure to read the claim says nothing about the earlier order, so
             # it must not replace the last reply: "not run" could be false.
             if latest.verdict not in INCONCLUSIVE_VERDICTS:
@@ -89,11 +89,13 @@
             may_be_written |= latest.verdict is ClaimVerdict.UNAVAILABLE
         return reply
 
-    async def _claim_once(self, request: Request, place: ClaimPlace) -> ClaimReply:
-        return await self._claims.claim(place, request.request_id, request.fingerprint)
+    async def _claim_once(self, request: Request, locator: ClaimLocator) -> ClaimReply:
+        return await self._claims.claim(
+            locator, request.request_id, request.fingerprint
+        )
 
     async def _run(
-        self, request: Request, place: ClaimPlace, proceed: Proceed
+        self, request: Request, locator: ClaimLocator, proceed: Proceed
     ) -> Answer:
         state = ClaimState.UNKNOWN
         answer: Answer | None = None
@@ -101,22 +103,22 @@
             answer = await proceed(request)
             state = _state_of(answer)
         finally:
-            self._record_end(request, place, state, answer)
+            self._record_end(request, locator, state, answer)
         return answer
 
     def _record_end(
         self,
         request: Request,
-        place: ClaimPlace,
+        locator: ClaimLocator,
         state: ClaimState,
         answer: Answer | None = None,
     ) -> None:
         kept = answer if state is ClaimState.ANSWERED else None
         self._claims.update(
             ClaimUpdate(
-                place.claim_key,
+                locator.claim_key,
                 request.request_id,
-                place.location,
+                locator.location,
                 state,
                 kept.status if kept is not None else 0,
                 kept.headers if kept is not None else (),
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -64,10 +64,14 @@
             return DrainPhase.SERVE
         if not in_flight:
             return DrainPhase.STOP
-        bound_s = self.started_s + self.timeout_s
-        if now_s < bound_s:
+        timeout_at_s = self.started_s + self.timeout_s
+        if now_s < timeout_at_s:
             return DrainPhase.FINISH
-        return DrainPhase.ABORT if now_s < bound_s + ABORT_GRACE_S else DrainPhase.STOP
+        return (
+            DrainPhase.ABORT
+            if now_s < timeout_at_s + ABORT_GRACE_S
+            else DrainPhase.STOP
+        )
 
 
 class Drainable(Protocol):
--- a/reedspar/requests/event_stream.py
+++ b/reedspar/requests/event_stream.py
@@ -8,8 +8,8 @@
 
 EVENT_STREAM_TYPE = "text/event-stream"
 LAST_EVENT_ID_HEADER = "last-event-id"
-_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
-_ID_FIELD = b"id:"
+EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n")
+ID_FIELD = b"id:"
 
 
 class EventSplitter:
@@ -32,7 +32,7 @@
     def feed(self, data: bytes) -> bytes:
         """Append bytes, and return the events that they complete."""
         self._pending += data
-        end = max(self._find_end(mark) for mark in _EVENT_ENDS)
+        end = max(self._find_end(delimiter) for delimiter in EVENT_DELIMITERS)
         events, self._pending = self._pending[:end], self._pending[end:]
         self._record_events(events)
         return events
@@ -41,12 +41,12 @@
         """Discard the incomplete event."""
         self._pending = b""
 
-    def _find_end(self, mark: bytes) -> int:
-        position = self._pending.rfind(mark)
-        return position + len(mark) if position >= 0 else 0
+    def _find_end(self, delimiter: bytes) -> int:
+        position = self._pending.rfind(delimiter)
+        return position + len(delimiter) if position >= 0 else 0
 
     def _record_events(self, events: bytes) -> None:
         for line in events.splitlines():
-            if line.startswith(_ID_FIELD):
-                self.last_event_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
+            if line.startswith(ID_FIELD):
+                self.last_event_id = line[len(ID_FIELD) :].strip().decode("latin-1")
                 self.event_count += 1
--- a/reedspar/requests/filters.py
+++ b/reedspar/requests/filters.py
@@ -22,7 +22,7 @@
 DEADLINE_HEADER = "x-deadline-s"
 KEY_HEADER = "idempotency-key"
 WEIGHTS_HEADER = "x-weights-digest"
-KEY_SIZE_MAX = 200
+KEY_MAX_CHARACTERS = 200
 DEFAULT_WORKSPACE = WorkspaceConfiguration()
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 """RFC 9110, section 9.2.2."""
@@ -99,8 +99,10 @@
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
         """Set idempotency, key, fingerprint and the requested weights."""
         key = request.header_map.get(KEY_HEADER, "")
-        if len(key) > KEY_SIZE_MAX:
-            detail = f"header {KEY_HEADER} has more than {KEY_SIZE_MAX} characters"
+        if len(key) > KEY_MAX_CHARACTERS:
+            detail = (
+                f"header {KEY_HEADER} has more than {KEY_MAX_CHARACTERS} characters"
+            )
             return make_not_run(Failure(Reason.INVALID, Step.CLASSIFY, detail=detail))
         request.is_idempotent = self._is_idempotent(request)
         request.idempotency_key = "" if request.is_idempotent else key
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -43,10 +43,10 @@
 
     forwarder: StreamForwarder
     tried: set[str] = field(default_factory=set)
-    last: Answer | None = None
-    handed_over: int = 0
-    unreached: int = 0
-    broken: int = 0
+    result: Answer | None = None
+    handed_over_count: int = 0
+    unreached_count: int = 0
+    broken_count: int = 0
 
 
 class Relay:
@@ -75,33 +75,33 @@
         while True:
             chosen = await self._choose_or_wait(request, state)
             if isinstance(chosen, Failure):
-                return state.last or make_not_run(chosen)
+                return state.result or make_not_run(chosen)
             if not self._is_within_budget(request, state):
-                assert state.last is not None
-                return state.last
+                assert state.result is not None
+                return state.result
             state.tried.add(chosen.name)
             latest = await self._attempt(request, chosen, state)
             self._record_result(state, latest)
             if not self._may_retry(request, state, latest):
-                assert state.last is not None
-                return state.last
+                assert state.result is not None
+                return state.result
 
     def _is_within_budget(self, request: Request, state: _RelayState) -> bool:
         """Return whether the attempt is the first or the retry budget allows it."""
         budget = self._budgets.for_pool(request.pool)
-        if not state.handed_over:
-            if not state.unreached:
+        if not state.handed_over_count:
+            if not state.unreached_count:
                 budget.on_first_attempt()
             return True
         return budget.try_spend()
 
     def _record_result(self, state: _RelayState, latest: Answer) -> None:
         if _is_unreached(latest):
-            state.unreached += 1
+            state.unreached_count += 1
         else:
-            state.handed_over += 1
-        state.broken += _is_broken(latest)
-        state.last = _combine(state.last, latest)
+            state.handed_over_count += 1
+        state.broken_count += _is_broken(latest)
+        state.result = _combine(state.result, latest)
 
     async def _choose_or_wait(
         self, request: Request, state: _RelayState
@@ -154,7 +154,7 @@
         if isinstance(attempt, Failure):
             self._chooser.on_refused(chosen, attempt)
             return make_not_run(attempt)
-        had_possibly_run = request.may_have_run
+        may_have_run_before = request.may_have_run
         request.may_have_run = True
         request.targets.append(chosen.name)
         answer: Answer | None = None
@@ -163,7 +163,7 @@
             with anyio.move_on_after(request.deadline_s - self._timers.now_s()):
                 answer = await self._await_answer(request, chosen, attempt, state)
                 if answer.outcome is Outcome.NOT_RUN:
-                    request.may_have_run = had_possibly_run
+                    request.may_have_run = may_have_run_before
                 return answer
             answer = self._make_timeout(request, attempt)
             return answer
@@ -178,7 +178,7 @@
         margin_s = min(self._options.deadline_margin_s, remaining_s / 10)
         return AttemptStart(
             request.request_id,
-            state.handed_over + state.unreached,
+            state.handed_over_count + state.unreached_count,
             request.pool,
             request.method,
             request.path,
@@ -213,20 +213,20 @@
         head = assembly.head
         if state.forwarder.has_started and head is not None:
             return await state.forwarder.forward(attempt, head)
-        return _conclude(attempt, has_started=state.forwarder.has_started)
+        return _make_answer(attempt, has_started=state.forwarder.has_started)
 
     def _may_retry(self, request: Request, state: _RelayState, latest: Answer) -> bool:
         if latest.outcome is Outcome.ANSWERED:
-            return self._is_failed_answer(request, state, latest)
+            return self._may_retry_server_error(request, state, latest)
         failure = latest.failure
         if failure is None or failure.reason in FINAL_REASONS:
             return False
         if (
-            state.handed_over >= request.attempts_max
-            or state.broken >= BROKEN_ATTEMPTS_MAX
+            state.handed_over_count >= request.attempts_max
+            or state.broken_count >= BROKEN_ATTEMPTS_MAX
         ):
             return False
-        if state.unreached > self._options.unreached_attempts_max:
+        if state.unreached_count > self._options.unreached_attempts_max:
             return False
         if latest.outcome is Outcome.NOT_RUN:
             return True
@@ -237,13 +237,13 @@
         standing, _ = self._quarantine.standing(request.fingerprint, now_s)
         return request.is_idempotent and standing is not Standing.BLAMED
 
-    def _is_failed_answer(
+    def _may_retry_server_error(
         self, request: Request, state: _RelayState, answer: Answer
     ) -> bool:
         """Return whether the answer is a server error that a retry may avoid."""
         is_failed = answer.status >= SERVER_ERROR_STATUS and not answer.is_sent
-        has_more = state.handed_over < request.attempts_max
-        return is_failed and has_more and request.is_idempotent
+        has_attempts_left = state.handed_over_count < request.attempts_max
+        return is_failed and has_attempts_left and request.is_idempotent
 
     def _make_timeout(self, request: Request, attempt: OpenAttempt) -> Answer:
         detail = f"no whole answer within the deadline; {attempt.assembly.phase.value}"
@@ -272,7 +272,7 @@
     return is_at_target and failure.reason not in NOT_TARGET_FAULT_REASONS
 
 
-def _conclude(attempt: OpenAttempt, *, has_started: bool) -> Answer:
+def _make_answer(attempt: OpenAttempt, *, has_started: bool) -> Answer:
     assembly = attempt.assembly
     head = assembly.head
     if assembly.verdict is Verdict.COMPLETE and head is not None:
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -57,7 +57,7 @@
         """Return the target of the next attempt, preferring the entry's own zone."""
         views = [
             view
-            for view in self._directory.usable(request.pool)
+            for view in self._directory.usable_targets(request.pool)
             if document.is_zone_in(view.report.zone) and _can_serve(view, request)
         ]
         if not views:
@@ -69,19 +69,19 @@
                 Reason.OVERLOADED,
                 Step.ROUTE,
                 detail=f"all {len(views)} targets of {request.pool} are full",
-                retry_after_s=_drain_time_s(views),
+                retry_after_s=_time_to_free_slot_s(views),
             )
         return self._pick(request, open_views)
 
     def _pick(self, request: Request, views: list[TargetView]) -> TargetView:
-        own = [view for view in views if view.report.zone == self._zone]
-        for group in (own, views):
+        own_zone = [view for view in views if view.report.zone == self._zone]
+        for group in (own_zone, views):
             free = [view for view in group if view.load < FULL_TARGET_LOAD]
             if free:
-                return self._pick_affine(request, free) or self._pick_by_load(free)
+                return self._pick_by_affinity(request, free) or self._pick_by_load(free)
         return self._pick_by_load(views)
 
-    def _pick_affine(
+    def _pick_by_affinity(
         self, request: Request, views: list[TargetView]
     ) -> TargetView | None:
         if request.pool_kind is not PoolKind.MODEL or not request.body:
@@ -98,7 +98,7 @@
         return one if _cost(one) <= _cost(two) else two
 
     def _make_no_target(self, request: Request) -> Failure:
-        known = self._directory.count(request.pool)
+        known = self._directory.target_count(request.pool)
         detail = f"none of {known} known targets of {request.pool} may be given work"
         return Failure(
             Reason.NO_TARGET,
@@ -178,7 +178,7 @@
     return (view.load + slot_share) * max(view.report.latency_s, LATENCY_MIN_S)
 
 
-def _drain_time_s(views: list[TargetView]) -> float:
+def _time_to_free_slot_s(views: list[TargetView]) -> float:
     """Return the shortest expected time until a full target can accept a request."""
     waits = [
         view.report.latency_s
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -13,7 +13,7 @@
 from reedspar.settings import RequestSettings
 from reedspar.timers import TimerService
 
-from .address_list import AddressList
+from .address_list import AddressListEndpoint
 from .application import RequestApplication, RequestIdGenerator
 from .attempt_client import AttemptClient, create_attempt_client
 from .caller_adapter import PoolAdapter
@@ -48,7 +48,7 @@
     """The parts of the entry role that the daemon uses."""
 
     application: RequestApplication
-    addresses: AddressList
+    addresses: AddressListEndpoint
     client: AttemptClient
     directory: TargetDirectory
     ledger: ClaimLedger
@@ -91,7 +91,7 @@
     """Build the entry role on the daemon's network, timers and configuration."""
     client = create_attempt_client(network, timers)
     directory = create_target_directory(network, timers)
-    directory.on_incarnation(client.on_incarnation)
+    directory.on_agent_restart(client.on_incarnation)
     quarantine = Quarantine()
     create_crash_gossip(name, quarantine, network, timers, rng)
     ledger = ClaimLedger(
@@ -121,7 +121,9 @@
     ]
     if first_filter is not None:
         filters.insert(0, first_filter)
-    addresses = AddressList(name, zone, configuration, entries, settings.address_ttl_s)
+    addresses = AddressListEndpoint(
+        name, zone, configuration, entries, settings.address_ttl_s
+    )
     application = RequestApplication(
         chain_filters(filters),
         PoolAdapter(),
--- a/reedspar/requests/target_directory.py
+++ b/reedspar/requests/target_directory.py
@@ -16,7 +16,7 @@
 """Time after its last report for which a target is remembered."""
 SPARE_CAPACITY_MAX_LOAD = 0.75
 """Load of a pool up to which it has spare capacity."""
-IncarnationListener = Callable[[str, int], None]
+RestartListener = Callable[[str, int], None]
 
 
 @dataclass(slots=True)
@@ -43,11 +43,11 @@
         return ""
 
     @property
-    def count(self) -> float:
+    def request_count(self) -> float:
         """Return the estimated number of requests at the target."""
         report = self.report
-        since = self.own_in_flight - self.own_in_flight_at_report
-        return max(self.own_in_flight, report.in_flight + report.queued + since)
+        change = self.own_in_flight - self.own_in_flight_at_report
+        return max(self.own_in_flight, report.in_flight + report.queued + change)
 
     @property
     def load(self) -> float:
@@ -57,7 +57,7 @@
         that this entry has handed over since are added, and those answered since
         are subtracted.
         """
-        return self.count / max(1, self.report.limit)
+        return self.request_count / max(1, self.report.limit)
 
 
 class TargetDirectory:
@@ -70,13 +70,13 @@
         self._report_ttl_s = report_ttl_s
         self._views: dict[str, TargetView] = {}
         self._by_pool: dict[str, dict[str, TargetView]] = {}
-        self._listeners: list[IncarnationListener] = []
+        self._listeners: list[RestartListener] = []
         self.stale_reports = 0
         network.subscribe(TargetReport, self._on_report)
         network.on_link_event(self._on_link_event)
-        timers.call_every(VIEW_RETENTION_S, self._remove_old)
+        timers.call_every(VIEW_RETENTION_S, self._remove_unreported)
 
-    def on_incarnation(self, listener: IncarnationListener) -> None:
+    def on_agent_restart(self, listener: RestartListener) -> None:
         """Call `listener` with name and incarnation when an agent has restarted."""
         self._listeners.append(listener)
 
@@ -84,7 +84,7 @@
         """Return the state of `target`, or None if it is not known."""
         return self._views.get(target)
 
-    def usable(self, pool: str) -> Iterator[TargetView]:
+    def usable_targets(self, pool: str) -> Iterator[TargetView]:
         """Yield the targets of `pool` that accept work now."""
         now_s = self._timers.now_s()
         for view in self._by_pool.get(pool, {}).values():
@@ -99,18 +99,18 @@
         """Return whether the pool is estimated to be well below its limit."""
         limit = 0
         count = 0.0
-        for view in self.usable(pool):
+        for view in self.usable_targets(pool):
             limit += view.report.limit
-            count += view.count
+            count += view.request_count
         return count + 1 <= SPARE_CAPACITY_MAX_LOAD * limit
 
-    def count(self, pool: str) -> int:
+    def target_count(self, pool: str) -> int:
         """Return the number of known targets of `pool`, usable or not."""
         return len(self._by_pool.get(pool, {}))
 
-    def usable_count(self) -> int:
+    def usable_target_count(self) -> int:
         """Return the number of targets of all pools that accept work now."""
-        return sum(1 for pool in self._by_pool for _ in self.usable(pool))
+        return sum(1 for pool in self._by_pool for _ in self.usable_targets(pool))
 
     def remove(self, target: str) -> None:
         """Remove a target whose agent left or whose link is down."""
@@ -155,7 +155,7 @@
         view.received_s = now_s
         view.own_in_flight_at_report = view.own_in_flight
 
-    def _remove_old(self) -> None:
+    def _remove_unreported(self) -> None:
         horizon_s = self._timers.now_s() - VIEW_RETENTION_S
         old = [
             name for name, view in self._views.items() if view.received_s < horizon_s
--- a/reedspar/requests/tests/mesh.py
+++ b/reedspar/requests/tests/mesh.py
@@ -14,7 +14,7 @@
 from reedspar.requests.tests.fakes import FakeNetwork
 from reedspar.settings import DaemonSettings
 
-__all__ = ["Links", "Mesh", "PlainOffers", "make_agent_settings"]
+__all__ = ["DaemonNetwork", "Mesh", "PlainOffers", "make_agent_settings"]
 
 URL = "http://127.0.0.1:9"
 
@@ -49,7 +49,7 @@
         pass
 
 
-class Links(FakeNetwork):
+class DaemonNetwork(FakeNetwork):
     """The network of one daemon in a mesh."""
 
     def __init__(self, mesh: "Mesh", name: str, incarnation: int) -> None:
@@ -80,14 +80,16 @@
     rng: random.Random
     loss: float = 0.0
     delay_s: float = 0.002
-    daemons: dict[str, Links] = field(default_factory=dict)
+    daemons: dict[str, DaemonNetwork] = field(default_factory=dict)
     silent_until_s: dict[frozenset[str], float] = field(default_factory=dict)
 
-    def add(self, name: str, incarnation: int = 1) -> Links:
-        self.daemons[name] = Links(self, name, incarnation)
+    def add(self, name: str, incarnation: int = 1) -> DaemonNetwork:
+        self.daemons[name] = DaemonNetwork(self, name, incarnation)
         return self.daemons[name]
 
-    def transmit(self, sender: Links, peer: str, message: Any) -> Failure | None:
+    def transmit(
+        self, sender: DaemonNetwork, peer: str, message: Any
+    ) -> Failure | None:
         if self.daemons.get(sender.name) is not sender or peer not in self.daemons:
             return Failure(Reason.UNAVAILABLE, Step.LINK, peer)
         pair = frozenset((sender.name, peer))
@@ -100,7 +102,7 @@
         loop.call_later(delay_s, self._deliver, sender, peer, message)
         return None
 
-    def _deliver(self, sender: Links, peer: str, message: Any) -> None:
+    def _deliver(self, sender: DaemonNetwork, peer: str, message: Any) -> None:
         receiver = self.daemons.get(peer)
         if receiver is not None:
             for handler in receiver.handlers.get(type(message), []):
--- a/reedspar/requests/tests/test_agent_stop.py
+++ b/reedspar/requests/tests/test_agent_stop.py
@@ -55,12 +55,12 @@
         self.assertEqual(backend.runs["1"], 1)
         return took_s
 
-    def test_entry_that_was_killed(self) -> None:
+    def test_stop_does_not_wait_for_a_killed_entry(self) -> None:
         # An entry is killed before it acknowledged an answer.  The answer can't
         # be delivered any more, so the agent's stop must not wait for it.
         self.assertLess(self.measure_stop_after_kill(restarts=False), 5.0)
 
-    def test_entry_that_was_restarted(self) -> None:
+    def test_stop_does_not_wait_for_a_restarted_entry(self) -> None:
         # The restarted entry has no record of the attempt and acknowledges its
         # answer when the agent sends the end again.
         self.assertLess(self.measure_stop_after_kill(restarts=True), 5.0)
--- a/reedspar/requests/tests/test_application.py
+++ b/reedspar/requests/tests/test_application.py
@@ -70,7 +70,7 @@
 
 
 class AnswerTest(ApplicationTestCase):
-    def test_complete_answer_with_its_headers(self) -> None:
+    def test_complete_answer_is_returned_with_its_headers(self) -> None:
         self.answer_with(lambda peer, start: make_answer(start, b"quote 12", cut=3))
         headers = {**SHOP, "x-request-id": "mine"}
         response = self.call("POST", "/v1/pools/orders/o/1?x=%20y", headers=headers)
@@ -125,7 +125,7 @@
         self.assertEqual(response.headers["x-reedspar-outcome"], "unknown")
         self.assertEqual(len(self.starts()), 1)
 
-    def test_broken_status_request_is_run_again(self) -> None:
+    def test_broken_idempotent_request_is_run_again(self) -> None:
         self.answer_with(self._break_first)
         response = self.call("GET", "/v1/pools/orders/o", headers=SHOP)
         self.assertEqual((response.status_code, response.content), (200, b"ok"))
@@ -184,8 +184,8 @@
         self.assertEqual(response.json()["reason"], "quarantined")
         self.assertEqual(response.headers["retry-after"], "300")
         self.assertEqual(len(self.starts()), 2)
-        told = [peer for peer, item in self.network.sent if type(item) is CrashNews]
-        self.assertEqual(told, ["entry-2", "entry-2"])
+        notified = [peer for peer, item in self.network.sent if type(item) is CrashNews]
+        self.assertEqual(notified, ["entry-2", "entry-2"])
         self.answer_with(lambda peer, start: make_answer(start, b"ok"))
         other = self.call("POST", "/v1/pools/orders/harmless", headers=SHOP)
         self.assertEqual(other.status_code, 200)
