--- a/reedspar/requests/address_list.py
+++ b/reedspar/requests/address_list.py
@@ -1,4 +1,4 @@
-"""HTTP endpoint of the product's own API that lists entry addresses for callers."""
+"""HTTP endpoint of reedspar's own API that lists entry addresses for callers."""
 
 from starlette.requests import Request as HttpRequest
 from starlette.responses import JSONResponse
--- a/reedspar/requests/admission.py
+++ b/reedspar/requests/admission.py
@@ -36,7 +36,7 @@
 DECREASE_INTERVAL_MIN_S = 0.05
 DECREASE_INTERVAL_MAX_S = 1.0
 RECOVERY_S = 5.0
-"""Time without a refusal after which capacity counts as restored: grow fast again."""
+"""Time without a refusal after which slow start resumes: capacity may be restored."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedspar/requests/assembly.py
+++ b/reedspar/requests/assembly.py
@@ -25,8 +25,10 @@
 __all__ = ["AnswerAssembly", "Progress", "Verdict"]
 
 
-REFUSAL_PROOF_MAX_AGE_S = 30.0
-"""Half of the minimum time that an agent keeps the record of an ended attempt."""
+REFUSAL_PROOF_AGE_MAX_S = 30.0
+"""Age of an attempt up to which a refusal after its cancel proves that it did not run.
+
+Half of the minimum time that an agent keeps the record of an ended attempt."""
 INCONCLUSIVE_REASONS = frozenset(
     {Reason.OUTCOME_UNKNOWN, Reason.TIMEOUT, Reason.CORRUPT, Reason.CANCELLED}
 )
@@ -146,11 +148,11 @@
         # The attempt was sent once, so its refusal is proof from any incarnation.
         # After a cancel, the refusal may be the reply to the cancel instead.  Then
         # it proves nothing if it comes from another incarnation, or so late (after
-        # a pause of this process) that the agent may have dropped the record of an
-        # attempt that ran: that order would be reported as not run.
+        # a pause of this process) that the agent may have dropped the record of the
+        # attempt.  A request that ran would then be reported as not run.
         is_other_incarnation = incarnation != self.start.agent_incarnation
         if self.is_cancelled and (
-            is_other_incarnation or age_s > REFUSAL_PROOF_MAX_AGE_S
+            is_other_incarnation or age_s > REFUSAL_PROOF_AGE_MAX_S
         ):
             return self.on_lost("revoked too late for proof")
         after_s = message.retry_after_s or None
--- a/reedspar/requests/caller_adapter.py
+++ b/reedspar/requests/caller_adapter.py
@@ -2,7 +2,7 @@
 
 The application reads requests and writes answers only through an adapter, so
 that a deployment with a different HTTP interface only has to supply an adapter.
-`PoolAdapter` implements the product's own interface.
+`PoolAdapter` implements reedspar's own interface.
 """
 
 from collections.abc import Iterable
@@ -35,7 +35,7 @@
 
 
 class CallerAdapter(Protocol):
-    """Translates between a caller's HTTP and the product's requests."""
+    """Translates between a caller's HTTP and reedspar's requests."""
 
     def accepts(self, scope: Scope) -> bool:
         """Return whether an ASGI connection carries a request for a target."""
@@ -63,7 +63,7 @@
 
 
 class PoolAdapter:
-    """Adapter for the product's own interface, where the path names the pool."""
+    """Adapter for reedspar's own interface, where the path names the pool."""
 
     def accepts(self, scope: Scope) -> bool:
         """Return whether the path is below the prefix of pools."""
@@ -93,7 +93,7 @@
         weights_digest: str,
         headers: Iterable[Header],
     ) -> list[tuple[bytes, bytes]]:
-        """Return the target's headers and the product's own headers."""
+        """Return the target's headers and reedspar's own headers."""
         return make_headers(outcome, caller_request_id, weights_digest, headers)
 
 
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -76,6 +76,7 @@
     reads: int = 0
     conflicts: int = 0
     unknown: int = 0
+    """Writes whose response was lost."""
     claims: int = 0
 
 
--- a/reedspar/requests/claim_locations.py
+++ b/reedspar/requests/claim_locations.py
@@ -56,7 +56,7 @@
 def locate_claim(
     workspace: str, pool: str, key: str, now_s: float, ttl_s: float
 ) -> ClaimLocator | Failure:
-    """Return the place of a key at Unix time `now_s`, or the failure to refuse it."""
+    """Return the locator of a key at Unix time `now_s`, or a failure to refuse it."""
     identity = "\0".join((workspace, pool, key)).encode()
     claim_key = hashlib.blake2b(identity, digest_size=16).hexdigest()
     if UUID_7.fullmatch(key) is None:
--- a/reedspar/requests/claim_write_limiter.py
+++ b/reedspar/requests/claim_write_limiter.py
@@ -1,4 +1,4 @@
-"""Rate limiting of the writes of claims to the key-value service."""
+"""Rate limit of the claim writes to the key-value service."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRateOptions:
-    """Rate limits of the writes of claims."""
+    """Rate limits of claim writes."""
 
     write_interval_s: float = 0.04
     """Minimum time between two writes to one partition."""
@@ -25,7 +25,7 @@
 
 
 class WriteRateLimiter:
-    """Schedules the writes of one entry."""
+    """Limits the rate at which one entry writes claims."""
 
     def __init__(
         self,
--- a/reedspar/requests/crash_gossip.py
+++ b/reedspar/requests/crash_gossip.py
@@ -1,8 +1,8 @@
 """Gossip between entries about crashes of targets, as input of the quarantine.
 
-News of a crash is sent to a few entries at once.  Recent crashes are also sent
-to a random entry at intervals, so that entries that were unreachable or started
-later learn of them.
+A crash is reported to a few entries at once.  Recent crashes are also reported to
+a random entry at intervals, so that entries that were unreachable or started later
+receive the reports, too.
 """
 
 import random
@@ -19,14 +19,14 @@
 __all__ = ["CrashGossip", "create_crash_gossip"]
 
 REPORT_FANOUT = 4
-"""Number of entries to which news of a crash is sent at once."""
+"""Number of entries to which a new crash is reported at once."""
 REPEAT_INTERVAL_S = 2.0
 REPEATED_REPORTS_MAX = 16
-"""Maximum number of recent crashes sent in one repetition."""
+"""Maximum number of recent crashes reported in one repetition."""
 
 
 class CrashGossip:
-    """Exchanges crash news with other entries and updates the quarantine."""
+    """Exchanges crash reports with other entries and updates the quarantine."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         timers.call_every(REPEAT_INTERVAL_S, self._repeat_recent)
 
     def report_crash(self, crash_id: str, fingerprints: tuple[str, ...]) -> None:
-        """Add a crash that this entry detected itself, and send it to others."""
+        """Add a crash that this entry detected itself, and report it to others."""
         self._handle_report(CrashNews(crash_id, fingerprints, 0))
 
     def _on_notice(self, sender: Sender, notice: CrashNotice) -> None:
@@ -98,7 +98,7 @@
 ) -> CrashGossip:
     """Create the gossip of entry `name` and subscribe it to crash notices.
 
-    News is sent to the entries that `list_entries` returns, by default to those
+    Crashes are reported to the entries that `list_entries` returns, by default to those
     with an open link.
     """
     return CrashGossip(name, quarantine, network, timers, rng, list_entries)
--- a/reedspar/requests/deduplication.py
+++ b/reedspar/requests/deduplication.py
@@ -1,4 +1,7 @@
-"""Filter that runs an order with an idempotency key at most once."""
+"""Filter that runs an order with an idempotency key at most once.
+
+An order is a request that is not idempotent.
+"""
 
 from collections.abc import Callable
 
@@ -43,7 +46,7 @@
         self._ttl_s = ttl_s
 
     async def apply(self, request: Request, proceed: Proceed) -> Answer:
-        """Run a request if its key was not claimed before or it has none."""
+        """Run a request that has no key, or whose key was not claimed before."""
         if not request.idempotency_key:
             return await proceed(request)
         locator = locate_claim(
--- a/reedspar/requests/messages.py
+++ b/reedspar/requests/messages.py
@@ -25,7 +25,7 @@
     """Forwards the report of a target's crash from entry to entry."""
 
     crash_id: str
-    """Includes the target's boot id, so that repeated news of a crash counts once."""
+    """Includes the target's boot id, so that repeated reports count once."""
     fingerprints: tuple[str, ...]
     age_ms: int
     """Time since the crash; an age, as the entries' clocks may differ."""
@@ -70,7 +70,9 @@
 
     claim_key: str
     token: str
+    """Id of the request that will run the order if the claim is granted."""
     payload: str
+    """Fingerprint of the order, by which a different order with its key is refused."""
     location: str
 
 
--- a/reedspar/requests/protection_filters.py
+++ b/reedspar/requests/protection_filters.py
@@ -1,4 +1,4 @@
-"""Filters that refuse requests early: quarantine, and admission to a pool."""
+"""Filters that protect targets: quarantine of requests, and admission to a pool."""
 
 import anyio
 
--- a/reedspar/requests/relay.py
+++ b/reedspar/requests/relay.py
@@ -39,14 +39,17 @@
 
 @dataclass(slots=True)
 class _RelayState:
-    """Attempts and results of one request so far."""
+    """Attempts of one request so far, and their result."""
 
     forwarder: StreamForwarder
     tried: set[str] = field(default_factory=set)
     result: Answer | None = None
+    """Answer that follows from all attempts so far."""
     handed_over_count: int = 0
     unreached_count: int = 0
+    """Attempts that ended before anything reached a target."""
     broken_count: int = 0
+    """Attempts without a complete answer through a fault of the target."""
 
 
 class Relay:
--- a/reedspar/requests/request.py
+++ b/reedspar/requests/request.py
@@ -122,6 +122,7 @@
 
 
 Proceed = Callable[[Request], Awaitable[Answer]]
+"""Runs the remaining filters and returns their answer."""
 
 
 class Filter(Protocol):
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -23,7 +23,7 @@
 """Load at which a target is full; its agent queues or refuses further requests."""
 QUEUE_LIMIT_LOAD = 1.5
 """Load at which a further request would wait in the queue until its deadline."""
-AFFINITY_MAX_LOAD = 0.75
+AFFINITY_LOAD_MAX = 0.75
 """Load below which requests are sent to the target that has their prefix cached."""
 AFFINITY_PREFIX_BYTES = 256
 """Length of the prompt prefix that identifies the target with the cached prefix."""
@@ -35,7 +35,7 @@
 BACKOFF_S = 0.25
 """Default time for which a target that refused for its own state is not used."""
 BACKOFF_MAX_S = 1.0
-"""Maximum of that time when the refusal says how long to wait."""
+"""Maximum of this time if the refusal gives a time to retry after."""
 
 
 class Router:
@@ -84,12 +84,13 @@
     def _pick_by_affinity(
         self, request: Request, views: list[TargetView]
     ) -> TargetView | None:
+        """Return the target with the request's prompt prefix cached, if it has room."""
         if request.pool_kind is not PoolKind.MODEL or not request.body:
             return None
         key = request.workspace + request.body[:AFFINITY_PREFIX_BYTES].decode("latin-1")
         by_name = {view.name: view for view in views}
         first = by_name[rank_by_rendezvous(key, by_name)[0]]
-        return first if first.load < AFFINITY_MAX_LOAD else None
+        return first if first.load < AFFINITY_LOAD_MAX else None
 
     def _pick_by_load(self, views: list[TargetView]) -> TargetView:
         if len(views) == 1:
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -63,7 +63,7 @@
     async def drain(self) -> None:
         """Drain requests, and return once this entry may stop.
 
-        Announce that the entry is shutting down before this call.
+        The other entries must already be notified that this one is shutting down.
         """
         self.addresses.exclude_self()
         options = DrainOptions(
--- a/reedspar/requests/stream_forwarder.py
+++ b/reedspar/requests/stream_forwarder.py
@@ -15,6 +15,7 @@
 BUFFERED_ANSWER_MAX_BYTES = 8 * 1024 * 1024
 """Maximum size of an answer that is buffered; larger ones are streamed."""
 STREAM_BUFFER_BYTES = 1024 * 1024
+"""Maximum size of the part of a stream that the caller has not read yet."""
 SUCCESS_STATUS = 200
 NON_SUCCESS_STATUS_MIN = 300
 
@@ -52,7 +53,7 @@
         return self._weights_digest if self.has_started else ""
 
     def headers(self) -> tuple[Header, ...]:
-        """Return the request's headers, with the event id to resume after."""
+        """Return the request's headers; a continuation has the last event's id."""
         headers = self._request.headers
         if not self.has_started:
             return headers
@@ -60,7 +61,7 @@
         return (*kept, Header(LAST_EVENT_ID_HEADER, self._splitter.last_event_id))
 
     async def forward(self, attempt: OpenAttempt, head: AttemptHead) -> Answer:
-        """Forward an answer; end it only if it is complete."""
+        """Forward an answer; end the response only if the answer is complete."""
         attempt.buffer_limit_bytes = STREAM_BUFFER_BYTES
         attempt.is_streamed = True
         if self.has_started and head.status != SUCCESS_STATUS:
--- a/reedspar/requests/target_directory.py
+++ b/reedspar/requests/target_directory.py
@@ -14,7 +14,7 @@
 """Time after its last report for which a target is used."""
 VIEW_RETENTION_S = 60.0
 """Time after its last report for which a target is remembered."""
-SPARE_CAPACITY_MAX_LOAD = 0.75
+SPARE_CAPACITY_LOAD_MAX = 0.75
 """Load of a pool up to which it has spare capacity."""
 RestartListener = Callable[[str, int], None]
 
@@ -102,7 +102,7 @@
         for view in self.usable_targets(pool):
             limit += view.report.limit
             count += view.request_count
-        return count + 1 <= SPARE_CAPACITY_MAX_LOAD * limit
+        return count + 1 <= SPARE_CAPACITY_LOAD_MAX * limit
 
     def target_count(self, pool: str) -> int:
         """Return the number of known targets of `pool`, usable or not."""
--- a/reedspar/requests/tests/mesh.py
+++ b/reedspar/requests/tests/mesh.py
@@ -1,4 +1,4 @@
-"""Network in memory between entries and real agents, with faulty links."""
+"""In-memory network between entries and real agents, with faulty links."""
 
 import asyncio
 import random
--- a/reedspar/requests/tests/test_application.py
+++ b/reedspar/requests/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the application over ASGI, with agents that run a test's script."""
+"""Tests of the application over ASGI, with agents whose replies a test scripts."""
 
 import unittest
 from collections.abc import Callable
--- a/reedspar/routes/access.py
+++ b/reedspar/routes/access.py
@@ -22,7 +22,7 @@
 def find_workspace(
     by_key: Mapping[str, WorkspaceAccess], authorization: str
 ) -> WorkspaceAccess | None:
-    """Return the workspace whose API key an ``Authorization`` header carries."""
+    """Return the workspace whose API key is in an ``Authorization`` header, or None."""
     scheme, _, key = authorization.partition(" ")
     if scheme.lower() != AUTHORIZATION_SCHEME:
         return None
