--- a/reedspar/requests/attempt_client.py
+++ b/reedspar/requests/attempt_client.py
@@ -242,7 +242,9 @@
         self._network.send(attempt.target, message)
 
     def _on_head(self, sender: Sender, message: AttemptHead) -> None:
-        self._feed(sender, message, lambda assembly: assembly.on_head(message))
+        self._handle_message(
+            sender, message, lambda assembly: assembly.on_head(message)
+        )
 
     def _on_data(self, sender: Sender, message: AttemptData) -> None:
         attempt = self._find_attempt(sender, message)
@@ -253,7 +255,7 @@
                 self._ack_progress(attempt)
 
     def _on_end(self, sender: Sender, message: AttemptEnd) -> None:
-        self._feed(sender, message, lambda assembly: assembly.on_end(message))
+        self._handle_message(sender, message, lambda assembly: assembly.on_end(message))
 
     def _on_refused(self, sender: Sender, message: AttemptRefused) -> None:
         attempt = self._find_attempt(sender, message)
@@ -263,18 +265,18 @@
             self._apply_progress(attempt, progress)
 
     def _on_status(self, sender: Sender, message: AttemptStatus) -> None:
-        self._feed(
+        self._handle_message(
             sender,
             message,
             lambda assembly: assembly.on_status(message, sender.incarnation),
         )
 
-    def _feed(
-        self, sender: Sender, message: Any, feed: Callable[[AnswerAssembly], Progress]
+    def _handle_message(
+        self, sender: Sender, message: Any, handle: Callable[[AnswerAssembly], Progress]
     ) -> None:
         attempt = self._find_attempt(sender, message)
         if attempt is not None:
-            self._apply_progress(attempt, feed(attempt.assembly))
+            self._apply_progress(attempt, handle(attempt.assembly))
 
     def _find_attempt(self, sender: Sender, message: Any) -> OpenAttempt | None:
         attempt = self._open.get((message.request_id, message.attempt))
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -131,7 +131,7 @@
         self._batches: dict[str, _Batch] = {}
         self._cache: OrderedDict[str, _CachedTable] = OrderedDict()
         self._tasks: TaskGroup | None = None
-        self._slots = anyio.Semaphore(CONCURRENT_COMMITS_MAX)
+        self._commit_slots = anyio.Semaphore(CONCURRENT_COMMITS_MAX)
         self.counts = LedgerCounts()
 
     async def run(self) -> None:
@@ -181,7 +181,7 @@
             if not batch.claims and not batch.updates:
                 del self._batches[location]
                 return
-            async with self._slots:
+            async with self._commit_slots:
                 await self._write_limiter.wait(location)
                 batch = self._batches[location]
                 self._batches[location] = _Batch()
--- a/reedspar/requests/draining.py
+++ b/reedspar/requests/draining.py
@@ -58,7 +58,7 @@
         kept_s = self.address_ttl_s + NOTICE_PROPAGATION_S
         return self.started_s + min(kept_s, SERVE_SHARE * self.timeout_s)
 
-    def decide(self, now_s: float, in_flight: int) -> DrainPhase:
+    def phase_at(self, now_s: float, in_flight: int) -> DrainPhase:
         """Return the phase at `now_s`."""
         if now_s < self.serves_until_s:
             return DrainPhase.SERVE
@@ -98,7 +98,7 @@
     drain = EntryDrain(now_s(), options.address_ttl_s, options.timeout_s)
     last_phase = DrainPhase.SERVE
     while True:
-        phase = drain.decide(now_s(), application.in_flight)
+        phase = drain.phase_at(now_s(), application.in_flight)
         if phase is DrainPhase.STOP:
             return
         if phase is not last_phase and phase is DrainPhase.FINISH:
--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -63,15 +63,15 @@
         if not views:
             return self._make_no_target(request)
         preferred = [view for view in views if view.name not in tried] or views
-        open_views = [view for view in preferred if view.load < QUEUE_LIMIT_LOAD]
-        if not open_views:
+        views_with_room = [view for view in preferred if view.load < QUEUE_LIMIT_LOAD]
+        if not views_with_room:
             return Failure(
                 Reason.OVERLOADED,
                 Step.ROUTE,
                 detail=f"all {len(views)} targets of {request.pool} are full",
                 retry_after_s=_time_to_free_slot_s(views),
             )
-        return self._pick(request, open_views)
+        return self._pick(request, views_with_room)
 
     def _pick(self, request: Request, views: list[TargetView]) -> TargetView:
         own_zone = [view for view in views if view.report.zone == self._zone]
