--- a/reedspar/requests/routing.py
+++ b/reedspar/requests/routing.py
@@ -12,7 +12,7 @@
 from reedspar.timers import TimerService
 from reedspar.utils import rank_by_rendezvous
 
-from .attempting import ChosenTarget
+from .relay_interfaces import ChosenTarget
 from .request import Answer, Outcome, Request
 from .target_directory import TargetDirectory, TargetView
 from .views import ConfigurationView
@@ -23,7 +23,7 @@
 """Load at which a target is full; its agent queues or refuses further requests."""
 QUEUE_LIMIT_LOAD = 1.5
 """Load at which a further request would wait in the queue until its deadline."""
-AFFINITY_MAX_LOAD = 0.75
+AFFINITY_LOAD_MAX = 0.75
 """Load below which requests are sent to the target that has their prefix cached."""
 AFFINITY_PREFIX_BYTES = 256
 """Length of the prompt prefix that identifies the target with the cached prefix."""
@@ -35,7 +35,7 @@
 BACKOFF_S = 0.25
 """Default time for which a target that refused for its own state is not used."""
 BACKOFF_MAX_S = 1.0
-"""Maximum of that time when the refusal says how long to wait."""
+"""Maximum of this time if the refusal gives a time to retry after."""
 
 
 class Router:
@@ -57,39 +57,40 @@
         """Return the target of the next attempt, preferring the entry's own zone."""
         views = [
             view
-            for view in self._directory.usable(request.pool)
+            for view in self._directory.usable_targets(request.pool)
             if document.is_zone_in(view.report.zone) and _can_serve(view, request)
         ]
         if not views:
             return self._make_no_target(request)
         preferred = [view for view in views if view.name not in tried] or views
-        open_views = [view for view in preferred if view.load < QUEUE_LIMIT_LOAD]
-        if not open_views:
+        views_with_room = [view for view in preferred if view.load < QUEUE_LIMIT_LOAD]
+        if not views_with_room:
             return Failure(
                 Reason.OVERLOADED,
                 Step.ROUTE,
                 detail=f"all {len(views)} targets of {request.pool} are full",
-                retry_after_s=_drain_time_s(views),
+                retry_after_s=_time_to_free_slot_s(views),
             )
-        return self._pick(request, open_views)
+        return self._pick(request, views_with_room)
 
     def _pick(self, request: Request, views: list[TargetView]) -> TargetView:
-        own = [view for view in views if view.report.zone == self._zone]
-        for group in (own, views):
+        own_zone = [view for view in views if view.report.zone == self._zone]
+        for group in (own_zone, views):
             free = [view for view in group if view.load < FULL_TARGET_LOAD]
             if free:
-                return self._pick_affine(request, free) or self._pick_by_load(free)
+                return self._pick_by_affinity(request, free) or self._pick_by_load(free)
         return self._pick_by_load(views)
 
-    def _pick_affine(
+    def _pick_by_affinity(
         self, request: Request, views: list[TargetView]
     ) -> TargetView | None:
+        """Return the target with the request's prompt prefix cached, if it has room."""
         if request.pool_kind is not PoolKind.MODEL or not request.body:
             return None
         key = request.workspace + request.body[:AFFINITY_PREFIX_BYTES].decode("latin-1")
         by_name = {view.name: view for view in views}
         first = by_name[rank_by_rendezvous(key, by_name)[0]]
-        return first if first.load < AFFINITY_MAX_LOAD else None
+        return first if first.load < AFFINITY_LOAD_MAX else None
 
     def _pick_by_load(self, views: list[TargetView]) -> TargetView:
         if len(views) == 1:
@@ -98,7 +99,7 @@
         return one if _cost(one) <= _cost(two) else two
 
     def _make_no_target(self, request: Request) -> Failure:
-        known = self._directory.count(request.pool)
+        known = self._directory.target_count(request.pool)
         detail = f"none of {known} known targets of {request.pool} may be given work"
         return Failure(
             Reason.NO_TARGET,
@@ -178,7 +179,7 @@
     return (view.load + slot_share) * max(view.report.latency_s, LATENCY_MIN_S)
 
 
-def _drain_time_s(views: list[TargetView]) -> float:
+def _time_to_free_slot_s(views: list[TargetView]) -> float:
     """Return the shortest expected time until a full target can accept a request."""
     waits = [
         view.report.latency_s
--- a/reedspar/requests/service.py
+++ b/reedspar/requests/service.py
@@ -13,14 +13,14 @@
 from reedspar.settings import RequestSettings
 from reedspar.timers import TimerService
 
-from .address_list import AddressList
+from .address_list import AddressListEndpoint
 from .application import RequestApplication, RequestIdGenerator
 from .attempt_client import AttemptClient, create_attempt_client
 from .caller_adapter import PoolAdapter
 from .claim_client import ClaimClient
 from .claim_ledger import ClaimLedger, LedgerOptions
 from .crash_gossip import create_crash_gossip
-from .deduplicate import DeduplicationFilter
+from .deduplication import DeduplicationFilter
 from .draining import DrainOptions, run_drain
 from .filters import (
     ClassificationFilter,
@@ -28,11 +28,11 @@
     RequestLimitsFilter,
     chain_filters,
 )
-from .guards import AdmissionFilter, QuarantineFilter
+from .protection_filters import AdmissionFilter, QuarantineFilter
 from .quarantine import Quarantine
 from .relay import Relay
 from .request import Filter
-from .retries import RetryBudgets
+from .retry_budgets import RetryBudgets
 from .routing import PoolChooser, Router
 from .target_directory import TargetDirectory, create_target_directory
 from .views import ConfigurationView, EntryDirectory
@@ -48,7 +48,7 @@
     """The parts of the entry role that the daemon uses."""
 
     application: RequestApplication
-    addresses: AddressList
+    addresses: AddressListEndpoint
     client: AttemptClient
     directory: TargetDirectory
     ledger: ClaimLedger
@@ -63,7 +63,7 @@
     async def drain(self) -> None:
         """Drain requests, and return once this entry may stop.
 
-        Announce that the entry is shutting down before this call.
+        The other entries must already be notified that this one is shutting down.
         """
         self.addresses.exclude_self()
         options = DrainOptions(
@@ -91,7 +91,7 @@
     """Build the entry role on the daemon's network, timers and configuration."""
     client = create_attempt_client(network, timers)
     directory = create_target_directory(network, timers)
-    directory.on_incarnation(client.on_incarnation)
+    directory.on_agent_restart(client.on_incarnation)
     quarantine = Quarantine()
     create_crash_gossip(name, quarantine, network, timers, rng)
     ledger = ClaimLedger(
@@ -121,7 +121,9 @@
     ]
     if first_filter is not None:
         filters.insert(0, first_filter)
-    addresses = AddressList(name, zone, configuration, entries, settings.address_ttl_s)
+    addresses = AddressListEndpoint(
+        name, zone, configuration, entries, settings.address_ttl_s
+    )
     application = RequestApplication(
         chain_filters(filters),
         PoolAdapter(),
