--- a/reedspar/weights/__init__.py
+++ b/reedspar/weights/__init__.py
@@ -27,7 +27,7 @@
     from .manifest_exchange import VersionedOrigin, create_manifest_exchange
     from .messages import register_messages
     from .publishing import Publication, WeightSink, publish_weights
-    from .staged import StagedReader
+    from .staged_recovery import StagedReader
     from .views import AgentSettings, ConfigurationView, PeerView
 
 __all__ = [
@@ -105,7 +105,7 @@
                 "WeightSink",
                 "publish_weights",
             ),
-            "staged": ("StagedReader",),
+            "staged_recovery": ("StagedReader",),
             "views": (
                 "AgentSettings",
                 "ConfigurationView",
--- a/reedspar/weights/announcing.py
+++ b/reedspar/weights/announcing.py
@@ -92,7 +92,7 @@
         )
         self._actions.append(SendMessage(neighbour.name, message))
 
-    def announce_not_needed(self) -> None:
+    def announce_no_chunks_needed(self) -> None:
         """Announce to the neighbours that this agent needs no more chunks."""
         transfer = self._transfer
         chunk_count = len(transfer.digests)
@@ -133,7 +133,7 @@
         neighbour = table.add(peer, is_source=self._placement.is_source(peer))
         if neighbour is None:
             return
-        neighbour.seen_sequence = message.sequence
+        neighbour.received_sequence = message.sequence
         held = decode_map(message.held)
         seen_before = table.seen_map
         table.set_maps(neighbour, held, decode_map(message.obtained), now_s)
@@ -148,11 +148,11 @@
         neighbour = table.neighbours.get(peer)
         if neighbour is None:
             return
-        if message.sequence != neighbour.seen_sequence + 1:
+        if message.sequence != neighbour.received_sequence + 1:
             # An update was lost with a broken link.  The chunks in it would never be
             # requested from this peer, so its complete maps are requested.
             self.send_map(neighbour, now_s, is_reply_wanted=True)
-        neighbour.seen_sequence = message.sequence
+        neighbour.received_sequence = message.sequence
         if table.update(neighbour, message.gained, message.dropped, now_s):
             self._transfer.record_progress(now_s)
 
--- a/reedspar/weights/assembly.py
+++ b/reedspar/weights/assembly.py
@@ -3,12 +3,12 @@
 from reedspar.errors import Failure, Reason, Step
 from reedspar.utils import digest_bytes
 
-from .manifest import CHUNK_LIMIT_BYTES
-from .messages import PIECE_SIZE_BYTES, ChunkPiece
+from .manifest import CHUNK_MAX_BYTES
+from .messages import PIECE_MAX_BYTES, ChunkPiece
 
-__all__ = ["OBJECT_LIMIT_BYTES", "Assembly", "split_into_pieces"]
+__all__ = ["OBJECT_MAX_BYTES", "Assembly", "split_into_pieces"]
 
-OBJECT_LIMIT_BYTES = 2 * CHUNK_LIMIT_BYTES
+OBJECT_MAX_BYTES = 2 * CHUNK_MAX_BYTES
 """Maximum object size; a manifest of 65,536 chunks is smaller."""
 
 
@@ -43,7 +43,7 @@
         expected_bytes = self._size_bytes or piece.total_bytes
         end = piece.offset + len(piece.data)
         is_in_order = piece.offset == len(self._data) and piece.data
-        is_in_bounds = end <= piece.total_bytes <= OBJECT_LIMIT_BYTES
+        is_in_bounds = end <= piece.total_bytes <= OBJECT_MAX_BYTES
         if not (is_in_order and is_in_bounds and piece.total_bytes == expected_bytes):
             return self._fail(peer, f"piece at {piece.offset} does not fit")
         self._size_bytes = piece.total_bytes
@@ -68,7 +68,7 @@
             request_id,
             start,
             len(data),
-            data[start : start + PIECE_SIZE_BYTES],
+            data[start : start + PIECE_MAX_BYTES],
         )
-        for start in range(0, len(data), PIECE_SIZE_BYTES)
+        for start in range(0, len(data), PIECE_MAX_BYTES)
     ]
--- a/reedspar/weights/cache.py
+++ b/reedspar/weights/cache.py
@@ -23,12 +23,12 @@
 from reedspar.messages import Sender
 from reedspar.timers import TimerService
 
+from .action_runner import TICK_INTERVAL_S, ActionRunner
 from .distribution import Distribution, WeightPeer
 from .limits import create_swarm_limits
 from .manifest import Manifest
 from .manifest_exchange import CachePeers, VersionedOrigin
 from .messages import DISTRIBUTION_MESSAGES
-from .pump import TICK_INTERVAL_S, ActionRunner
 from .swarm import SwarmDistribution
 from .views import AgentSettings
 
@@ -37,7 +37,7 @@
 PEER_REFRESH_INTERVAL_S = 0.5
 MANIFEST_RETRY_MIN_S = 0.1
 MANIFEST_RETRY_MAX_S = 0.5
-VERSIONS_PER_MODEL = 2
+VERSIONS_PER_MODEL_MAX = 2
 """Maximum number of versions of a model that are transferred at the same time."""
 
 _logger = logging.getLogger(__name__)
@@ -92,7 +92,7 @@
         if named and self._peers.is_cache():
             self._named_while_caching.add((model, version))
         named.append(version)
-        del named[:-VERSIONS_PER_MODEL]
+        del named[:-VERSIONS_PER_MODEL_MAX]
         self._wakeup.set()
 
     async def run(self) -> None:
@@ -137,9 +137,9 @@
         manifests.append(manifest)
         manifests.sort(key=lambda kept: kept.sequence)
         now_s = self._now_s()
-        for older in manifests[:-VERSIONS_PER_MODEL]:
+        for older in manifests[:-VERSIONS_PER_MODEL_MAX]:
             self._distribution.remove_version(older.root_digest, now_s)
-        del manifests[:-VERSIONS_PER_MODEL]
+        del manifests[:-VERSIONS_PER_MODEL_MAX]
         self._set_peers(model)
         self._distribution.register_version(manifest, now_s)
         if (model, version) in self._named_while_caching:
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -15,6 +15,7 @@
 from reedspar.platform import EngineState, ModelEngine, WeightSource
 from reedspar.timers import TimerService
 
+from .action_runner import TICK_INTERVAL_S, ActionRunner
 from .activation import SwitchGate
 from .distribution import Distribution, WeightPeer
 from .fencing import FencingNumbers
@@ -24,11 +25,10 @@
 from .messages import DISTRIBUTION_MESSAGES, VersionNotice, VersionPhase
 from .offers import OfferTracker
 from .progress import ProgressLog
-from .pump import TICK_INTERVAL_S, ActionRunner
 from .rollout import Rollout
-from .staged import StagedReader, StagedRecovery
+from .staged_recovery import StagedReader, StagedRecovery
+from .staged_version import StagedVersion, StagingOrder
 from .stager import Stager
-from .staging import StagedVersion, StagingOrder
 from .swarm import SwarmDistribution
 from .verification import StagedVerifier
 from .views import AgentSettings, ConfigurationView, PeerView, VersionDeadlines
@@ -294,7 +294,7 @@
         staged = self._staged.get(order.model)
         if staged is not None:
             self._verifier.record_staged(staged)
-        if staged is not None and staged.is_whole:
+        if staged is not None and staged.is_fully_staged:
             sequence, reads = staged.version.sequence, self._runner.origin_reads
             extra = {"version": sequence, "origin_reads": reads}
             _logger.info("weights staged", extra=extra)
@@ -317,7 +317,7 @@
                 self._tasks.start_soon(self._switch, staged)
 
     def _may_switch(self, staged: StagedVersion) -> bool:
-        if not staged.is_whole or not self._loader.may_start(staged):
+        if not staged.is_fully_staged or not self._loader.may_start(staged):
             return False
         if not self._offers.is_serving(staged.model):
             return True
@@ -334,7 +334,7 @@
             return VersionPhase.SWITCHING
         if staged is None or self._offers.is_confirmed(model):
             return VersionPhase.SERVING
-        if staged.is_whole and self._offers.is_serving(model):
+        if staged.is_fully_staged and self._offers.is_serving(model):
             return VersionPhase.WAITING
         return VersionPhase.FETCHING
 
--- a/reedspar/weights/fencing.py
+++ b/reedspar/weights/fencing.py
@@ -24,7 +24,7 @@
 ]
 
 KEY_PREFIX = "fences/"
-VERSIONS_PER_MODEL = 2
+VERSIONS_PER_MODEL_MAX = 2
 """Versions stored per model: the last one ordered, and the one before it, which may
 still be served."""
 WRITE_ATTEMPTS_MAX = 6
@@ -57,7 +57,7 @@
         same = [v for v in self.ordered if v.model == version.model and v != version]
         same.sort(key=lambda v: v.sequence)
         others = tuple(v for v in self.ordered if v.model != version.model)
-        kept = (*same, version)[-VERSIONS_PER_MODEL:]
+        kept = (*same, version)[-VERSIONS_PER_MODEL_MAX:]
         return FencingRecord(self.number + 1, (*others, *kept))
 
 
--- a/reedspar/weights/fetches.py
+++ b/reedspar/weights/fetches.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from .assembly import OBJECT_LIMIT_BYTES, Assembly
+from .assembly import OBJECT_MAX_BYTES, Assembly
 from .distribution import Action, ReadOrigin, SendMessage
 from .memory import ChunkMemory
 from .messages import ChunkCancel, ChunkRequest
@@ -156,20 +156,20 @@
         self._actions = actions
         self._fetches: dict[str, Fetch] = {}
         self._request_ids = itertools.count(1)
-        self._near_open = 0
-        self._far_open: Counter[str] = Counter()
+        self._same_region_open_count = 0
+        self._open_counts: Counter[str] = Counter()
 
     def __contains__(self, digest: str) -> bool:
         return digest in self._fetches
 
     @property
-    def near_open(self) -> int:
+    def same_region_open_count(self) -> int:
         """Return the number of open requests within the region."""
-        return self._near_open
+        return self._same_region_open_count
 
-    def far_open(self, region: str) -> int:
+    def open_count(self, region: str) -> int:
         """Return the number of open requests to another region or to the origin."""
-        return self._far_open[region]
+        return self._open_counts[region]
 
     def get(self, digest: str) -> Fetch | None:
         """Return the fetch of an object, or None."""
@@ -203,7 +203,7 @@
     ) -> bool:
         """Send a request to a peer or the origin; return False if memory is full."""
         size_bytes = fetch.size_bytes or min(
-            OBJECT_LIMIT_BYTES, self._memory.capacity_bytes
+            OBJECT_MAX_BYTES, self._memory.capacity_bytes
         )
         if not self._memory.reserve(size_bytes):
             return False
@@ -272,6 +272,6 @@
     def _count(self, request: Request, change: int) -> None:
         self._peers.outstanding[request.peer] += change
         if request.region:
-            self._far_open[request.region] += change
+            self._open_counts[request.region] += change
         else:
-            self._near_open += change
+            self._same_region_open_count += change
--- a/reedspar/weights/loading.py
+++ b/reedspar/weights/loading.py
@@ -14,7 +14,7 @@
 from .activation import SwitchGate
 from .fencing import FencingNumbers
 from .offers import OfferTracker
-from .staging import StagedVersion
+from .staged_version import StagedVersion
 from .verification import StagedVerifier
 
 __all__ = ["Loader"]
@@ -119,7 +119,7 @@
             if corrupt:
                 detail = f"{len(corrupt)} staged chunks are spoilt"
                 return Failure(Reason.CORRUPT, Step.CHUNK_CHECK, detail=detail)
-            if staged.is_whole and boot_id == self._offers.boot_id:
+            if staged.is_fully_staged and boot_id == self._offers.boot_id:
                 return await self._order(staged, number)
             return Failure(Reason.CONFLICT, Step.LOAD, detail="the engine restarted")
         finally:
--- a/reedspar/weights/manifest.py
+++ b/reedspar/weights/manifest.py
@@ -22,8 +22,8 @@
 ]
 
 CHUNK_SIZE_BYTES = 256 * 1024
-CHUNK_LIMIT_BYTES = 4 * 1024 * 1024
-CHUNK_COUNT_LIMIT = 65_536
+CHUNK_MAX_BYTES = 4 * 1024 * 1024
+CHUNK_COUNT_MAX = 65_536
 
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
@@ -39,7 +39,7 @@
     """A chunk of weights; versions with the same bytes share it."""
 
     digest: Digest
-    size_bytes: int = Field(ge=1, le=CHUNK_LIMIT_BYTES)
+    size_bytes: int = Field(ge=1, le=CHUNK_MAX_BYTES)
 
 
 class Manifest(ManifestModel):
@@ -49,7 +49,7 @@
     label: str
     sequence: int = Field(ge=1)
     root_digest: Digest
-    chunks: tuple[Chunk, ...] = Field(min_length=1, max_length=CHUNK_COUNT_LIMIT)
+    chunks: tuple[Chunk, ...] = Field(min_length=1, max_length=CHUNK_COUNT_MAX)
 
     @model_validator(mode="after")
     def _check_root(self) -> Self:
@@ -84,8 +84,8 @@
     weights: bytes | Path, chunk_size_bytes: int = CHUNK_SIZE_BYTES
 ) -> Iterator[bytes]:
     """Yield the chunks of weights in memory or in a file, in order."""
-    if not 1 <= chunk_size_bytes <= CHUNK_LIMIT_BYTES:
-        raise ValueError(f"chunk_size_bytes must be 1 to {CHUNK_LIMIT_BYTES}")
+    if not 1 <= chunk_size_bytes <= CHUNK_MAX_BYTES:
+        raise ValueError(f"chunk_size_bytes must be 1 to {CHUNK_MAX_BYTES}")
     if isinstance(weights, bytes):
         for start in range(0, len(weights), chunk_size_bytes):
             yield weights[start : start + chunk_size_bytes]
--- a/reedspar/weights/manifest_exchange.py
+++ b/reedspar/weights/manifest_exchange.py
@@ -52,7 +52,7 @@
 class VersionedOrigin(WeightSource, ManifestReader, Protocol):
     """An origin that also reads manifests by version."""
 
-    def learn_manifest(self, manifest: Manifest) -> None:
+    def register_manifest(self, manifest: Manifest) -> None:
         """Register a manifest received from a peer so that its chunks can be read."""
         ...
 
@@ -103,9 +103,9 @@
         """Return an object of the origin by its digest."""
         return await self._origin.read(name, offset, size_bytes)
 
-    def learn_manifest(self, manifest: Manifest) -> None:
+    def register_manifest(self, manifest: Manifest) -> None:
         """Register a manifest received from a peer and serve it to other peers."""
-        self._origin.learn_manifest(manifest)
+        self._origin.register_manifest(manifest)
         self._store(manifest)
 
     async def read_manifest(self, model: str, version: int) -> Manifest | Failure:
@@ -115,7 +115,7 @@
         if len(answers) == MANIFEST_READERS and len(set(answers)) == 1:
             manifest = _decode_answer(answers[0], key)
             if manifest is not None:
-                self.learn_manifest(manifest)
+                self.register_manifest(manifest)
                 return manifest
         read = await self._read_origin(key)
         if isinstance(read, Failure):
@@ -156,7 +156,7 @@
             manifest = _decode_answer(answer, key)
             if manifest is not None:
                 # Not stored for peers, since only one peer vouches for it.
-                self._origin.learn_manifest(manifest)
+                self._origin.register_manifest(manifest)
                 return manifest
         return None
 
@@ -165,15 +165,17 @@
         caches = [p for p in self._peers.agents_of(model) if p.is_cache]
         is_cache = self._peers.is_cache()
         if not is_cache:
-            near = [p.name for p in caches if p.region == self._me.region]
-            if len(near) >= MANIFEST_READERS:
-                return rank_by_rendezvous(self._me.name, near)[:MANIFEST_READERS]
+            names = [p.name for p in caches if p.region == self._me.region]
+            if len(names) >= MANIFEST_READERS:
+                return rank_by_rendezvous(self._me.name, names)[:MANIFEST_READERS]
         regions = {p.name: p.region for p in caches}
         if is_cache:
             regions[self._me.name] = self._me.region
         origin_region = self._origin_region()
-        near = [name for name, region in regions.items() if region == origin_region]
-        readers = rank_by_rendezvous(MANIFEST_READERS_KEY, near or regions)[
+        origin_caches = [
+            name for name, region in regions.items() if region == origin_region
+        ]
+        readers = rank_by_rendezvous(MANIFEST_READERS_KEY, origin_caches or regions)[
             :MANIFEST_READERS
         ]
         is_reader = self._me.name in readers
--- a/reedspar/weights/messages.py
+++ b/reedspar/weights/messages.py
@@ -7,7 +7,7 @@
 
 __all__ = [
     "DISTRIBUTION_MESSAGES",
-    "PIECE_SIZE_BYTES",
+    "PIECE_MAX_BYTES",
     "ChunkCancel",
     "ChunkGrant",
     "ChunkPiece",
@@ -24,7 +24,7 @@
     "register_messages",
 ]
 
-PIECE_SIZE_BYTES = 64 * 1024
+PIECE_MAX_BYTES = 64 * 1024
 """Maximum payload of a message; live messages are sent between two pieces."""
 
 
@@ -59,7 +59,7 @@
     digest: str
     request_id: int
     may_draw: bool = False
-    granted_bytes: int = PIECE_SIZE_BYTES
+    granted_bytes: int = PIECE_MAX_BYTES
 
 
 @dataclass(frozen=True, slots=True)
--- a/reedspar/weights/pulling.py
+++ b/reedspar/weights/neighbour_fetching.py
@@ -44,15 +44,15 @@
         if not placement.fetches_all:
             return
         limits = self._limits
-        limit = limits.window_end(transfer, now_s)
+        window_end = limits.window_end(transfer, now_s)
         window = self._window(transfer, placement, now_s)
-        while self._fetches.near_open < window:
+        while self._fetches.same_region_open_count < window:
             choice = pick_request(
                 transfer,
                 lambda digest: not self._fetches.is_blocked(digest, now_s),
                 lambda name: self._load_of(name, placement, now_s),
                 self._rng,
-                limit,
+                window_end,
             )
             if choice is None:
                 return
@@ -68,15 +68,15 @@
         chunks of the region at any time.
         """
         limits = self._limits
-        if placement.draws_everywhere or not self._fetches.far_open(ORIGIN):
-            return limits.window
+        if placement.all_regions_read_origin or not self._fetches.open_count(ORIGIN):
+            return limits.same_region_window
         if (
             not transfer.assigned
             or now_s - self._last_remote_chunk_s > REMOTE_CHUNK_TIMEOUT_S
         ):
-            return limits.window
+            return limits.same_region_window
         remote_share = min(1.0, ORIGIN_LINK_RATIO * transfer.assigned_share)
-        return round(limits.window * (1 - remote_share))
+        return round(limits.same_region_window * (1 - remote_share))
 
     def _load_of(self, name: str, placement: Placement, now_s: float) -> int | None:
         """Return a peer's load from its open requests; None if it gets no more now.
@@ -88,7 +88,7 @@
             return None
         load = self._peers.outstanding[name]
         if placement.is_cache(name):
-            return load - self._limits.window
+            return load - self._limits.same_region_window
         return load if load < self._limits.requests_per_peer else None
 
     def _request_chunk(
--- a/reedspar/weights/neighbours.py
+++ b/reedspar/weights/neighbours.py
@@ -36,7 +36,7 @@
     obtained: int = 0
     has_answered: bool = False
     sent_sequence: int = 0
-    seen_sequence: int = 0
+    received_sequence: int = 0
     last_gain_s: float = 0.0
     map_requested_s: float = 0.0
 
--- a/reedspar/weights/placement.py
+++ b/reedspar/weights/placement.py
@@ -34,18 +34,18 @@
         origin_slots: int,
         region_slots: int,
         *,
-        draws_everywhere: bool = False,
+        all_regions_read_origin: bool = False,
     ) -> None:
         self._me = me
-        self._draws_everywhere = draws_everywhere
+        self._all_regions_read_origin = all_regions_read_origin
         self._origin_region = origin_region
         self._origin_slots = origin_slots
         self._region_slots = region_slots
         self._agents: frozenset[WeightPeer] = frozenset([me])
-        self._names: dict[str, list[str]] = {me.region: [me.name]}
-        self._regions: dict[str, str] = {me.name: me.region}
+        self._names_by_region: dict[str, list[str]] = {me.region: [me.name]}
+        self._region_by_name: dict[str, str] = {me.name: me.region}
         self._caches = frozenset([me.name] if me.is_cache else [])
-        self._has_cache_near_origin = me.is_cache and me.region == origin_region
+        self._has_origin_region_cache = me.is_cache and me.region == origin_region
         self._ranked: dict[tuple[str, str], list[str]] = {}
         self._slots: dict[str, list[str]] = {}
 
@@ -55,24 +55,24 @@
         return self._me.name
 
     @property
-    def draws_everywhere(self) -> bool:
+    def all_regions_read_origin(self) -> bool:
         """Return whether agents of all regions read from the origin.
 
         A cache in the origin's region fills the origin's link alone.  A chunk that it
         reads crosses to each other region once; one that another region reads crosses
         once more.
         """
-        return self._draws_everywhere and not self._has_cache_near_origin
+        return self._all_regions_read_origin and not self._has_origin_region_cache
 
     @property
     def may_read_origin(self) -> bool:
         """Return whether this agent may read from the origin in a fallback."""
-        return self._draws_everywhere or self.is_in_origin_region
+        return self._all_regions_read_origin or self.is_in_origin_region
 
     @property
     def origin_reader_count(self) -> int:
         """Return the number of agents assigned to read from the origin."""
-        if self.draws_everywhere:
+        if self.all_regions_read_origin:
             return len(set(self._slots_of_all()))
         return len(set(self._slots_of(self._origin_region)))
 
@@ -82,29 +82,29 @@
 
         That is also the case if the origin's region has no live agent.
         """
-        is_nearest = self._me.region == self._origin_region
-        return is_nearest or not self._names.get(self._origin_region)
+        is_in_region = self._me.region == self._origin_region
+        return is_in_region or not self._names_by_region.get(self._origin_region)
 
     def is_fetched_from_origin(self, index: int) -> bool:
         """Return whether this region fetches a chunk from the origin."""
-        if self.draws_everywhere:
+        if self.all_regions_read_origin:
             return self._gateway_region(index) == self._me.region
         return self.is_in_origin_region
 
     @property
     def region_names(self) -> list[str]:
         """Return the names of this region's agents, including this one."""
-        return self._names[self._me.region]
+        return self._names_by_region[self._me.region]
 
     @property
     def names(self) -> list[str]:
         """Return the names of all live agents, including this one."""
-        return list(self._regions)
+        return list(self._region_by_name)
 
     @property
     def other_regions(self) -> list[str]:
         """Return the other regions with live agents."""
-        return [region for region in self._names if region != self._me.region]
+        return [region for region in self._names_by_region if region != self._me.region]
 
     def set_peers(self, peers: Iterable[WeightPeer]) -> bool:
         """Set the other live agents; return whether they have changed."""
@@ -112,12 +112,12 @@
         if agents == self._agents:
             return False
         self._agents = agents
-        self._names = {}
+        self._names_by_region = {}
         for agent in sorted(agents):
-            self._names.setdefault(agent.region, []).append(agent.name)
-        self._regions = {agent.name: agent.region for agent in agents}
+            self._names_by_region.setdefault(agent.region, []).append(agent.name)
+        self._region_by_name = {agent.name: agent.region for agent in agents}
         self._caches = frozenset(a.name for a in agents if a.is_cache)
-        self._has_cache_near_origin = any(
+        self._has_origin_region_cache = any(
             a.is_cache and a.region == self._origin_region for a in agents
         )
         self._ranked.clear()
@@ -147,7 +147,7 @@
 
     def region_of(self, name: str) -> str:
         """Return the region of an agent, or an empty string if it is not live."""
-        return self._regions.get(name, "")
+        return self._region_by_name.get(name, "")
 
     def replicas(self, digest: str, region: str = "") -> list[str]:
         """Return the replicas of an object in a region (default: own), by rank."""
@@ -155,7 +155,7 @@
         region = region or self._me.region
         key = (region, bucket)
         if key not in self._ranked:
-            names = self._prefer_caches(self._names.get(region, []))
+            names = self._prefer_caches(self._names_by_region.get(region, []))
             self._ranked[key] = heapq.nlargest(
                 RANKED_AGENTS_MAX,
                 names,
@@ -166,7 +166,7 @@
     def assigned_agent(self, index: int, region: str = "") -> str:
         """Return the agent assigned to fetch a chunk into a region (default: own)."""
         region = region or self._me.region
-        if self.draws_everywhere and region == self._gateway_region(index):
+        if self.all_regions_read_origin and region == self._gateway_region(index):
             return self._assigned_origin_reader(index)
         slots = self._slots_of(region)
         # Gateway regions also rotate by index.  If slots rotated in step with them,
@@ -185,30 +185,37 @@
         which passes it on, so that all links between regions share the load.
         """
         gateway_region = self._gateway_region(index)
-        if self.draws_everywhere:
+        if self.all_regions_read_origin:
             names = [
                 self._assigned_origin_reader(index),
                 *self.remote_holders(index, digest),
             ]
             return [name for name in dict.fromkeys(names) if name]
-        near = [self.assigned_agent(index, self._origin_region)]
-        far = (
+        origin_names = [self.assigned_agent(index, self._origin_region)]
+        gateway_names = (
             [self.assigned_agent(index, gateway_region)]
             if gateway_region != self._me.region
             else []
         )
-        names = [*far, *near, *self.replicas(digest, self._origin_region)]
+        names = [
+            *gateway_names,
+            *origin_names,
+            *self.replicas(digest, self._origin_region),
+        ]
         names = [name for name in dict.fromkeys(names) if name]
-        return [name for name in names if self._regions[name] != self._me.region]
+        return [name for name in names if self._region_by_name[name] != self._me.region]
 
     def remote_holders(self, index: int, digest: str) -> list[str]:
         """Return the agents of other regions that may hold a chunk."""
         gateway_region = self._gateway_region(index)
-        regions = [gateway_region, *(r for r in self._names if r != gateway_region)]
+        regions = [
+            gateway_region,
+            *(r for r in self._names_by_region if r != gateway_region),
+        ]
         assigned_agents = [self.assigned_agent(index, region) for region in regions]
         replicas = [name for r in regions for name in self.replicas(digest, r)[:1]]
         names = [name for name in dict.fromkeys([*assigned_agents, *replicas]) if name]
-        return [name for name in names if self._regions[name] != self._me.region]
+        return [name for name in names if self._region_by_name[name] != self._me.region]
 
     def ancestors(self, digest: str) -> list[str]:
         """Return the ancestors of this agent in the tree of a single object.
@@ -226,12 +233,12 @@
 
     def roots(self, digest: str) -> list[str]:
         """Return the agents in the origin's region to request a single object from."""
-        names = self._names.get(self._origin_region, [])
+        names = self._names_by_region.get(self._origin_region, [])
         return rank_by_rendezvous(digest, names)[:RANKED_AGENTS_MAX]
 
     def _gateway_region(self, index: int) -> str:
-        if self.draws_everywhere:
-            return self._regions[self._assigned_origin_reader(index)]
+        if self.all_regions_read_origin:
+            return self._region_by_name[self._assigned_origin_reader(index)]
         others = self._non_origin_regions()
         return others[index % len(others)] if others else self._origin_region
 
@@ -247,19 +254,19 @@
 
     def _slots_of_all(self) -> list[str]:
         if ALL_REGIONS not in self._slots:
-            names = self._prefer_caches(sorted(self._regions))
+            names = self._prefer_caches(sorted(self._region_by_name))
             self._slots[ALL_REGIONS] = self._assign_slots(names, self._origin_slots)
         return self._slots[ALL_REGIONS]
 
     def _non_origin_regions(self) -> list[str]:
-        return sorted(r for r in self._names if r != self._origin_region)
+        return sorted(r for r in self._names_by_region if r != self._origin_region)
 
     def _slots_of(self, region: str) -> list[str]:
         if region not in self._slots:
             count = self._region_slots
             if region == self._origin_region:
                 count = self._origin_slots
-            names = self._prefer_caches(self._names.get(region, []))
+            names = self._prefer_caches(self._names_by_region.get(region, []))
             self._slots[region] = self._assign_slots(names, count)
         return self._slots[region]
 
--- a/reedspar/weights/progress.py
+++ b/reedspar/weights/progress.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from .staging import StagedVersion
+from .staged_version import StagedVersion
 
 __all__ = ["ProgressLog"]
 
@@ -28,7 +28,7 @@
             return
         for staged in versions:
             left_s = self._left_s(staged.root_digest)
-            if staged.is_whole or not left_s:
+            if staged.is_fully_staged or not left_s:
                 continue
             self._logged_s = now_s
             extra = {
--- a/reedspar/weights/publishing.py
+++ b/reedspar/weights/publishing.py
@@ -96,10 +96,10 @@
 
 async def _upload(sink: WeightSink, name: str, data: bytes) -> bool | Failure:
     """Store an object if the origin lacks it; return whether it was stored."""
-    is_there = await sink.has(name)
-    if isinstance(is_there, Failure):
-        return is_there
-    if is_there:
+    is_stored = await sink.has(name)
+    if isinstance(is_stored, Failure):
+        return is_stored
+    if is_stored:
         return False
     failure = await sink.put(name, data)
     if is_failure(failure):
--- a/reedspar/weights/reachability.py
+++ b/reedspar/weights/reachability.py
@@ -14,23 +14,27 @@
     """
 
     def __init__(self) -> None:
-        self._until_s: dict[str, float] = {}
+        self._unreachable_until_s: dict[str, float] = {}
 
     def __contains__(self, peer: str) -> bool:
         """Return whether a peer is considered reachable."""
-        return peer not in self._until_s
+        return peer not in self._unreachable_until_s
 
     def record_lost(self, peer: str, now_s: float) -> None:
         """Record that the link to a peer was lost or refused."""
-        self._until_s[peer] = now_s + UNREACHABLE_DURATION_S
+        self._unreachable_until_s[peer] = now_s + UNREACHABLE_DURATION_S
 
     def record_message(self, peer: str) -> bool:
         """Record a peer's message; return whether it was considered unreachable."""
-        return self._until_s.pop(peer, None) is not None
+        return self._unreachable_until_s.pop(peer, None) is not None
 
     def expire(self, now_s: float) -> bool:
         """Remove expired entries; return whether there were any."""
-        due = [peer for peer, until_s in self._until_s.items() if until_s <= now_s]
+        due = [
+            peer
+            for peer, until_s in self._unreachable_until_s.items()
+            if until_s <= now_s
+        ]
         for peer in due:
-            del self._until_s[peer]
+            del self._unreachable_until_s[peer]
         return bool(due)
--- a/reedspar/weights/receiving.py
+++ b/reedspar/weights/receiving.py
@@ -6,7 +6,7 @@
 from reedspar.utils import digest_bytes
 
 from .fetches import ORIGIN, Fetch, FetchTable, PeerBackoff, Request
-from .inbound import InboundCredit
+from .inbound_credit import InboundCredit
 from .limits import SwarmLimits
 from .messages import ChunkPiece, ChunkRefused, RefusalCause
 
@@ -15,7 +15,7 @@
 ORIGIN_RETRY_DELAY_S = 0.1
 """Delay before a chunk is read from the origin again."""
 
-FAR_REFUSALS_PER_SOURCE = 3
+REMOTE_REFUSALS_PER_SOURCE = 3
 """Refusals from another region after which the next source is tried.
 
 During an origin outage all regions refuse.  If requests alternated between them, a
@@ -73,7 +73,7 @@
         else:
             fetch.refusals += 1
             tries_next_source = (
-                not request.region or fetch.refusals % FAR_REFUSALS_PER_SOURCE == 0
+                not request.region or fetch.refusals % REMOTE_REFUSALS_PER_SOURCE == 0
             )
             fetch.attempts += tries_next_source
             fetch.not_before_s = max(
--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/remote_fetching.py
@@ -17,7 +17,7 @@
 __all__ = ["RemoteFetcher"]
 
 REGION_BURST_PIECES = 4
-REPLICA_FETCH_SAMPLE = 32
+REPLICA_FETCH_CHUNKS_MAX = 32
 REPLICA_FETCH_INTERVAL_S = 0.05
 SHORT_BACKOFF_S = 0.5
 ORIGIN_READ_TIMEOUT_S = 8.0
@@ -28,9 +28,8 @@
 """Time after a failed read in which only the assigned agents read from the origin."""
 ORIGIN_TAKEOVER_DELAY_S = 0.25
 REGION_TAKEOVER_DELAY_S = 0.6
-"""Delay before a cache that has fetched its assigned chunks takes over those of other
-caches, from the origin or another region.  Other caches may be slower, and fetching a
-chunk twice doubles its cost."""
+"""Delays before a cache without assigned chunks left takes over those of other caches,
+which may only be slower; a chunk that is fetched twice costs twice as much."""
 TAKEOVER_CHUNKS_MAX = 8
 UNANSWERED_REPLICAS_MIN = 2
 REPLICA_ANSWER_TIMEOUT_S = 0.6
@@ -59,7 +58,7 @@
         self._limits = limits
         self._fetches = fetches
         self._peers = peers
-        self._regions: dict[str, TokenBucket] = {}
+        self._region_buckets: dict[str, TokenBucket] = {}
         self._requested = RequestedChunks(
             limits, fetches, peers, memory, self._start_fetch
         )
@@ -78,17 +77,19 @@
         if not self._has_neighbour_maps(transfer, now_s):
             return
         self._take_over(transfer, placement, now_s)
-        limit = self._limits.window_end(transfer, now_s)
+        window_end = self._limits.window_end(transfer, now_s)
         needed_map = _needed_map(transfer, placement)
         for position in range(len(transfer.assigned) - 1, -1, -1):
             index = transfer.assigned[position]
             if not needed_map >> index & 1:
                 continue
             digest = transfer.digests[index]
-            if not transfer.is_missing(index) or _is_nearby(transfer, placement, index):
+            if not transfer.is_missing(index) or _is_in_region(
+                transfer, placement, index
+            ):
                 del transfer.assigned[position]
             elif not self._fetches.is_blocked(digest, now_s):
-                if index >= limit:
+                if index >= window_end:
                     return
                 fetch = self._fetches.get_or_create(digest, transfer.sizes[digest])
                 if placement.is_fetched_from_origin(index) and fetch.has_origin_failed:
@@ -115,8 +116,8 @@
             "lacked": missing_map.bit_count(),
             "to_draw": len(transfer.assigned),
             "asked_for": self._requested.count,
-            "origin_open": self._fetches.far_open(ORIGIN),
-            "far_open": {region: self._fetches.far_open(region) for region in regions},
+            "origin_open": self._fetches.open_count(ORIGIN),
+            "far_open": {r: self._fetches.open_count(r) for r in regions},
             "avoided": self._peers.list_avoided(now_s),
         }
         _logger.info("fetching weights", extra=extra)
@@ -159,12 +160,12 @@
             return
         transfer.replica_fetch_at_s = now_s + REPLICA_FETCH_INTERVAL_S
         is_stalled = now_s - transfer.progress_s >= self._limits.no_progress_timeout_s
-        window = (1 << self._limits.window_end(transfer, now_s)) - 1
-        lacking = transfer.missing_map & window
+        window_map = (1 << self._limits.window_end(transfer, now_s)) - 1
+        lacking = transfer.missing_map & window_map
         if not is_stalled:
             lacking &= ~transfer.table.available_map
-        for index in islice(iterate_bits(lacking), REPLICA_FETCH_SAMPLE):
-            if self._fetches.near_open >= self._limits.window:
+        for index in islice(iterate_bits(lacking), REPLICA_FETCH_CHUNKS_MAX):
+            if self._fetches.same_region_open_count >= self._limits.same_region_window:
                 return
             digest = transfer.digests[index]
             if self._fetches.is_blocked(digest, now_s):
@@ -214,7 +215,7 @@
     def _request_origin(self, fetch: Fetch, placement: Placement, now_s: float) -> bool:
         if self._peers.is_avoided(ORIGIN, now_s):
             return False
-        if self._fetches.far_open(ORIGIN) >= self._limits.origin_window(placement):
+        if self._fetches.open_count(ORIGIN) >= self._limits.origin_window(placement):
             return False
         return self._fetches.start_request(
             fetch, ORIGIN, now_s, ORIGIN_READ_TIMEOUT_S, region=ORIGIN
@@ -268,13 +269,13 @@
             return False
         region = placement.region_of(peer)
         bucket = self._bucket_of(region, placement, now_s)
-        is_open = self._fetches.far_open(region) < self._limits.far_window
+        is_open = self._fetches.open_count(region) < self._limits.other_region_window
         if not is_open or not bucket.is_ready(now_s):
             return False
         size_bytes = fetch.size_bytes or 0
         per_request_s = size_bytes / bucket.rate_per_s
         timeout_s = self._limits.request_timeout_s
-        timeout_s += 2 * self._limits.far_window * per_request_s
+        timeout_s += 2 * self._limits.other_region_window * per_request_s
         is_started = self._fetches.start_request(
             fetch, peer, now_s, timeout_s, region=region, may_draw=may_draw
         )
@@ -302,14 +303,14 @@
     def _are_sources_full(self, placement: Placement, now_s: float) -> bool:
         """Return whether neither the origin nor any region takes more requests now."""
         is_avoided = self._peers.is_avoided(ORIGIN, now_s)
-        if placement.draws_everywhere:
-            open_reads = self._fetches.far_open(ORIGIN)
+        if placement.all_regions_read_origin:
+            open_reads = self._fetches.open_count(ORIGIN)
             if not is_avoided and open_reads < self._limits.origin_window(placement):
                 return False
         elif placement.is_in_origin_region and not is_avoided:
             return True
         return all(
-            self._fetches.far_open(region) >= self._limits.far_window
+            self._fetches.open_count(region) >= self._limits.other_region_window
             or not self._bucket_of(region, placement, now_s).is_ready(now_s)
             for region in placement.other_regions
         )
@@ -332,7 +333,7 @@
         if self._peers.is_avoided(peer, now_s):
             fetch.attempts += 1
             return
-        timeout_s = self._limits.near_wait_limit_s + REPLICA_ANSWER_TIMEOUT_S
+        timeout_s = self._limits.same_region_wait_limit_s + REPLICA_ANSWER_TIMEOUT_S
         self._fetches.start_request(fetch, peer, now_s, timeout_s, may_draw=True)
 
     def _may_bypass_assignment(
@@ -347,7 +348,7 @@
         would time out and be repeated indefinitely.
         """
         is_back = not self._peers.has_origin_failed_since(now_s - ORIGIN_RECOVERY_S)
-        has_no_open_read = not self._fetches.far_open(ORIGIN)
+        has_no_open_read = not self._fetches.open_count(ORIGIN)
         silent = fetch.attempts - fetch.refusals
         has_failed = silent >= UNANSWERED_REPLICAS_MIN
         return placement.may_read_origin and has_failed and is_back and has_no_open_read
@@ -368,9 +369,9 @@
         """Return this agent's share of the link from a region."""
         share = max(placement.slot_count(), 1) / self._limits.region_slots
         rate = self._limits.region_bytes_per_s * share
-        bucket = self._regions.get(region)
+        bucket = self._region_buckets.get(region)
         if bucket is None:
-            bucket = self._regions[region] = TokenBucket(
+            bucket = self._region_buckets[region] = TokenBucket(
                 rate, REGION_BURST_PIECES * self._limits.piece_bytes
             )
         elif bucket.rate_per_s != rate:
@@ -378,14 +379,14 @@
         return bucket
 
 
-def _is_nearby(transfer: Transfer, placement: Placement, index: int) -> bool:
+def _is_in_region(transfer: Transfer, placement: Placement, index: int) -> bool:
     """Return whether the region already has a chunk.
 
     A cache that takes over another one's chunks skips those that the other still holds.
     """
     table = transfer.table
-    nearby_map = table.seen_map if placement.fetches_all else table.available_map
-    return bool(nearby_map >> index & 1)
+    region_map = table.seen_map if placement.fetches_all else table.available_map
+    return bool(region_map >> index & 1)
 
 
 def _needed_map(transfer: Transfer, placement: Placement) -> int:
--- a/reedspar/weights/requested_chunks.py
+++ b/reedspar/weights/requested_chunks.py
@@ -46,7 +46,7 @@
         digest: str,
         now_s: float,
         *,
-        is_near: bool,
+        is_same_region: bool,
     ) -> None:
         """Add a chunk requested by a peer, unless it is already being fetched.
 
@@ -66,7 +66,7 @@
             else index in transfer.assigned
         )
         is_being_fetched = is_own and is_progressing
-        if is_near or not is_being_fetched:
+        if is_same_region or not is_being_fetched:
             self._transfers[digest] = transfer
 
     def run(self, placements: Mapping[str, Placement], now_s: float) -> None:
--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -5,7 +5,7 @@
 from .activation import SwitchDecision
 from .distribution import SendMessage
 from .messages import VersionNotice, VersionPhase
-from .staging import StagedVersion
+from .staged_version import StagedVersion
 
 __all__ = ["Rollout"]
 
--- a/reedspar/weights/selection.py
+++ b/reedspar/weights/selection.py
@@ -17,26 +17,27 @@
 
 def pick_request(
     transfer: Transfer,
-    is_free: Callable[[str], bool],
+    may_request: Callable[[str], bool],
     load_of: Callable[[str], int | None],
     rng: random.Random,
-    limit: int,
+    end_index: int,
 ) -> tuple[int, str] | None:
     """Return the chunk to request next and a neighbour that holds it, or None.
 
-    `is_free` returns whether a chunk may be requested.  `load_of` returns the load of a
-    neighbour, or None if it gets no requests now.  Neighbours with a negative load have
-    precedence, least loaded first: if all agents requested the rarest chunk, they would
-    wait for the only cache that holds it.  Chunks from index `limit` on are excluded.
+    `may_request` returns whether a chunk may be requested.  `load_of` returns the load
+    of a neighbour, or None if it gets no requests now.  Neighbours with a negative load
+    have precedence, least loaded first: if all agents requested the rarest chunk, they
+    would wait for the only cache that holds it.  Chunks from index `end_index` on are
+    excluded.
     """
-    window = (1 << limit) - 1
-    available = transfer.missing_map & transfer.table.available_map & window
+    window_map = (1 << end_index) - 1
+    available = transfer.missing_map & transfer.table.available_map & window_map
     if not available:
         return None
     loads = _Loads(load_of)
     candidates: list[tuple[int, float, int]] = []
     for index in _sample(transfer, available, rng):
-        if is_free(transfer.digests[index]):
+        if may_request(transfer.digests[index]):
             candidates.append((transfer.table.count(index), rng.random(), index))
     fallback: tuple[int, str] | None = None
     preferred: _Candidate | None = None
--- a/reedspar/weights/serving.py
+++ b/reedspar/weights/serving.py
@@ -94,10 +94,10 @@
         return self._uploads.due_s(now_s)
 
     def _queue(self, peer: str, request: ChunkRequest, region: str) -> None:
-        far_region = region if region != self._region else ""
+        other_region = region if region != self._region else ""
         request_id, digest = request.request_id, request.digest
         granted_bytes = request.granted_bytes
-        if not self._uploads.add(peer, request_id, digest, far_region, granted_bytes):
+        if not self._uploads.add(peer, request_id, digest, other_region, granted_bytes):
             self._refuse(peer, request_id, digest, RefusalCause.BUSY)
 
     def _refuse(
--- a/reedspar/weights/staged.py
+++ b/reedspar/weights/staged_recovery.py
@@ -9,7 +9,7 @@
 from reedspar.errors import Failure
 from reedspar.utils import digest_bytes
 
-from .staging import StagedVersion
+from .staged_version import StagedVersion
 
 __all__ = ["StagedReader", "StagedRecovery"]
 
--- a/reedspar/weights/staging.py
+++ b/reedspar/weights/staged_version.py
@@ -46,7 +46,7 @@
         return self.manifest.chunk_digests if self.manifest is not None else ()
 
     @property
-    def is_whole(self) -> bool:
+    def is_fully_staged(self) -> bool:
         """Return whether all chunks are staged in the engine's current boot."""
         return self.manifest is not None and not self._missing
 
--- a/reedspar/weights/stager.py
+++ b/reedspar/weights/stager.py
@@ -9,7 +9,7 @@
 from reedspar.errors import is_failure
 from reedspar.platform import ModelEngine
 
-from .staging import StagedVersion, StagingOrder
+from .staged_version import StagedVersion, StagingOrder
 
 __all__ = ["Stager"]
 
--- a/reedspar/weights/swarm.py
+++ b/reedspar/weights/swarm.py
@@ -12,9 +12,8 @@
 
 from .announcing import Announcer, EarlyMaps
 from .distribution import Action, ObjectReady, WeightPeer
-from .drawing import RemoteFetcher
 from .fetches import Fetch, FetchTable, PeerBackoff, Request
-from .inbound import InboundCredit
+from .inbound_credit import InboundCredit
 from .limits import SwarmLimits
 from .manifest import Manifest
 from .memory import ChunkMemory
@@ -28,10 +27,11 @@
     HaveUpdate,
     WeightMessage,
 )
+from .neighbour_fetching import NeighbourFetcher
 from .placement import Placement
-from .pulling import NeighbourFetcher
 from .reachability import Reachability
 from .receiving import ChunkReceiver
+from .remote_fetching import RemoteFetcher
 from .serving import ChunkServer
 from .transfers import Transfer
 
@@ -57,7 +57,7 @@
         )
         self._credit = InboundCredit(limits, self._fetches, self._actions)
         self._server = ChunkServer(me.region, self._memory, limits, self._actions)
-        self._nearby = NeighbourFetcher(limits, self._fetches, self._peers, rng)
+        self._region_fetcher = NeighbourFetcher(limits, self._fetches, self._peers, rng)
         self._placements: dict[str, Placement] = {}
         self._transfers: dict[str, Transfer] = {}
         self._announcers: dict[str, Announcer] = {}
@@ -153,7 +153,7 @@
             return
         announcer = self._announcers.pop(root_digest)
         if not transfer.is_complete:
-            announcer.announce_not_needed()
+            announcer.announce_no_chunks_needed()
         for index in transfer.missing:
             digest = transfer.digests[index]
             if not any(t.needs(digest) for t in self._transfers.values()):
@@ -259,7 +259,7 @@
     def _hedge(self, fetch: Fetch, request: Request, now_s: float) -> None:
         for transfer in self._transfers.values():
             placement = self._placements[transfer.model]
-            self._nearby.hedge(fetch, request, transfer, placement, now_s)
+            self._region_fetcher.hedge(fetch, request, transfer, placement, now_s)
 
     def due_s(self, now_s: float) -> float:
         """Return the time at which `tick` should be called next."""
@@ -283,7 +283,7 @@
         for transfer in sorted(transfers, key=self._count_remaining):
             placement = self._placements[transfer.model]
             self._remote.fetch_assigned(transfer, placement, now_s)
-            self._nearby.fetch(transfer, placement, now_s)
+            self._region_fetcher.fetch(transfer, placement, now_s)
             self._remote.fetch_from_replicas(transfer, placement, now_s)
         self._remote.requested.run(self._placements, now_s)
         self._credit.grant(now_s)
@@ -299,7 +299,7 @@
         self, digest: str, data: bytes, request: Request, now_s: float
     ) -> None:
         if request.region:
-            self._nearby.record_remote_chunk(now_s)
+            self._region_fetcher.record_remote_chunk(now_s)
         self._store_object(digest, data, now_s)
 
     def _store_object(self, digest: str, data: bytes, now_s: float) -> None:
@@ -324,10 +324,10 @@
 
     def _serve(self, peer: str, request: ChunkRequest, now_s: float) -> None:
         region = self._region_of(peer)
-        is_near = region == self._me.region
+        is_same_region = region == self._me.region
         wait_limit_s = max(
             (
-                self._limits.wait_limit_s(placement, is_near=is_near)
+                self._limits.wait_limit_s(placement, is_same_region=is_same_region)
                 for placement in self._placements.values()
             ),
             default=0.0,
@@ -340,7 +340,7 @@
                 self._placements[transfer.model],
                 request.digest,
                 now_s,
-                is_near=is_near,
+                is_same_region=is_same_region,
             )
 
     def _region_of(self, peer: str) -> str:
--- a/reedspar/weights/tests/staged_cases.py
+++ b/reedspar/weights/tests/staged_cases.py
@@ -3,7 +3,7 @@
 from reedspar.configuration import ModelVersion
 from reedspar.errors import Failure
 from reedspar.weights import build_manifest
-from reedspar.weights.staging import StagedVersion
+from reedspar.weights.staged_version import StagedVersion
 
 __all__ = ["make_staged_version"]
 
--- a/reedspar/weights/tests/test_manifest_exchange.py
+++ b/reedspar/weights/tests/test_manifest_exchange.py
@@ -53,7 +53,7 @@
         self.is_corrupt = False
         self.is_inconsistent = False
         """Return a different wrong manifest on each read."""
-        self.learned: list[Manifest] = []
+        self.registered: list[Manifest] = []
 
     async def read(self, name: str, offset: int, size_bytes: int) -> bytes:
         return b""
@@ -67,8 +67,8 @@
             return make_manifest(version, f"{id(self)} {self.reads}".encode())
         return make_manifest(version, b"wrong" if self.is_corrupt else b"")
 
-    def learn_manifest(self, manifest: Manifest) -> None:
-        self.learned.append(manifest)
+    def register_manifest(self, manifest: Manifest) -> None:
+        self.registered.append(manifest)
 
 
 class Daemon:
@@ -171,7 +171,7 @@
             self.assertEqual(site.reads, READS_PER_READER * MANIFEST_READERS)
             self.assertLessEqual(anyio.current_time() - start_s, EXCHANGE_MAX_S)
             for daemon in site.daemons.values():
-                is_known = bool(daemon.origin.learned) or bool(daemon.origin.reads)
+                is_known = bool(daemon.origin.registered) or bool(daemon.origin.reads)
                 self.assertTrue(is_known, daemon.peer.name)
 
         self.run_scenario(scenario)
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -45,7 +45,7 @@
     machine_bytes_per_s=1e6,
     region_bytes_per_s=1e6,
     memory_bytes=1_000_000,
-    draws_everywhere=True,
+    all_regions_read_origin=True,
 )
 
 
--- a/reedspar/weights/tests/test_staged.py
+++ b/reedspar/weights/tests/test_staged_recovery.py
@@ -7,7 +7,7 @@
 
 from reedspar.requests.tests.virtual import LoopClock, run_virtual
 from reedspar.timers import TimerService
-from reedspar.weights.staged import StagedRecovery
+from reedspar.weights.staged_recovery import StagedRecovery
 from reedspar.weights.verification import StagedVerifier
 
 from .staged_cases import make_staged_version
@@ -71,7 +71,7 @@
         # Guards against a delayed load after a power loss: chunks that were verified
         # during recovery must not be staged or verified a second time.
         self.assertEqual(self.recover(), 0)
-        self.assertTrue(self.staged.is_whole)
+        self.assertTrue(self.staged.is_fully_staged)
         self.assertEqual(self.held, list(self.digests))
         orders = [o for d in self.digests for o in self.staged.orders_for(d, "1")]
         self.assertEqual(orders, [])
@@ -79,7 +79,7 @@
     def test_corrupt_chunk_must_be_staged_again(self) -> None:
         self.reader.chunks[CORRUPT_INDEX] = b"?"
         self.recover()
-        self.assertFalse(self.staged.is_whole)
+        self.assertFalse(self.staged.is_fully_staged)
         self.assertTrue(self.staged.needs(self.digests[CORRUPT_INDEX]))
 
     def test_chunk_read_from_an_earlier_boot_must_be_staged_again(self) -> None:
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -217,9 +217,9 @@
         scenario.run_for(1.5)
         with mock.patch.object(fleet, "read_origin"):
             scenario.run_for(2.5)
-        near = [a for a in fleet.live if a.peer.region == REGIONS[0]]
+        origin_agents = [a for a in fleet.live if a.peer.region == REGIONS[0]]
         read_share = fleet.origin_bytes / scenario.manifest.size_bytes
-        for agent in near:
+        for agent in origin_agents:
             missing_share = len(agent.missing) / len(scenario.manifest.chunk_digests)
             self.assertLess(missing_share, 1 - read_share + 0.1)
 
--- a/reedspar/weights/tests/test_verification.py
+++ b/reedspar/weights/tests/test_verification.py
@@ -7,7 +7,7 @@
 
 from reedspar.requests.tests.virtual import LoopClock, run_virtual
 from reedspar.timers import TimerService
-from reedspar.weights.staging import StagingOrder
+from reedspar.weights.staged_version import StagingOrder
 from reedspar.weights.verification import (
     VERIFICATION_TTL_S,
     VERIFY_AHEAD_S,
--- a/reedspar/weights/uploads.py
+++ b/reedspar/weights/uploads.py
@@ -13,7 +13,7 @@
 
 __all__ = ["UploadQueue", "WaitingRequests"]
 
-FAR_QUEUE_MAX = 64
+OTHER_REGION_QUEUE_MAX = 64
 WAITING_REQUESTS_MAX = 512
 MACHINE_BURST_PIECES = 4
 REGION_BURST_PIECES = 2
@@ -46,12 +46,12 @@
     def __init__(self, memory: ChunkMemory, limits: SwarmLimits) -> None:
         self._memory = memory
         self._limits = limits
-        self._machine = TokenBucket(
+        self._machine_bucket = TokenBucket(
             limits.machine_bytes_per_s, MACHINE_BURST_PIECES * limits.piece_bytes
         )
-        self._regions: dict[str, TokenBucket] = {}
-        self._near: deque[_Upload] = deque()
-        self._far: dict[str, deque[_Upload]] = {}
+        self._region_buckets: dict[str, TokenBucket] = {}
+        self._same_region: deque[_Upload] = deque()
+        self._other_regions: dict[str, deque[_Upload]] = {}
         self._sent_bytes = 0
 
     @property
@@ -62,7 +62,7 @@
     @property
     def queued(self) -> int:
         """Return the number of requests of the same region."""
-        return len(self._near)
+        return len(self._same_region)
 
     def add(
         self, peer: str, request_id: int, digest: str, region: str, granted_bytes: int
@@ -71,32 +71,38 @@
 
         `region` is empty for a peer of the same region.
         """
-        queue = self._far.setdefault(region, deque()) if region else self._near
-        if len(queue) >= (FAR_QUEUE_MAX if region else self._limits.near_queue_limit):
+        queue = (
+            self._other_regions.setdefault(region, deque())
+            if region
+            else self._same_region
+        )
+        if len(queue) >= (
+            OTHER_REGION_QUEUE_MAX if region else self._limits.same_region_queue_limit
+        ):
             return False
-        same = sum(upload.digest == digest for upload in queue)
-        if not region and same >= self._limits.same_chunk_limit:
+        same_chunk_count = sum(upload.digest == digest for upload in queue)
+        if not region and same_chunk_count >= self._limits.same_chunk_limit:
             return False
         queue.append(_Upload(peer, request_id, digest, region, granted_bytes))
         return True
 
     def grant(self, peer: str, request_id: int, granted_bytes: int) -> None:
         """Extend the credit of a request."""
-        for queue in (self._near, *self._far.values()):
+        for queue in (self._same_region, *self._other_regions.values()):
             for upload in queue:
                 if upload.peer == peer and upload.request_id == request_id:
                     upload.granted_bytes = max(upload.granted_bytes, granted_bytes)
 
     def cancel(self, peer: str, request_id: int) -> None:
         """Remove a request that was cancelled."""
-        for queue in (self._near, *self._far.values()):
+        for queue in (self._same_region, *self._other_regions.values()):
             for upload in list(queue):
                 if upload.peer == peer and upload.request_id == request_id:
                     self._remove(queue, upload)
 
     def drop_peer(self, peer: str) -> None:
         """Remove all requests of a peer that is not live."""
-        for queue in (self._near, *self._far.values()):
+        for queue in (self._same_region, *self._other_regions.values()):
             for upload in list(queue):
                 if upload.peer == peer:
                     self._remove(queue, upload)
@@ -104,7 +110,7 @@
     def take_pieces(self, now_s: float) -> list[SendMessage]:
         """Return the messages that the rate limits allow to be sent now."""
         messages = []
-        while self._machine.is_ready(now_s):
+        while self._machine_bucket.is_ready(now_s):
             upload = self._next_upload(now_s)
             if upload is None:
                 break
@@ -115,22 +121,26 @@
         """Return the time of the next piece, or None if there is none to send."""
         times = [
             self._bucket_of(region).ready_at_s(now_s)
-            for region, queue in self._far.items()
+            for region, queue in self._other_regions.items()
             if _first_granted(queue)
         ]
-        if _first_granted(self._near):
+        if _first_granted(self._same_region):
             times.append(now_s)
-        return max(min(times), self._machine.ready_at_s(now_s)) if times else None
+        return (
+            max(min(times), self._machine_bucket.ready_at_s(now_s)) if times else None
+        )
 
     def _next_upload(self, now_s: float) -> _Upload | None:
-        for region, queue in self._far.items():
+        for region, queue in self._other_regions.items():
             upload = _first_granted(queue)
             if upload is not None and self._bucket_of(region).is_ready(now_s):
                 return upload
-        return _first_granted(self._near)
+        return _first_granted(self._same_region)
 
     def _pop_piece(self, upload: _Upload, now_s: float) -> SendMessage:
-        queue = self._far[upload.region] if upload.region else self._near
+        queue = (
+            self._other_regions[upload.region] if upload.region else self._same_region
+        )
         data = self._memory.get(upload.digest)
         if data is None:
             self._remove(queue, upload)
@@ -145,7 +155,7 @@
         piece = data[start:end]
         upload.sent_bytes += len(piece)
         self._sent_bytes += len(piece)
-        self._machine.take(len(piece), now_s)
+        self._machine_bucket.take(len(piece), now_s)
         if upload.region:
             self._bucket_of(upload.region).take(len(piece), now_s)
         if upload.sent_bytes >= len(data):
@@ -159,11 +169,11 @@
             self._memory.unpin(upload.digest)
 
     def _bucket_of(self, region: str) -> TokenBucket:
-        if region not in self._regions:
+        if region not in self._region_buckets:
             burst_bytes = REGION_BURST_PIECES * self._limits.piece_bytes
             bucket = TokenBucket(self._limits.region_bytes_per_s, burst_bytes)
-            self._regions[region] = bucket
-        return self._regions[region]
+            self._region_buckets[region] = bucket
+        return self._region_buckets[region]
 
 
 def _first_granted(queue: Iterable[_Upload]) -> _Upload | None:
--- a/reedspar/weights/verification.py
+++ b/reedspar/weights/verification.py
@@ -14,8 +14,8 @@
 from reedspar.timers import TimerService
 from reedspar.utils import digest_bytes
 
-from .staged import StagedReader
-from .staging import StagedVersion
+from .staged_recovery import StagedReader
+from .staged_version import StagedVersion
 
 __all__ = ["StagedVerifier"]
 
@@ -53,7 +53,7 @@
 
     def record_staged(self, staged: StagedVersion) -> None:
         """Start verification if the missing chunks of a version are due soon."""
-        if self._reader is None or staged.is_whole:
+        if self._reader is None or staged.is_fully_staged:
             return
         if self._left_s(staged.root_digest) <= VERIFY_AHEAD_S:
             self._wakeup.set()
@@ -82,10 +82,10 @@
         return corrupt
 
     async def _verify_ahead(self, staged: StagedVersion) -> None:
-        if self._reader is None or staged.is_whole:
+        if self._reader is None or staged.is_fully_staged:
             return
         for index in staged.unverified_since(self._timers.now_s() - VERIFY_AHEAD_TTL_S):
-            if staged.is_whole or not self._is_current(staged):
+            if staged.is_fully_staged or not self._is_current(staged):
                 return
             is_good = await self._verify(self._reader, staged, index)
             if not is_good and self._is_current(staged):
