--- a/reedspar/weights/action_runner.py
+++ b/reedspar/weights/action_runner.py
@@ -1,4 +1,4 @@
-"""Execution of a distribution's actions: messages, origin reads and pacing."""
+"""Execution of a distribution's actions: messages, origin reads and timed calls."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 __all__ = ["TICK_INTERVAL_S", "ActionRunner"]
 
 TICK_INTERVAL_S = 0.05
-PACING_DELAY_MIN_S = 0.002
+RUN_DELAY_MIN_S = 0.002
 
 
 class ActionRunner:
@@ -37,7 +37,7 @@
         self._timers = timers
         self._tasks = tasks
         self._on_object = on_object
-        self._is_pacing = False
+        self._is_run_scheduled = False
         self.origin_reads = 0
         network.on_link_event(self._handle_link_event)
 
@@ -53,9 +53,9 @@
                     self._on_object(action.digest)
         now_s = self._timers.now_s()
         delay_s = self._distribution.due_s(now_s) - now_s
-        if delay_s < TICK_INTERVAL_S and not self._is_pacing:
-            self._is_pacing = True
-            self._tasks.start_soon(self._run_after, max(delay_s, PACING_DELAY_MIN_S))
+        if delay_s < TICK_INTERVAL_S and not self._is_run_scheduled:
+            self._is_run_scheduled = True
+            self._tasks.start_soon(self._run_after, max(delay_s, RUN_DELAY_MIN_S))
 
     def send(self, action: SendMessage) -> None:
         """Send a message, and report a failure to the distribution."""
@@ -74,7 +74,7 @@
     async def _run_after(self, delay_s: float) -> None:
         """Call the distribution before the next timer tick, to keep the links busy."""
         await anyio.sleep(delay_s)
-        self._is_pacing = False
+        self._is_run_scheduled = False
         self._distribution.tick(self._timers.now_s())
         self.run()
 
--- a/reedspar/weights/activation.py
+++ b/reedspar/weights/activation.py
@@ -16,9 +16,9 @@
 COHORT_SIZE_MIN = 8
 """Minimum size of a cohort; a share of it then corresponds to whole targets."""
 PEER_SILENCE_TIMEOUT_S = 5.0
-"""Waiting and switching peers repeat their notice every second.
+"""Time without a notice after which a waiting or switching peer counts as silent.
 
-A peer is considered silent if none arrives for this time."""
+Such peers repeat their notice every second."""
 PEER_ANSWER_TIMEOUT_S = 3.0
 """Maximum time that a target ready to switch waits for its peers to answer."""
 
--- a/reedspar/weights/cache.py
+++ b/reedspar/weights/cache.py
@@ -132,7 +132,7 @@
             if manifest.reason is Reason.NOT_FOUND and version < self._named[model][-1]:
                 self._removed_from_origin.add((model, version))
             return manifest
-        _logger.info("weights cached", extra={"model": model, "version": version})
+        _logger.info("caching weights", extra={"model": model, "version": version})
         manifests = self._manifests.setdefault(model, [])
         manifests.append(manifest)
         manifests.sort(key=lambda kept: kept.sequence)
--- a/reedspar/weights/catalog.py
+++ b/reedspar/weights/catalog.py
@@ -31,7 +31,7 @@
 MANIFEST_RETRY_MAX_S = 0.5
 """Bounds of the random delay before a manifest is read again."""
 SUCCESSION_POLL_INTERVAL_S = 0.1
-"""Interval of checks whether the version being transferred is still finished first."""
+"""Interval at which the decision to finish the current transfer is made again."""
 
 _logger = logging.getLogger(__name__)
 Listener = Callable[[ConfigurationDocument], None]
--- a/reedspar/weights/controller.py
+++ b/reedspar/weights/controller.py
@@ -63,7 +63,7 @@
     ) -> None:
         self._deadlines = deadlines
         if settings.target is None:
-            raise ValueError("weights are for agents: the settings have no target")
+            raise ValueError("a weight controller requires the settings of a target")
         self._target = settings.target
         self._network = network
         self._timers = timers
--- a/reedspar/weights/fetches.py
+++ b/reedspar/weights/fetches.py
@@ -49,7 +49,7 @@
 
     @property
     def outstanding_bytes(self) -> int:
-        """Return the number of granted bytes that were not received yet."""
+        """Return the number of granted bytes that have not been received yet."""
         size_bytes = self.assembly.size_bytes or self.granted_bytes
         return min(self.granted_bytes, size_bytes) - self.assembly.received_bytes
 
@@ -164,7 +164,7 @@
 
     @property
     def same_region_open_count(self) -> int:
-        """Return the number of open requests within the region."""
+        """Return the number of open requests to peers of the same region."""
         return self._same_region_open_count
 
     def open_count(self, region: str) -> int:
--- a/reedspar/weights/limits.py
+++ b/reedspar/weights/limits.py
@@ -21,9 +21,12 @@
 would wait 54 ms at 3.65 Mbit/s, and several chunks would delay each event."""
 PIECE_MIN_BYTES = 4096
 SAME_REGION_WINDOW = 5
-"""Open requests to neighbours, so that enough senders are ready when the machine's link
-has capacity.  The data in flight is limited in bytes by grants."""
+"""Maximum number of open requests to peers of the same region.
+
+With so many, enough senders are ready when the machine's link has capacity.  The data
+in flight is limited in bytes by grants."""
 OTHER_REGION_WINDOW = 3
+"""Maximum number of open requests to each other region."""
 OPEN_ORIGIN_READS_MAX = 4
 """Concurrent origin reads of all agents together; each agent may have at least one.
 
@@ -87,7 +90,7 @@
 
     @property
     def slowest_bytes_per_s(self) -> float:
-        """Return the maximum rate at which a version can arrive."""
+        """Return the rate of the slowest link, the limit for arriving versions."""
         return min(self.machine_bytes_per_s, self.region_bytes_per_s)
 
     def wait_limit_s(self, placement: Placement, *, is_same_region: bool) -> float:
--- a/reedspar/weights/neighbour_fetching.py
+++ b/reedspar/weights/neighbour_fetching.py
@@ -1,4 +1,4 @@
-"""Requests of chunks to neighbours, caches first, within a window."""
+"""Requests for chunks to neighbours, caches first, within a window."""
 
 import random
 
@@ -79,7 +79,7 @@
         return round(limits.same_region_window * (1 - remote_share))
 
     def _load_of(self, name: str, placement: Placement, now_s: float) -> int | None:
-        """Return a peer's load from its open requests; None if it gets no more now.
+        """Return a peer's load from its open requests; None if it gets no further ones.
 
         The window is subtracted from the load of a cache, so that caches are preferred:
         an agent's link is shared with the answers of its target.
--- a/reedspar/weights/placement.py
+++ b/reedspar/weights/placement.py
@@ -78,9 +78,9 @@
 
     @property
     def is_in_origin_region(self) -> bool:
-        """Return whether this agent requests single objects from the origin.
+        """Return whether this agent counts as an agent of the origin's region.
 
-        That is also the case if the origin's region has no live agent.
+        Agents of all regions do if the origin's region has no live agent.
         """
         is_in_region = self._me.region == self._origin_region
         return is_in_region or not self._names_by_region.get(self._origin_region)
@@ -247,7 +247,7 @@
 
         Few agents in the origin's region can't fill its link: two read 10 chunks per
         second each from a link that carries 37.  In addition, an agent that leaves
-        takes a tenth of a version with it, and not a third.
+        takes a tenth of a version with it instead of a third.
         """
         slots = self._slots_of_all()
         return slots[index % len(slots)]
--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -13,7 +13,7 @@
 
 
 class Rollout:
-    """Switch coordination of one target, by model."""
+    """Coordinates the switches of one target with its cohort, by model."""
 
     def __init__(
         self, me: str, share: float, phase_of: Callable[[str], VersionPhase]
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -61,11 +61,11 @@
         events = self.fleet.events
         cache = self.fleet.agents[CACHE]
 
-        def learn() -> None:
+        def register() -> None:
             cache.distribution.register_version(self.manifest, events.now_s)
             cache.run_actions()
 
-        events.at(MANIFEST_DELAY_S, learn)
+        events.at(MANIFEST_DELAY_S, register)
         late_s = self.finish()
         copy_s = self.manifest.size_bytes / (self.case.link_mbps * 125_000)
         self.assertLess(late_s, 1.2 * copy_s + MANIFEST_DELAY_S)
--- a/reedspar/weights/tests/test_manifest.py
+++ b/reedspar/weights/tests/test_manifest.py
@@ -39,7 +39,7 @@
             path.write_bytes(WEIGHTS)
             self.assertEqual(build(path), build(WEIGHTS))
 
-    def test_round_trip(self) -> None:
+    def test_encoded_manifest_decodes_to_the_same_manifest(self) -> None:
         data = encode_manifest(build(WEIGHTS))
         self.assertEqual(decode_manifest(data, digest_bytes(data)), build(WEIGHTS))
 
--- a/reedspar/weights/tests/test_prompt_delay.py
+++ b/reedspar/weights/tests/test_prompt_delay.py
@@ -35,7 +35,8 @@
         self.assert_short_waits(self.cases["large chunks"])
 
     def test_small_chunks_delay_prompts_little(self) -> None:
-        # As above, over a narrower link with chunks of half the size.
+        # Guards against the same delay over a narrower link, with chunks of half the
+        # size.
         self.assert_short_waits(self.cases["small chunks"])
 
     def test_versions_arrive_in_time_from_caches(self) -> None:
--- a/reedspar/weights/tests/test_publishing.py
+++ b/reedspar/weights/tests/test_publishing.py
@@ -31,12 +31,12 @@
     def test_repeated_publishing_uploads_only_missing_objects(self) -> None:
         # Guards against a manifest whose chunks are missing at the origin.  The origin
         # becomes unavailable after the first chunk, and the operator publishes again.
-        class ShortLived(FakeOrigin):
+        class FailingOrigin(FakeOrigin):
             async def put(self, name: str, data: bytes) -> Failure | None:
                 self.is_unavailable = len(self.puts) == 1
                 return await super().put(name, data)
 
-        origin = ShortLived()
+        origin = FailingOrigin()
         self.assertIsInstance(publish(origin, FIRST, 1), Failure)
         self.assertEqual(len(origin.objects), 1)
         origin.__class__ = FakeOrigin
--- a/reedspar/weights/tests/test_succession.py
+++ b/reedspar/weights/tests/test_succession.py
@@ -34,7 +34,7 @@
         # would leave the targets without a version once the first has expired.
         self.assertTrue(should_finish_current(Succession(4.0, 2.3, 6.0, 7.6, 11.6)))
 
-    def test_version_at_its_beginning_is_dropped(self) -> None:
+    def test_barely_begun_transfer_is_dropped(self) -> None:
         self.assertFalse(should_finish_current(Succession(0.2, 6.0, 6.0, 7.6, 7.8)))
 
 
@@ -115,7 +115,7 @@
 
         self.assertEqual(self.run_scenario(scenario), [1, 2])
 
-    def test_origin_that_fails_is_asked_again(self) -> None:
+    def test_failed_manifest_read_is_repeated(self) -> None:
         self.reader.failures = 2
 
         async def scenario(catalog: VersionCatalog) -> None:
--- a/reedspar/weights/transfers.py
+++ b/reedspar/weights/transfers.py
@@ -11,7 +11,7 @@
 ANNOUNCEMENTS_PER_COPY = 80
 """Announcements to a neighbour during the transfer of a version over the slowest link.
 
-With 150, they used 3% of a link of 3.65 Mbit/s that chunks are meant to fill."""
+With 150, they would use 3% of a link of 3.65 Mbit/s, which chunks should fill."""
 ANNOUNCE_INTERVAL_MIN_S = 0.01
 ANNOUNCE_INTERVAL_MAX_S = 0.25
 
