--- a/reedspar/weights/rollout.py
+++ b/reedspar/weights/rollout.py
@@ -5,7 +5,7 @@
 from .activation import SwitchDecision
 from .distribution import SendMessage
 from .messages import VersionNotice, VersionPhase
-from .staging import StagedVersion
+from .staged_version import StagedVersion
 
 __all__ = ["Rollout"]
 
@@ -13,7 +13,7 @@
 
 
 class Rollout:
-    """Switch coordination of one target, by model."""
+    """Coordinates the switches of one target with its cohort, by model."""
 
     def __init__(
         self, me: str, share: float, phase_of: Callable[[str], VersionPhase]
