--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -19,7 +19,7 @@
 from reedspar.weights.limits import SwarmLimits, create_swarm_limits
 from reedspar.weights.swarm import SwarmDistribution
 
-from .paced_links import LinkRates
+from .simulated_links import LinkRates
 from .weight_agents import Fleet, make_weights
 
 __all__ = ["CACHED_CASES", "CASES", "Case", "Outcome", "simulate"]
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -27,8 +27,8 @@
 from stand_ins.promises import Ledger, Violation, compute_percentile
 from stand_ins.reasons import describe_reasons
 
-from .chaos import FaultInjector
 from .configuration_watch import ConfigurationWatch
+from .fault_injector import FaultInjector
 from .measuring import print_result
 
 __all__ = ["main"]
--- a/bench/many_deciders.py
+++ b/bench/target_choice.py
@@ -7,7 +7,7 @@
 request is in time if its first event comes within 0.5 s and no gap between events
 exceeds 0.4 s.  `worth` counts a late answer as a quarter of one in time.
 
-Run ``python -m bench.many_deciders [--seconds 20]``; the last line is one JSON array.
+Run ``python -m bench.target_choice [--seconds 20]``; the last line is one JSON array.
 """
 
 import argparse
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -18,7 +18,7 @@
 )
 from reedspar.weights.messages import ChunkPiece, HaveMap, HaveUpdate, WeightMessage
 
-from .paced_links import EventQueue, FairLink, LinkRates, QueueLink
+from .simulated_links import EventQueue, FairLink, LinkRates, QueueLink
 
 __all__ = ["Fleet", "FleetAgent", "make_weights"]
 
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -19,9 +19,9 @@
 from reedspar.weights.limits import SwarmLimits
 from reedspar.weights.swarm import SwarmDistribution
 
-from .hashed import HashedDistribution
-from .origin_only import OriginOnlyDistribution
-from .paced_links import LinkRates
+from .hashed_distribution import HashedDistribution
+from .origin_only_distribution import OriginOnlyDistribution
+from .simulated_links import LinkRates
 from .weight_agents import Fleet, make_weights
 
 MODEL = "quotes"
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from bench.many_deciders import LOADS, Outcomes, simulate
+from bench.target_choice import LOADS, Outcomes, simulate
 
 SIMULATED_S = 12.0
 
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -14,7 +14,7 @@
 
 from bench.inbound_queues import Case
 from bench.inbound_queues import create_fleet as create_bench_fleet
-from bench.paced_links import LinkRates
+from bench.simulated_links import LinkRates
 from bench.weight_agents import Fleet, FleetAgent, make_weights
 from reedspar.weights import WeightPeer
 from reedspar.weights.limits import SwarmLimits
--- a/stand_ins/engine_model.py
+++ b/stand_ins/engine_model.py
@@ -9,7 +9,7 @@
 from .engine_batch import Batch, Job, JobEnd
 from .engine_settings import EngineOptions
 from .engine_weights import EngineWeights
-from .lagged import LaggedValue
+from .lagged_value import LaggedValue
 from .prefix_cache import PrefixCache
 
 __all__ = ["EngineModel"]
--- a/stand_ins/origin.py
+++ b/stand_ins/origin.py
@@ -12,7 +12,7 @@
 from starlette.routing import Route
 
 from .faults import FaultControl, refuse
-from .rate import RateLimit
+from .rate_limit import RateLimit
 from .serving import add_port_argument, serve_ports
 
 __all__ = ["Origin", "create_app"]
--- a/stand_ins/plain_service.py
+++ b/stand_ins/plain_service.py
@@ -16,7 +16,7 @@
 from reedspar.platform import EngineState
 
 from .faults import ResponseGate, read_control, refuse
-from .lagged import LaggedValue
+from .lagged_value import LaggedValue
 from .serving import TruncatedResponse, add_port_argument, serve_ports
 
 __all__ = ["PlainService", "PlainServiceControl", "create_app"]
--- a/stand_ins/tests/test_states.py
+++ b/stand_ins/tests/test_states.py
@@ -8,7 +8,7 @@
 from stand_ins.engine_model import EngineModel
 from stand_ins.engine_settings import EngineOptions
 from stand_ins.key_value_state import KeyValueState
-from stand_ins.rate import RateLimit
+from stand_ins.rate_limit import RateLimit
 
 
 class KeyValueStateTest(unittest.TestCase):
