--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -22,7 +22,13 @@
 from .simulated_links import LinkRates
 from .weight_agents import Fleet, make_weights
 
-__all__ = ["CACHED_CASES", "CASES", "Case", "Outcome", "simulate"]
+__all__ = [
+    "CACHED_SCENARIOS",
+    "SCENARIOS",
+    "DistributionScenario",
+    "Outcome",
+    "simulate",
+]
 
 MODEL = "quotes"
 REGIONS = ("centro", "occidente", "oriente")
@@ -33,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class DistributionScenario:
     """Number of targets by region, rates of links in Mbit/s, and size of a version."""
 
     name: str
@@ -66,8 +72,8 @@
         return self.last_s / self.bound_s
 
 
-CASES = (
-    Case(
+SCENARIOS = (
+    DistributionScenario(
         "large chunks",
         {"centro": 6, "occidente": 5, "oriente": 4},
         link_mbps=4.7,
@@ -76,7 +82,7 @@
         chunk_count=48,
         chunk_bytes=49_152,
     ),
-    Case(
+    DistributionScenario(
         "small chunks",
         {"centro": 2, "occidente": 4, "oriente": 4},
         link_mbps=3.65,
@@ -86,19 +92,19 @@
         chunk_bytes=24_576,
     ),
 )
-CACHED_CASES = (
+CACHED_SCENARIOS = (
     replace(
-        CASES[0],
+        SCENARIOS[0],
         name="large chunks, caches",
         caches={"centro": 1, "occidente": 3, "oriente": 2},
     ),
     replace(
-        CASES[1],
+        SCENARIOS[1],
         name="small chunks, caches",
         caches={"centro": 2, "occidente": 4, "oriente": 3},
     ),
     replace(
-        CASES[0],
+        SCENARIOS[0],
         name="many, narrow caches",
         targets={"centro": 10, "occidente": 10, "oriente": 10},
         caches={"centro": 4, "occidente": 4, "oriente": 4},
@@ -108,24 +114,24 @@
 )
 
 
-def create_fleet(case: Case) -> Fleet:
-    """Return the agents of a case with their links."""
-    limits = _create_limits(case, case.link_mbps)
-    cache_limits = _create_limits(case, case.cache_mbps)
+def create_fleet(scenario: DistributionScenario) -> Fleet:
+    """Return the agents of a scenario with their links."""
+    limits = _create_limits(scenario, scenario.link_mbps)
+    cache_limits = _create_limits(scenario, scenario.cache_mbps)
     caches = [
         WeightPeer(f"{region}-cache-{i}", region, f"{region}-a", is_cache=True)
-        for region, count in case.caches.items()
+        for region, count in scenario.caches.items()
         for i in range(count)
     ]
     targets = [
         WeightPeer(f"{region}-{i}", region, f"{region}-a")
-        for region, count in case.targets.items()
+        for region, count in scenario.targets.items()
         for i in range(count)
     ]
     rates = LinkRates(
-        machine=case.link_mbps * BYTES_PER_MEGABIT,
-        region=case.region_mbps * BYTES_PER_MEGABIT,
-        origin=case.origin_mbps * BYTES_PER_MEGABIT,
+        machine_bytes_per_s=scenario.link_mbps * BYTES_PER_MEGABIT,
+        region_bytes_per_s=scenario.region_mbps * BYTES_PER_MEGABIT,
+        origin_bytes_per_s=scenario.origin_mbps * BYTES_PER_MEGABIT,
     )
 
     def create(peer: WeightPeer) -> SwarmDistribution:
@@ -137,11 +143,11 @@
     )
     for agent in fleet.live:
         if agent.peer.is_cache:
-            agent.set_link(case.cache_mbps * BYTES_PER_MEGABIT)
+            agent.set_link(scenario.cache_mbps * BYTES_PER_MEGABIT)
     return fleet
 
 
-def _create_limits(case: Case, link_mbps: float) -> SwarmLimits:
+def _create_limits(scenario: DistributionScenario, link_mbps: float) -> SwarmLimits:
     settings = SiteSettings(
         name="agent-0",
         role=Role.ENTRY,
@@ -152,13 +158,13 @@
         store="10.200.0.1:8007",
         listen={"callers": "10.1.0.1:1", "peers_port": 2, "metrics_port": 3},
         link_mbps=link_mbps,
-        region_link_mbps=case.region_mbps,
+        region_link_mbps=scenario.region_mbps,
     )
     return create_swarm_limits(settings)
 
 
 def simulate(
-    case: Case,
+    scenario: DistributionScenario,
     lost_cache: str = "",
     lost_s: float = 0.0,
     frozen_caches: Collection[str] = (),
@@ -168,8 +174,8 @@
     `lost_cache` is killed at `lost_s`, but stays in the views.  `frozen_caches` handle
     no message during the run, and their links stay open.
     """
-    fleet = create_fleet(case)
-    manifest, fleet.objects = make_weights(case.chunk_count, case.chunk_bytes)
+    fleet = create_fleet(scenario)
+    manifest, fleet.objects = make_weights(scenario.chunk_count, scenario.chunk_bytes)
     fleet.set_views(MODEL)
     for agent in fleet.live:
         if agent.peer.is_cache:
@@ -183,18 +189,18 @@
     waits: list[float] = []
 
     def sample_waits() -> None:
-        waits.extend(agent.down.wait_s() for agent in targets if agent.missing)
+        waits.extend(agent.downlink.wait_s() for agent in targets if agent.missing)
         fleet.events.at(fleet.events.now_s + SAMPLE_INTERVAL_S, sample_waits)
 
     for name in frozen_caches:
         fleet.agents[name].frozen_until_s = TIME_LIMIT_S
     sample_waits()
     if not fleet.events.run(fleet.is_finished, TIME_LIMIT_S):
-        raise RuntimeError(f"{case.name}: not every target has the version")
+        raise RuntimeError(f"{scenario.name}: not every target has the version")
     times = [agent.finished_s or 0.0 for agent in targets]
     return Outcome(
-        case.name,
-        manifest.size_bytes / (case.link_mbps * BYTES_PER_MEGABIT),
+        scenario.name,
+        manifest.size_bytes / (scenario.link_mbps * BYTES_PER_MEGABIT),
         min(times),
         max(times),
         sum(waits) / len(waits),
@@ -203,8 +209,8 @@
 
 
 def main() -> None:
-    """Simulate every case."""
-    outcomes = [simulate(case) for case in (*CASES, *CACHED_CASES)]
+    """Simulate every scenario."""
+    outcomes = [simulate(scenario) for scenario in (*SCENARIOS, *CACHED_SCENARIOS)]
     for outcome in outcomes:
         print(
             f"{outcome.name:20} all complete after {outcome.last_s:.2f} s, "
--- a/bench/simulated_links.py
+++ b/bench/simulated_links.py
@@ -13,9 +13,9 @@
 class LinkRates:
     """Rates in bytes per second by kind of link, and one-way delays."""
 
-    machine: float
-    region: float
-    origin: float
+    machine_bytes_per_s: float
+    region_bytes_per_s: float
+    origin_bytes_per_s: float
     intra_region_delay_s: float = 0.001
     inter_region_delay_s: float = 0.002
 
--- a/bench/target_choice.py
+++ b/bench/target_choice.py
@@ -32,7 +32,7 @@
 from reedspar.requests.request import Answer, Outcome, Request, Responder
 from reedspar.timers import TimerService, VirtualClock
 
-__all__ = ["Load", "Outcomes", "simulate"]
+__all__ = ["SCENARIOS", "Outcomes", "Scenario", "simulate"]
 
 NETWORK_S = 0.004
 LATENCY_GOAL_S = 0.5
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class Scenario:
     """Number of entries and engines, and the rate of requests to all of them."""
 
     name: str
@@ -63,14 +63,14 @@
     rate_per_s: float
 
 
-LOADS = (
-    Load("borne, nine entries", 9, 10, 80.0),
-    Load("at the limit, nine entries", 9, 10, 100.0),
-    Load("a quarter over, five engines", 9, 5, 63.0),
-    Load("at the limit, 46 entries", 46, 18, 180.0),
-    Load("heavy, six entries", 6, 15, 145.0),
-    Load("a quarter over, six entries", 6, 8, 100.0),
-    Load("heavy, 38 entries", 38, 29, 290.0),
+SCENARIOS = (
+    Scenario("borne, nine entries", 9, 10, 80.0),
+    Scenario("at the limit, nine entries", 9, 10, 100.0),
+    Scenario("a quarter over, five engines", 9, 5, 63.0),
+    Scenario("at the limit, 46 entries", 46, 18, 180.0),
+    Scenario("heavy, six entries", 6, 15, 145.0),
+    Scenario("a quarter over, six entries", 6, 8, 100.0),
+    Scenario("heavy, 38 entries", 38, 29, 290.0),
 )
 
 
@@ -220,18 +220,19 @@
 class _Simulation:
     """Event-driven simulation of arrivals, entries and engines."""
 
-    def __init__(self, load: Load, seconds: float, seed: int) -> None:
+    def __init__(self, scenario: Scenario, seconds: float, seed: int) -> None:
         self.jobs: list[_Job] = []
         self._now_s = 0.0
         self._arrivals_end_s = seconds
-        self._rate_per_s = load.rate_per_s
+        self._rate_per_s = scenario.rate_per_s
         self._rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
-        self._engines = {f"q{i}": _Engine(self) for i in range(load.engines)}
+        self._engines = {f"q{i}": _Engine(self) for i in range(scenario.engines)}
         names = list(self._engines)
         self._entries = [
-            _Entry(f"entry-{i}", names, seed * 1000 + i) for i in range(load.entries)
+            _Entry(f"entry-{i}", names, seed * 1000 + i)
+            for i in range(scenario.entries)
         ]
 
     def run(self) -> None:
@@ -327,25 +328,25 @@
         """Do nothing."""
 
 
-def simulate(load: Load, seconds: float, seed: int = 1) -> Outcomes:
-    """Simulate a load and return the outcomes of its requests."""
-    simulation = _Simulation(load, seconds, seed)
+def simulate(scenario: Scenario, seconds: float, seed: int = 1) -> Outcomes:
+    """Simulate a scenario and return the outcomes of its requests."""
+    simulation = _Simulation(scenario, seconds, seed)
     simulation.run()
     jobs = [job for job in simulation.jobs if job.request.arrived_s > WARM_UP_S]
     refused = sum(isinstance(job.chosen, Failure) for job in jobs)
     in_time = sum(job.is_in_time() for job in jobs)
     late = len(jobs) - refused - in_time
     count = len(jobs)
-    return Outcomes(load.name, in_time / count, late / count, refused / count)
+    return Outcomes(scenario.name, in_time / count, late / count, refused / count)
 
 
 def main() -> None:
-    """Simulate every load."""
+    """Simulate every scenario."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    rows = [simulate(load, options.seconds, options.seed) for load in LOADS]
+    rows = [simulate(scenario, options.seconds, options.seed) for scenario in SCENARIOS]
     for row in rows:
         print(
             f"{row.load:32} in time {row.in_time:.3f}  late {row.late:.3f}  "
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -37,8 +37,8 @@
         self.fleet = fleet
         self.peer = peer
         self.distribution = distribution
-        self.up = QueueLink(fleet.events, fleet.rates.machine)
-        self.down = QueueLink(fleet.events, fleet.rates.machine)
+        self.uplink = QueueLink(fleet.events, fleet.rates.machine_bytes_per_s)
+        self.downlink = QueueLink(fleet.events, fleet.rates.machine_bytes_per_s)
         self.missing: set[str] = set()
         self.is_dead = False
         self.frozen_until_s = 0.0
@@ -49,8 +49,8 @@
 
     def set_link(self, bytes_per_s: float) -> None:
         """Replace the links of this agent's machine by links of another rate."""
-        self.up = QueueLink(self.fleet.events, bytes_per_s)
-        self.down = QueueLink(self.fleet.events, bytes_per_s)
+        self.uplink = QueueLink(self.fleet.events, bytes_per_s)
+        self.downlink = QueueLink(self.fleet.events, bytes_per_s)
 
     def fetch_version(self, manifest: Manifest) -> None:
         """Start to fetch a version."""
@@ -138,7 +138,7 @@
         self.rng = random.Random(seed)
         self.create_distribution = create_distribution
         self.objects: dict[str, bytes] = {}
-        self.origin = FairLink(self.events, rates.origin, piece_bytes)
+        self.origin = FairLink(self.events, rates.origin_bytes_per_s, piece_bytes)
         self.is_origin_unavailable = False
         self.origin_region = origin_region
         self.region_links: dict[tuple[str, str], QueueLink] = {}
@@ -230,21 +230,23 @@
 
         def send_down() -> None:
             if not receiver.is_dead:
-                receiver.down.send(size_bytes, 0.0, arrive)
+                receiver.downlink.send(size_bytes, 0.0, arrive)
 
         def send_across() -> None:
             link = self._region_link(sender.peer.region, receiver.peer.region)
             link.send(size_bytes, delay_s, send_down)
 
         if is_same_region:
-            sender.up.send(size_bytes, delay_s, send_down)
+            sender.uplink.send(size_bytes, delay_s, send_down)
         else:
-            sender.up.send(size_bytes, 0.0, send_across)
+            sender.uplink.send(size_bytes, 0.0, send_across)
 
     def _region_link(self, sender: str, receiver: str) -> QueueLink:
         key = (sender, receiver)
         if key not in self.region_links:
-            self.region_links[key] = QueueLink(self.events, self.rates.region)
+            self.region_links[key] = QueueLink(
+                self.events, self.rates.region_bytes_per_s
+            )
         return self.region_links[key]
 
     def read_origin(self, agent: FleetAgent, digest: str) -> None:
@@ -264,7 +266,7 @@
                     agent.complete_read(digest, data)
 
             def send_down() -> None:
-                agent.down.send(size_bytes, self.rates.intra_region_delay_s, arrive)
+                agent.downlink.send(size_bytes, self.rates.intra_region_delay_s, arrive)
 
             if self.origin_region in ("", agent.peer.region):
                 send_down()
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -62,8 +62,8 @@
         return HashedDistribution(peer, REGIONS[0], 3.0)
     limits = SwarmLimits(
         origin_region=REGIONS[0],
-        machine_bytes_per_s=rates.machine,
-        region_bytes_per_s=rates.region,
+        machine_bytes_per_s=rates.machine_bytes_per_s,
+        region_bytes_per_s=rates.region_bytes_per_s,
         memory_bytes=64 * 1024 * 1024 // SCALE,
         piece_bytes=PIECE_BYTES,
     )
@@ -78,12 +78,16 @@
     """
     rates = SETTINGS[case.links]
     copy_bytes = case.chunks * CHUNK_BYTES
-    common_s = max(copy_bytes / rates.machine, copy_bytes / rates.origin)
-    across_s = copy_bytes / rates.region
+    common_s = max(
+        copy_bytes / rates.machine_bytes_per_s, copy_bytes / rates.origin_bytes_per_s
+    )
+    across_s = copy_bytes / rates.region_bytes_per_s
     return {
         "star_s": max(common_s, across_s),
         "exchange_s": max(common_s, across_s / (len(REGIONS) - 1)),
-        "origin_only_s": max(common_s, case.targets * copy_bytes / rates.origin),
+        "origin_only_s": max(
+            common_s, case.targets * copy_bytes / rates.origin_bytes_per_s
+        ),
     }
 
 
@@ -170,7 +174,7 @@
         "origin_copies": round(fleet.origin_bytes / copy_bytes, 3),
         "region_link_copies_max": round(max(links.values(), default=0.0), 3),
         "sent_copies_max": round(
-            max(a.up.sent_bytes for a in fleet.agents.values()) / copy_bytes, 3
+            max(a.uplink.sent_bytes for a in fleet.agents.values()) / copy_bytes, 3
         ),
     }
     if last_s:
--- a/reedspar/direct/tests/test_many_deciders.py
+++ b/reedspar/direct/tests/test_many_deciders.py
@@ -7,14 +7,14 @@
 
 import unittest
 
-from bench.target_choice import LOADS, Outcomes, simulate
+from bench.target_choice import SCENARIOS, Outcomes, simulate
 
 SIMULATED_S = 12.0
 
 
 class ManyDecidersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.loads = {load.name: load for load in LOADS}
+        self.loads = {load.name: load for load in SCENARIOS}
 
     def simulate(self, name: str) -> Outcomes:
         return simulate(self.loads[name], SIMULATED_S)
--- a/reedspar/weights/tests/test_beside_answers.py
+++ b/reedspar/weights/tests/test_beside_answers.py
@@ -8,7 +8,13 @@
 import unittest
 from dataclasses import replace
 
-from bench.inbound_queues import CACHED_CASES, CASES, Case, Outcome, simulate
+from bench.inbound_queues import (
+    CACHED_SCENARIOS,
+    SCENARIOS,
+    DistributionScenario,
+    Outcome,
+    simulate,
+)
 
 BOUND_FACTOR_MAX = 1.2
 """Maximum time until every target has a version, relative to the bound."""
@@ -20,9 +26,9 @@
 
 class PromptDelayTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.cases = {case.name: case for case in (*CASES, *CACHED_CASES)}
+        self.cases = {case.name: case for case in (*SCENARIOS, *CACHED_SCENARIOS)}
 
-    def assert_short_waits(self, case: Case) -> Outcome:
+    def assert_short_waits(self, case: DistributionScenario) -> Outcome:
         outcome = simulate(case)
         self.assertLessEqual(outcome.mean_wait_s, MEAN_WAIT_MAX_S)
         self.assertLess(outcome.worst_wait_s, WORST_WAIT_MAX_S)
--- a/reedspar/weights/tests/test_caches.py
+++ b/reedspar/weights/tests/test_caches.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from bench.inbound_queues import CACHED_CASES, MODEL, create_fleet
+from bench.inbound_queues import CACHED_SCENARIOS, MODEL, create_fleet
 from bench.weight_agents import Fleet, FleetAgent, make_weights
 from reedspar.weights import Manifest
 from reedspar.weights.limits import OPEN_ORIGIN_READS_MAX
@@ -19,7 +19,7 @@
 
 class CacheTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.case = CACHED_CASES[0]
+        self.case = CACHED_SCENARIOS[0]
         self.fleet = create_fleet(self.case)
         self.manifest, self.fleet.objects = make_weights(
             self.case.chunk_count, self.case.chunk_bytes
@@ -186,7 +186,7 @@
     before = fleet.agents[name]
     before.is_dead = True
     successor = FleetAgent(fleet, before.peer, fleet.create_distribution(before.peer))
-    successor.up, successor.down = before.up, before.down
+    successor.uplink, successor.downlink = before.uplink, before.downlink
     fleet.agents[name] = successor
     others = [a.peer for a in fleet.live if a is not successor]
     successor.distribution.set_peers(MODEL, others, fleet.events.now_s)
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -5,7 +5,13 @@
 from dataclasses import dataclass
 from functools import cache
 
-from bench.inbound_queues import BYTES_PER_MEGABIT, MODEL, REGIONS, Case, create_fleet
+from bench.inbound_queues import (
+    BYTES_PER_MEGABIT,
+    MODEL,
+    REGIONS,
+    DistributionScenario,
+    create_fleet,
+)
 from bench.weight_agents import FleetAgent, make_weights
 from reedspar.errors import Failure, Reason, Step
 from reedspar.weights import Manifest, WeightPeer
@@ -16,7 +22,7 @@
 from reedspar.weights.neighbours import encode_map
 from reedspar.weights.swarm import SwarmDistribution
 
-CASE = Case(
+CASE = DistributionScenario(
     "two versions, many targets",
     {REGIONS[0]: 9, REGIONS[1]: 11, REGIONS[2]: 11},
     link_mbps=3.65,
--- a/reedspar/weights/tests/test_swarm.py
+++ b/reedspar/weights/tests/test_swarm.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bench.inbound_queues import Case
+from bench.inbound_queues import DistributionScenario
 from bench.inbound_queues import create_fleet as create_bench_fleet
 from bench.simulated_links import LinkRates
 from bench.weight_agents import Fleet, FleetAgent, make_weights
@@ -25,7 +25,9 @@
 CHUNK_BYTES = 4096
 PIECE_BYTES = 1024
 CHUNKS = 24
-RATES = LinkRates(machine=200_000, region=50_000, origin=400_000)
+RATES = LinkRates(
+    machine_bytes_per_s=200_000, region_bytes_per_s=50_000, origin_bytes_per_s=400_000
+)
 TIME_LIMIT_S = 120.0
 FAULTS = (
     "kill",
@@ -46,8 +48,8 @@
 ) -> Fleet:
     limits = SwarmLimits(
         origin_region=REGIONS[0],
-        machine_bytes_per_s=RATES.machine,
-        region_bytes_per_s=RATES.region,
+        machine_bytes_per_s=RATES.machine_bytes_per_s,
+        region_bytes_per_s=RATES.region_bytes_per_s,
         memory_bytes=memory_bytes,
         piece_bytes=PIECE_BYTES,
     )
@@ -68,7 +70,7 @@
 
 def create_narrow_fleet(sizes: dict[str, int]) -> Fleet:
     """Return a fleet with links of 3.65 Mbit/s, and an origin with twice that rate."""
-    case = Case(
+    case = DistributionScenario(
         "narrow",
         sizes,
         link_mbps=3.65,
@@ -269,7 +271,7 @@
         self.assertTrue(scenario.finish())
         copy = scenario.manifest.size_bytes
         self.assertLessEqual(fleet.origin_bytes, 1.5 * copy)
-        self.assertLessEqual(fleet.events.now_s, 3.0 * copy / RATES.region)
+        self.assertLessEqual(fleet.events.now_s, 3.0 * copy / RATES.region_bytes_per_s)
 
     def test_replaced_target_receives_chunks_from_its_region(self) -> None:
         # Guards against reads from the origin after an instance was replaced, which
