--- a/bench/claims.py
+++ b/bench/claims.py
@@ -38,8 +38,8 @@
 
 
 @dataclass
-class Figures:
-    """Results of one way to claim orders at one offered load."""
+class ClaimResult:
+    """Results of one way to claim orders at one offered load; printed as JSON."""
 
     way: str
     offered_per_s: int
@@ -52,7 +52,7 @@
     cpu_ms_per_order: float = 0.0
 
 
-class LimitedKeyValue(FakeKeyValue):
+class RateLimitedKeyValue(FakeKeyValue):
     """Key-value service with a delay and a limit on the rate of writes."""
 
     def __init__(self, writes_per_s: int) -> None:
@@ -79,13 +79,13 @@
 class Trial:
     """Run of one way to claim orders at one offered load."""
 
-    figures: Figures
+    result: ClaimResult
     seconds: float
-    key_value: LimitedKeyValue
+    key_value: RateLimitedKeyValue
     rng: random.Random = field(default_factory=lambda: random.Random(1))
     networks: dict[str, FakeNetwork] = field(default_factory=dict)
     filters: list[DeduplicationFilter] = field(default_factory=list)
-    claim_s: list[float] = field(default_factory=list)
+    claim_times_s: list[float] = field(default_factory=list)
     refused: int = 0
 
     def unix_time(self) -> float:
@@ -115,7 +115,7 @@
                 tasks.start_soon(ledger.run)
                 tasks.start_soon(timers.run)
             async with anyio.create_task_group() as orders:
-                count = round(self.figures.offered_per_s * self.seconds)
+                count = round(self.result.offered_per_s * self.seconds)
                 for number in range(count):
                     at_s = self.rng.uniform(0, self.seconds)
                     orders.start_soon(self._place_order, number, at_s)
@@ -137,7 +137,7 @@
         return network
 
     def _make_key(self, number: int) -> str:
-        if self.figures.way == "write per order":
+        if self.result.way == "write per order":
             return f"order-{number}"
         bits = int(self.unix_time() * 1000) << 80 | 7 << 76 | 2 << 62 | number
         return str(uuid.UUID(int=bits))
@@ -147,7 +147,7 @@
         started_s = anyio.current_time()
 
         async def run_order(request: Request) -> Answer:
-            self.claim_s.append(anyio.current_time() - started_s)
+            self.claim_times_s.append(anyio.current_time() - started_s)
             await anyio.sleep(SERVICE_TIME_S)
             return Answer(Outcome.ANSWERED, 200, (), ANSWER)
 
@@ -167,24 +167,26 @@
         self.refused += answer.outcome is not Outcome.ANSWERED
 
 
-def measure(way: str, offered_per_s: int, seconds: float, limit: int) -> Figures:
+def measure(
+    strategy: str, offered_per_s: int, seconds: float, limit: int
+) -> ClaimResult:
     """Run one way to claim orders at one offered load and return its results."""
-    figures = Figures(way, offered_per_s)
-    trial = Trial(figures, seconds, LimitedKeyValue(limit))
+    result = ClaimResult(strategy, offered_per_s)
+    trial = Trial(result, seconds, RateLimitedKeyValue(limit))
     started_s = time.process_time()
     run_virtual(trial.run)
     cpu_s = time.process_time() - started_s
-    ran = len(trial.claim_s)
-    figures.ran_per_s = round(ran / seconds, 1)
-    figures.refused_share = round(trial.refused / (offered_per_s * seconds), 4)
-    figures.writes_per_s = round(trial.key_value.calls / seconds, 1)
-    figures.writes_per_order = round(trial.key_value.calls / max(1, ran), 3)
+    ran = len(trial.claim_times_s)
+    result.ran_per_s = round(ran / seconds, 1)
+    result.refused_share = round(trial.refused / (offered_per_s * seconds), 4)
+    result.writes_per_s = round(trial.key_value.calls / seconds, 1)
+    result.writes_per_order = round(trial.key_value.calls / max(1, ran), 3)
     if ran > 1:
-        percentiles = statistics.quantiles(trial.claim_s, n=100)
-        figures.claim_p50_ms = round(percentiles[49] * 1000, 1)
-        figures.claim_p99_ms = round(percentiles[98] * 1000, 1)
-    figures.cpu_ms_per_order = round(cpu_s * 1000 / max(1, ran), 3)
-    return figures
+        percentiles = statistics.quantiles(trial.claim_times_s, n=100)
+        result.claim_p50_ms = round(percentiles[49] * 1000, 1)
+        result.claim_p99_ms = round(percentiles[98] * 1000, 1)
+    result.cpu_ms_per_order = round(cpu_s * 1000 / max(1, ran), 3)
+    return result
 
 
 def main() -> None:
@@ -195,8 +197,10 @@
     arguments = parser.parse_args()
     rows = []
     for offered_per_s in (5, 50, 150, 500, 1500):
-        for way in ("write per order", "group commit"):
-            row = measure(way, offered_per_s, arguments.seconds, arguments.writes_per_s)
+        for strategy in ("write per order", "group commit"):
+            row = measure(
+                strategy, offered_per_s, arguments.seconds, arguments.writes_per_s
+            )
             print(row, flush=True)
             rows.append(asdict(row))
     print(json.dumps({"writes_limit_per_s": arguments.writes_per_s, "rows": rows}))
--- a/bench/cold_start.py
+++ b/bench/cold_start.py
@@ -2,15 +2,15 @@
 
 ``python -m bench.cold_start [--seed N] [--seconds S]``
 
-Only the decisions run, in virtual time, on the same arrivals at one and a half times
-the capacity of the target.  A cold target is slow, and it crashes if more requests
-than its cold limit are in flight for longer than it tolerates.
-
-The five ways: the product's gate, one for the target; a gate for the target at each
-entry; a ramp of fixed length from each boot; the cold limit for the same fixed time
-and then the full limit; no gate.  `full_after_s` is the time from the moment at which
-the target turns cold or restarts until the full limit is allowed and the target is
-warm; -1 means never.
+Simulates requests, target and limiters in virtual time, without a network.  All ways
+handle the same arrivals, at one and a half times the capacity of the target.  A cold
+target is slow, and it crashes if more requests than its cold limit are in flight for
+longer than it tolerates.
+
+The five ways are one gate of the product for the target; one such gate at each entry;
+a ramp of fixed length from each boot; the cold limit for the same fixed time and then
+the full limit; no gate.  `full_after_s` is the time from when the target turns cold
+or restarts until the full limit is allowed and the target is warm; -1 means never.
 """
 
 import argparse
@@ -27,8 +27,8 @@
     FULL_LIMIT,
     RAMP_S,
     SCENARIOS,
+    STRATEGIES,
     WARM_SERVICE_S,
-    WAYS,
     GateLimiter,
     Request,
     Scenario,
@@ -64,25 +64,25 @@
 
 @dataclass(order=True)
 class Event:
-    """A call that is scheduled for a time."""
+    """A scheduled call."""
 
     at_s: float
     order: int
     act: Callable[[], None] = field(compare=False)
 
 
-class Run:
+class Simulation:
     """Simulation of one way in one scenario."""
 
     def __init__(
-        self, scenario: Scenario, way: str, entries: int, seconds: float, seed: int
+        self, scenario: Scenario, strategy: str, entries: int, seconds: float, seed: int
     ) -> None:
         self._seconds = seconds
         self._scenario = scenario
         self._rng = random.Random(seed)
         self._length_rng = random.Random(seed)
-        limiter_count = entries if way == "gate at each entry" else 1
-        self._limiters = [WAYS[way]() for _ in range(limiter_count)]
+        limiter_count = entries if strategy == "gate at each entry" else 1
+        self._limiters = [STRATEGIES[strategy]() for _ in range(limiter_count)]
         self._queues: list[deque[Request]] = [deque() for _ in range(limiter_count)]
         self._entries = entries
         self._target = Target(scenario)
@@ -92,17 +92,17 @@
         self._is_known_up = False
         self._timely_answers = 0
         self._cold_start_at_s: float | None = None
-        self.outcome = Outcome(scenario.name, way, entries)
+        self.outcome = Outcome(scenario.name, strategy, entries)
 
     def run(self) -> Outcome:
         """Run for the given time and return the outcome."""
-        self._at(0.0, self._boot)
-        self._at(0.0, self._poll_periodically)
-        self._at(0.0, self._arrive)
+        self._schedule(0.0, self._boot)
+        self._schedule(0.0, self._poll_periodically)
+        self._schedule(0.0, self._arrive)
         if self._scenario.turns_cold:
-            self._at(FAULT_TIME_S, self._turn_cold)
+            self._schedule(FAULT_TIME_S, self._turn_cold)
         if self._scenario.restarts:
-            self._at(FAULT_TIME_S, self._restart)
+            self._schedule(FAULT_TIME_S, self._restart)
         while self._events and self._events[0].at_s <= self._seconds:
             event = heapq.heappop(self._events)
             self._now_s = event.at_s
@@ -111,7 +111,7 @@
         self.outcome.goodput_per_s = round(self._timely_answers / self._seconds, 1)
         return self.outcome
 
-    def _at(self, at_s: float, act: Callable[[], None]) -> None:
+    def _schedule(self, at_s: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._events, Event(at_s, next(self._sequence), act))
 
     def _boot(self) -> None:
@@ -136,7 +136,7 @@
             self._limiters[request.limiter_index].handle_event("note_ended")
             self._limiters[request.limiter_index].handle_event("note_broken")
         self._is_known_up = False
-        self._at(self._now_s + RESTART_DURATION_S, self._boot)
+        self._schedule(self._now_s + RESTART_DURATION_S, self._boot)
 
     def _check_target(self) -> None:
         """Crash an overloaded target; record when the limit is full and it is warm."""
@@ -154,14 +154,14 @@
 
     def _poll_periodically(self) -> None:
         self._poll()
-        self._at(self._now_s + POLL_INTERVAL_S, self._poll_periodically)
+        self._schedule(self._now_s + POLL_INTERVAL_S, self._poll_periodically)
 
     def _poll(self) -> None:
         target = self._target
         self._is_known_up = target.is_up
         for limiter_index, limiter in enumerate(self._limiters):
             if target.is_up:
-                is_cold = target.report_cold(self._now_s)
+                is_cold = target.reports_cold(self._now_s)
                 limiter.handle_report(f"boot-{target.boot}", is_cold, self._now_s)
                 self._start_queued(limiter_index)
             else:
@@ -176,9 +176,9 @@
             queue.append(Request(limiter_index, self._now_s, is_long))
         limiter = self._limiters[limiter_index]
         if isinstance(limiter, GateLimiter) and not limiter.is_confirmed:
-            self._at(self._now_s + POLL_RTT_S, self._poll)
+            self._schedule(self._now_s + POLL_RTT_S, self._poll)
         self._start_queued(limiter_index)
-        self._at(self._now_s + self._rng.expovariate(OFFERED_PER_S), self._arrive)
+        self._schedule(self._now_s + self._rng.expovariate(OFFERED_PER_S), self._arrive)
 
     def _start_queued(self, limiter_index: int) -> None:
         queue = self._queues[limiter_index]
@@ -202,19 +202,21 @@
             service_s += first_s * (LONG_FIRST_BYTE_FACTOR - 1)
             first_s *= LONG_FIRST_BYTE_FACTOR
         if is_cold and target.overloaded_since_s is not None:
-            self._at(
+            self._schedule(
                 target.overloaded_since_s + self._scenario.overload_tolerance_s,
                 lambda: None,
             )
-        self._at(self._now_s + first_s, lambda: self._first_byte(request, first_s))
-        self._at(self._now_s + service_s, lambda: self._end(request))
+        self._schedule(
+            self._now_s + first_s, lambda: self._handle_first_byte(request, first_s)
+        )
+        self._schedule(self._now_s + service_s, lambda: self._handle_end(request))
 
-    def _first_byte(self, request: Request, latency_s: float) -> None:
+    def _handle_first_byte(self, request: Request, latency_s: float) -> None:
         if request in self._target.running:
             limiter = self._limiters[request.limiter_index]
             limiter.handle_event("note_first_byte", latency_s)
 
-    def _end(self, request: Request) -> None:
+    def _handle_end(self, request: Request) -> None:
         if request not in self._target.running:
             return
         self._target.running.discard(request)
@@ -235,13 +237,15 @@
     options = parser.parse_args()
     outcomes = []
     for scenario in SCENARIOS:
-        for way in WAYS:
+        for strategy in STRATEGIES:
             for entries in (1, 9):
-                run = Run(scenario, way, entries, options.seconds, options.seed)
-                outcome = run.run()
+                simulation = Simulation(
+                    scenario, strategy, entries, options.seconds, options.seed
+                )
+                outcome = simulation.run()
                 outcomes.append(asdict(outcome))
                 print(
-                    f"{scenario.name:32} {way:20} {entries}"
+                    f"{scenario.name:32} {strategy:20} {entries}"
                     f" full after {outcome.full_after_s:6.2f} s"
                     f" excess {outcome.excess_starts:5} crashes {outcome.crashes:3}"
                     f" goodput {outcome.goodput_per_s:5.1f}/s"
--- a/bench/cold_start_model.py
+++ b/bench/cold_start_model.py
@@ -12,8 +12,8 @@
     "FULL_LIMIT",
     "RAMP_S",
     "SCENARIOS",
+    "STRATEGIES",
     "WARM_SERVICE_S",
-    "WAYS",
     "GateLimiter",
     "Limiter",
     "Request",
@@ -79,11 +79,11 @@
         ...
 
     def handle_event(self, event: str, value: Any = None) -> None:
-        """Handle an event that is named like the gate's method for it."""
+        """Handle an event; its name is that of the gate's method."""
         ...
 
     def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
-        """Handle a report of the target."""
+        """Handle a report from the target."""
         ...
 
 
@@ -95,7 +95,7 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Return whether the boot was read since the target was last idle."""
+        """Return whether the boot id was read since the target was last idle."""
         return self._gate.is_confirmed
 
     def has_room(self, now_s: float) -> bool:
@@ -118,7 +118,7 @@
 
 
 class TimedLimiter:
-    """Limiter by the time since the boot.
+    """Limiter that depends only on the time since the boot.
 
     Allows the cold limit for `hold_s`, and then increases it linearly to the full limit
     within `ramp_s`.
@@ -148,13 +148,13 @@
         self._in_flight += {"note_started": 1, "note_ended": -1}.get(event, 0)
 
     def handle_report(self, boot_id: str, is_cold: bool, now_s: float) -> None:
-        """Start again from the cold limit after another boot."""
+        """Return to the cold limit if the target has restarted."""
         if boot_id != self._boot_id:
             self._boot_id = boot_id
             self._booted_at_s = now_s
 
 
-WAYS: dict[str, Callable[[], Limiter]] = {
+STRATEGIES: dict[str, Callable[[], Limiter]] = {
     "gate": GateLimiter,
     "gate at each entry": GateLimiter,
     "fixed ramp": lambda: TimedLimiter(0.0, RAMP_S),
@@ -220,11 +220,11 @@
             return False
         return True
 
-    def report_cold(self, now_s: float) -> bool:
+    def reports_cold(self, now_s: float) -> bool:
         """Return whether the target reports that it is cold; reports lag behind."""
         self.is_cold(now_s)
-        seen_s = now_s - self._scenario.report_lag_s
-        return [cold for at_s, cold in self._history if at_s <= seen_s][-1]
+        visible_s = now_s - self._scenario.report_lag_s
+        return [cold for at_s, cold in self._history if at_s <= visible_s][-1]
 
     def count_answer(self) -> None:
         """Count an answer towards the end of the cold start."""
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -2,9 +2,9 @@
 
 ``python -m bench.configuration [--seed N] [--rounds N] [--sizes small,middle,full]``
 
-Only the decisions run; latency, lost messages and stopped processes are drawn from a
-generator with the given seed.  In the baseline, every daemon watches the key-value
-service.
+Simulates the configuration controllers without processes or a network.  A generator
+with the given seed decides on latencies, lost messages and frozen processes.  In the
+baseline, every daemon watches the key-value service.
 """
 
 import argparse
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Size:
+class FleetSize:
     """Size of a fleet to measure."""
 
     entries: int
@@ -59,14 +59,14 @@
 
 
 SIZES = {
-    "small": Size(9, 9, 3, 3),
-    "middle": Size(59, 190, 11, 5),
-    "full": Size(590, 1900, 11, 5),
+    "small": FleetSize(9, 9, 3, 3),
+    "middle": FleetSize(59, 190, 11, 5),
+    "full": FleetSize(590, 1900, 11, 5),
 }
 
 
 def make_frame_sizer() -> Callable[[Sender, Any], int]:
-    """Return a function that returns the size of a message's frame in bytes.
+    """Return a function that computes the size of a message's frame in bytes.
 
     Each combination of message class and size of the variable part is encoded once.
     """
@@ -114,7 +114,7 @@
     )
 
 
-def make_fleet(size: Size, seed: int, watchers_per_zone: int) -> Fleet:
+def make_fleet(size: FleetSize, seed: int, watchers_per_zone: int) -> Fleet:
     """Return a fleet with the links that membership opens."""
     zones = [f"zone-{i:02d}" for i in range(size.zones)]
     regions = {zone: f"region-{i % size.regions}" for i, zone in enumerate(zones)}
@@ -153,7 +153,7 @@
     return fleet
 
 
-class Round:
+class AdoptionRound:
     """Acceptance of one version while some of the processes are frozen."""
 
     def __init__(self, fleet: Fleet, version: int, zone: str) -> None:
@@ -242,7 +242,7 @@
 
 
 def measure_size(
-    size: Size, seed: int, rounds: int, watchers_per_zone: int
+    size: FleetSize, seed: int, rounds: int, watchers_per_zone: int
 ) -> dict[str, Any]:
     """Return the results for one fleet."""
     started_s = time.perf_counter()
@@ -260,12 +260,12 @@
     late = 0
     missing = 0
     for i in range(rounds):
-        trial = Round(fleet, i + 2, f"zone-{i % size.zones:02d}")
-        trial.run()
-        adoption_times_s += trial.list_adoption_times_s(since_resumed=False)
-        running += trial.list_adoption_times_s(since_resumed=True)
-        late += trial.late
-        missing += len(fleet.nodes) - len(trial.in_force_s)
+        adoption_round = AdoptionRound(fleet, i + 2, f"zone-{i % size.zones:02d}")
+        adoption_round.run()
+        adoption_times_s += adoption_round.list_adoption_times_s(since_resumed=False)
+        running += adoption_round.list_adoption_times_s(since_resumed=True)
+        late += adoption_round.late
+        missing += len(fleet.nodes) - len(adoption_round.in_force_s)
     return {
         "daemons": len(fleet.nodes),
         "links_per_daemon": round(
--- a/bench/configuration_histories.py
+++ b/bench/configuration_histories.py
@@ -15,8 +15,8 @@
 
 __all__ = ["main"]
 
-MAX_FAULTS = 25
-MAX_WAIT_S = 10.0
+FAULTS_MAX = 25
+WAIT_MAX_S = 10.0
 
 
 def run_history(seed: int) -> str:
@@ -24,9 +24,9 @@
     rng = random.Random(seed)
     try:
         simulation = FaultSimulation(seed)
-        for _ in range(rng.randint(3, MAX_FAULTS)):
+        for _ in range(rng.randint(3, FAULTS_MAX)):
             simulation.apply(rng.choice(FAULTS))
-            simulation.fleet.run_for(rng.uniform(0.5, MAX_WAIT_S))
+            simulation.fleet.run_for(rng.uniform(0.5, WAIT_MAX_S))
         simulation.heal()
     except AssertionError as error:
         return str(error)
--- a/bench/configuration_watch.py
+++ b/bench/configuration_monitor.py
@@ -10,18 +10,18 @@
 from stand_ins.launcher import Daemon, Launcher
 from stand_ins.promises import Violation
 
-__all__ = ["ConfigurationWatch"]
+__all__ = ["ConfigurationMonitor"]
 
 POLL_INTERVAL_S = 0.5
 ADOPTION_LIMIT_S = 4.0
 POLL_TIMEOUT_S = 0.5
 DISTURBANCE_GRACE_S = 6.0
-"""Time after a disturbance in which a daemon may exceed `ADOPTION_LIMIT_S`."""
+"""Time after a kill, pause or start in which a daemon may exceed the limit."""
 
 
 @dataclass
-class ConfigurationWatch:
-    """Polls the configuration version of each daemon and collects violations."""
+class ConfigurationMonitor:
+    """Polls the configuration version of each daemon and records violations."""
 
     launcher: Launcher
     disturbed_at: dict[str, float]
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -29,7 +29,7 @@
 POOL = "orders"
 WARM_UP_S = 8.0
 MEBIBYTE = 1024 * 1024
-MAX_MEMORY_FRACTION = 0.5
+MEMORY_FRACTION_MAX = 0.5
 DAEMON_MEMORY_BYTES = 100 * MEBIBYTE
 PATCH_COUNT = 5
 ADOPTION_WAIT_S = 4.0
@@ -44,7 +44,7 @@
     with open("/proc/meminfo") as file:
         lines = dict(line.split(":") for line in file)
     free_bytes = int(lines["MemAvailable"].split()[0]) * 1024
-    if count * DAEMON_MEMORY_BYTES > free_bytes * MAX_MEMORY_FRACTION:
+    if count * DAEMON_MEMORY_BYTES > free_bytes * MEMORY_FRACTION_MAX:
         raise SystemExit(
             f"{count} daemons do not fit into half of the {free_bytes} bytes available"
         )
@@ -72,7 +72,7 @@
     return traffic
 
 
-def patch(client: httpx.Client, daemon: Daemon, version: int) -> float:
+def submit_patch(client: httpx.Client, daemon: Daemon, version: int) -> float:
     """Submit a version to a daemon and return the wall-clock time of the answer."""
     body = {
         "base_version": version - 1,
@@ -101,7 +101,7 @@
     """Return statistics of the times from acceptance until in force."""
     accepted = {}
     for version in range(2, PATCH_COUNT + 2):
-        accepted[version] = patch(client, launcher.entries[0], version)
+        accepted[version] = submit_patch(client, launcher.entries[0], version)
         time.sleep(ADOPTION_WAIT_S)
     times = []
     missing = 0
@@ -201,7 +201,7 @@
         launch(make_deployment(count), options) as launcher,
         httpx.Client(trust_env=False, timeout=CLIENT_TIMEOUT_S) as client,
     ):
-        patch(client, launcher.entries[0], 1)
+        submit_patch(client, launcher.entries[0], 1)
         time.sleep(WARM_UP_S)
         cost = measure_cost(client, launcher, seconds)
         adoption = measure_adoption(client, launcher)
@@ -209,7 +209,7 @@
 
 
 def fit_slope(xs: list[float], ys: list[float]) -> dict[str, float]:
-    """Return a line fitted by least squares, or nothing for fewer than two points."""
+    """Return a least-squares line, or an empty result for fewer than two points."""
     if len(xs) < 2:
         return {}
     line = statistics.linear_regression(xs, ys)
--- a/bench/fault_injector.py
+++ b/bench/fault_injector.py
@@ -16,7 +16,7 @@
 from stand_ins.processes import StartError
 from stand_ins.promises import StalledPath, ZoneOutage
 
-__all__ = ["FaultInjector", "PlannedStop", "TimeLine"]
+__all__ = ["FaultInjector", "FaultTimeline", "PlannedStop"]
 
 FAULT_FREE_TIME_BEFORE_STOP_S = 4.0
 """Time without faults before a planned stop, so that only the stop can cut requests."""
@@ -29,13 +29,13 @@
 
 
 @dataclass
-class TimeLine:
-    """The faults and operations on the deployment, with their times."""
+class FaultTimeline:
+    """Injected faults and operations on the deployment, with their times."""
 
     lines: list[tuple[float, str]] = field(default_factory=list)
 
     def record(self, text: str) -> None:
-        """Add and print a line with the current time."""
+        """Record and print a line with the current time."""
         self.lines.append((time.time(), text))
         print(f"{time.time():.3f} {text}", flush=True)
 
@@ -49,13 +49,13 @@
     """A graceful stop in a period without faults."""
 
     daemon: Daemon
-    begun_at: float
+    started_at: float
     ended_at: float
     exit_code: int | None
 
 
 class FaultInjector:
-    """Injects faults that are drawn from a seeded random generator."""
+    """Injects faults that a seeded random generator chooses."""
 
     def __init__(self, launcher: Launcher, operator: Operator, seed: int) -> None:
         self._launcher = launcher
@@ -66,7 +66,7 @@
         self._active_faults = 0
         self._last_fault_end_s = 0.0
         self._is_closing = False
-        self.time_line = TimeLine()
+        self.timeline = FaultTimeline()
         self.stalled_paths: list[StalledPath] = []
         self.outages: list[ZoneOutage] = []
         self.stops: list[PlannedStop] = []
@@ -121,7 +121,7 @@
         try:
             await fault()
         except (httpx.HTTPError, OperatorError, StartError) as error:
-            self.time_line.record(f"{fault.__name__}: {error!r}")
+            self.timeline.record(f"{fault.__name__}: {error!r}")
         finally:
             self._active_faults -= 1
             self._last_fault_end_s = anyio.current_time()
@@ -149,14 +149,14 @@
         if daemon is None:
             return
         self.disturbed_at[daemon.name] = time.time()
-        self.time_line.record(f"SIGKILL {daemon.name}")
+        self.timeline.record(f"SIGKILL {daemon.name}")
         self._launcher.processes[daemon.name].should_run = False
         self._launcher.processes.kill(daemon.name)
         await anyio.sleep(self._rng.uniform(0.2, 3.0))
         await self._restart(daemon)
 
     async def _restart(self, daemon: Daemon) -> None:
-        self.time_line.record(f"start {daemon.name}")
+        self.timeline.record(f"start {daemon.name}")
         self._launcher.processes.restart(daemon.name)
         self._release_daemon(daemon)
 
@@ -171,36 +171,36 @@
             return
         self.disturbed_at[daemon.name] = time.time()
         pause_s = self._rng.uniform(0.5, 8.0)
-        self.time_line.record(f"SIGSTOP {daemon.name} for {pause_s:.2f} s")
+        self.timeline.record(f"SIGSTOP {daemon.name} for {pause_s:.2f} s")
         self._launcher.processes.kill(daemon.name, signal.SIGSTOP)
         await anyio.sleep(pause_s)
         self._launcher.processes.kill(daemon.name, signal.SIGCONT)
-        self.time_line.record(f"SIGCONT {daemon.name}")
+        self.timeline.record(f"SIGCONT {daemon.name}")
         self._release_daemon(daemon)
 
     async def _crash_engine(self) -> None:
         agent = self._rng.choice(self._engines)
-        self.time_line.record(f"crash the engine of {agent.name}")
+        self.timeline.record(f"crash the engine of {agent.name}")
         await self._client.post(f"{agent.target_url}/control/crash")
 
     async def _turn_engine_cold(self) -> None:
         agent = self._rng.choice(self._engines)
-        self.time_line.record(f"the engine of {agent.name} turns cold")
+        self.timeline.record(f"the engine of {agent.name} turns cold")
         await self._client.post(f"{agent.target_url}/control/cold")
 
     async def _freeze_engine(self) -> None:
         agent = self._rng.choice(self._engines)
         url = f"{agent.target_url}/control/settings"
         kind = self._rng.choice(["frozen", "silent"])
-        self.time_line.record(f"the engine of {agent.name} is {kind}")
+        self.timeline.record(f"the engine of {agent.name} is {kind}")
         await self._client.put(url, json={kind: True})
         await anyio.sleep(self._rng.uniform(0.5, 5.0))
         await self._client.put(url, json={})
-        self.time_line.record(f"the engine of {agent.name} resumes")
+        self.timeline.record(f"the engine of {agent.name} resumes")
 
     async def _crash_service(self) -> None:
         agent = self._rng.choice(self._services)
-        self.time_line.record(f"the service of {agent.name} crashes after its next run")
+        self.timeline.record(f"the service of {agent.name} crashes after its next run")
         url = f"{agent.target_url}/control/settings"
         await self._client.put(url, json={"crash_next": 1})
 
@@ -229,11 +229,11 @@
             return
         self._disturbed.add(name)
         faults = self._rng.choice(kinds)
-        self.time_line.record(f"{name}: {faults}")
+        self.timeline.record(f"{name}: {faults}")
         await self._client.put(f"{url}/control/faults", json=faults)
         await anyio.sleep(self._rng.uniform(1.0, 8.0))
         await self._client.put(f"{url}/control/faults", json={})
-        self.time_line.record(f"{name}: no faults")
+        self.timeline.record(f"{name}: no faults")
         self._disturbed.discard(name)
 
     async def _disturb_path(self) -> None:
@@ -244,20 +244,20 @@
         self._disturbed.add(f"path {name}")
         control_url = self._launcher.relay_urls[url]
         kind = self._rng.choice(["cut", "slow", "silent", "silent for open ones"])
-        self.time_line.record(f"path to {name}: {kind}")
+        self.timeline.record(f"path to {name}: {kind}")
         if kind == "cut":
             await self._client.post(f"{control_url}/control/cut")
         else:
             rule = {"delay_s": 0.2} if kind == "slow" else {"silent": True}
             rules = {"to_server": rule, "to_client": rule}
             only_open = kind == "silent for open ones"
-            begun_at = time.time()
+            started_at = time.time()
             body = {**rules, "only_open": only_open}
             await self._client.put(f"{control_url}/control/rules", json=body)
             await anyio.sleep(self._rng.uniform(1.0, 6.0))
             await self._client.put(f"{control_url}/control/rules", json={})
-            self.stalled_paths.append(StalledPath(name, begun_at, time.time()))
-            self.time_line.record(f"path to {name}: clear")
+            self.stalled_paths.append(StalledPath(name, started_at, time.time()))
+            self.timeline.record(f"path to {name}: clear")
         self._disturbed.discard(f"path {name}")
 
     def _list_paths(self) -> list[tuple[str, str]]:
@@ -274,9 +274,7 @@
             accepted = await self._operator.set_zone(zone, "out")
             outage = ZoneOutage(zone, accepted.at)
             self.outages.append(outage)
-            self.time_line.record(
-                f"zone {zone} taken out by version {accepted.version}"
-            )
+            self.timeline.record(f"zone {zone} taken out by version {accepted.version}")
             await anyio.sleep(self._rng.uniform(4.0, 9.0))
             outage.ended_at = time.time()
         finally:
@@ -290,9 +288,9 @@
             except OperatorError:
                 await anyio.sleep(0.5)
                 continue
-            self.time_line.record(f"zone {zone} returned by version {accepted.version}")
+            self.timeline.record(f"zone {zone} returned by version {accepted.version}")
             return
-        self.time_line.record(f"zone {zone} could not be returned")
+        self.timeline.record(f"zone {zone} could not be returned")
 
     async def _stop_gracefully(self) -> None:
         """Stop a daemon gracefully after a period without faults."""
@@ -306,8 +304,8 @@
         if daemon is None:
             return
         self.disturbed_at[daemon.name] = time.time()
-        self.time_line.record(f"SIGTERM {daemon.name}")
-        begun_at = time.time()
+        self.timeline.record(f"SIGTERM {daemon.name}")
+        started_at = time.time()
         process = self._launcher.processes[daemon.name]
         process.should_run = False
         self._launcher.set_instance(daemon, InstanceState.LEAVING)
@@ -316,9 +314,9 @@
             while process.is_running:
                 await anyio.sleep(0.02)
         code = process.popen.poll()
-        self.stops.append(PlannedStop(daemon, begun_at, time.time(), code))
-        took_s = time.time() - begun_at
-        self.time_line.record(f"{daemon.name} exited with {code} after {took_s:.2f} s")
+        self.stops.append(PlannedStop(daemon, started_at, time.time(), code))
+        took_s = time.time() - started_at
+        self.timeline.record(f"{daemon.name} exited with {code} after {took_s:.2f} s")
         await anyio.sleep(1.0)
         await self._restart(daemon)
         self._launcher.set_instance(daemon, InstanceState.LIVE)
--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -4,8 +4,8 @@
 
 Simulates three faults of 60 s each in virtual time, with 59 entries and 190 agents.
 For each of three rules, counts over all daemons the seconds in which new work is
-refused although no zone was taken out, and the seconds in which work may start in a
-zone more than 5 s after that zone was taken out:
+refused although no zone is out, and the seconds in which work may start in a zone
+more than 5 s after that zone was taken out:
 
 - `serve_on`: the current version is valid without a time limit;
 - `confirmed_only`: the key-value service must have confirmed it within 4 s;
@@ -24,7 +24,7 @@
 __all__ = ["main"]
 
 ZONE = "zone-00"
-MAX_CONFIRMATION_AGE_S = 4.0
+CONFIRMATION_AGE_MAX_S = 4.0
 ZONE_OUT_LIMIT_S = 5.0
 WARM_UP_S = 12.0
 ZONE_OUT_DELAY_S = 5.0
@@ -43,7 +43,7 @@
     if rule == "product":
         return controller.check_work_allowed(node.zone) is None
     confirmed_s = controller.confirmed_age_s
-    return confirmed_s <= MAX_CONFIRMATION_AGE_S
+    return confirmed_s <= CONFIRMATION_AGE_MAX_S
 
 
 def measure(fault: str, seed: int) -> dict[str, Any]:
--- a/bench/hashed_distribution.py
+++ b/bench/hashed_distribution.py
@@ -1,10 +1,10 @@
 """Baseline distribution: one agent per region fetches each chunk for all others.
 
-The live agents of a region are ranked by rendezvous hashing of the chunk's digest.
-Agents request a chunk from the first in rank of their region, which reads it from
-the origin in the origin's region, and elsewhere requests it from the first in rank of
-the origin's region.  Each further attempt uses the next rank.  The swarm replaced
-this design.
+Rendezvous hashing of a chunk's digest ranks the live agents of each region.  An agent
+requests a chunk from the highest-ranked agent of its own region.  In the origin's
+region, that agent reads the chunk from the origin; in any other region, it requests
+the chunk from the highest-ranked agent of the origin's region.  Each retry uses the
+next rank.  `bench.weights_distribution` compares this design with the swarm.
 """
 
 import itertools
@@ -32,7 +32,7 @@
 
 __all__ = ["HashedDistribution"]
 
-MAX_OPEN_FETCHES = 8
+OPEN_FETCHES_MAX = 8
 RETRY_DELAY_S = 0.2
 TICK_INTERVAL_S = 0.05
 
@@ -101,7 +101,7 @@
                 del self._fetches[fetch.digest]
 
     def receive(self, peer: str, message: WeightMessage, now_s: float) -> None:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         if isinstance(message, ChunkRequest):
             self._handle_request(peer, message)
         elif isinstance(message, ChunkPiece):
@@ -129,10 +129,10 @@
     def handle_send_failure(
         self, peer: str, message: WeightMessage, now_s: float
     ) -> None:
-        """Do nothing: the deadline covers it."""
+        """Do nothing: the fetch is retried at its deadline."""
 
     def handle_link_lost(self, peer: str, now_s: float) -> None:
-        """Do nothing: the view drops the peer later."""
+        """Do nothing: `set_peers` removes the peer later."""
 
     def handle_pause(self, now_s: float) -> None:
         """Retry all open fetches: answers may have been lost during the pause."""
@@ -166,7 +166,7 @@
         fetch.roots.add(root_digest)
 
     def _start_fetches(self, now_s: float) -> None:
-        free = MAX_OPEN_FETCHES - sum(fetch.is_open for fetch in self._fetches.values())
+        free = OPEN_FETCHES_MAX - sum(fetch.is_open for fetch in self._fetches.values())
         for fetch in self._fetches.values():
             if free <= 0:
                 return
--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -1,9 +1,9 @@
 """Measure how long prompts wait for a target's link while a version arrives over it.
 
-The agents run the real distribution code in virtual time, over simulated links with
-queues.  A prompt that arrives at a target waits for everything that is queued on the
-link to its machine.  This wait is sampled every 10 ms at each target that still lacks
-chunks.
+The agents run the product's distribution code in virtual time, over simulated links
+with queues.  A prompt for a target waits for everything that is queued on the link to
+the target's machine.  This wait is sampled every 10 ms at each target that still
+lacks chunks.
 
 Run ``python -m bench.inbound_queues``; the last line is one JSON array.
 """
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -3,9 +3,10 @@
 The baseline of each result is the same call sent directly to the target's stand-in in
 the same run.  Measures calls at 50 per second, alternating with direct ones; calls as
 fast as 32 clients can send them; streams; and the memory of idle daemons.  Orders with
-dated keys share writes to the key-value service, while plain keys need one write each,
-so the two are measured separately.  The processor time per request is that of the
-entry and that of all agents of the pool together, without their use when idle.
+dated keys share writes to the key-value service, while those with plain keys need one
+write each, so the two are measured separately.  The processor time per request is
+given for the entry and for all agents of the pool together, without their use when
+idle.
 """
 
 import argparse
@@ -60,7 +61,7 @@
 Call = Callable[[Sample], Coroutine[Any, Any, None]]
 
 
-class Caller:
+class ComparisonClient:
     """Sends the same calls through the entry and directly to the targets."""
 
     def __init__(self, launcher: Launcher) -> None:
@@ -142,7 +143,7 @@
     return figures
 
 
-async def run_flat_out(call: Call, seconds: float) -> dict[str, Any]:
+async def run_closed_loop(call: Call, seconds: float) -> dict[str, Any]:
     """Call from `CLIENT_COUNT` clients, each of which waits for its answer."""
     sample = Sample()
     until_s = time.monotonic() + seconds
@@ -201,7 +202,7 @@
     async def compare(
         self, pool: str, direct: Call, through: Call, seconds: float
     ) -> dict[str, Any]:
-        """Return both kinds of call, the added latency, and the processor time."""
+        """Return both calls' figures, the added latency, and the processor time."""
         meter = self.start_meter(pool)
         calls = {"direct": direct, "through": through}
         figures = await run_at_rate(calls, seconds)
@@ -212,10 +213,10 @@
         figures["load_average"] = os.getloadavg()[0]
         return figures
 
-    async def flat_out(self, call: Call, seconds: float) -> dict[str, Any]:
+    async def measure_throughput(self, call: Call, seconds: float) -> dict[str, Any]:
         """Return the throughput of quotes and the processor time."""
         meter = self.start_meter("quotes")
-        figures = await run_flat_out(call, seconds)
+        figures = await run_closed_loop(call, seconds)
         figures.update(meter.per_unit_ms(figures["requests_per_s"] * seconds))
         return figures
 
@@ -228,24 +229,26 @@
     result["idle"] = await measure_idle(launcher, arguments.idle_seconds)
     print(f"idle: {result['idle']}", flush=True)
     measurement = Measurement(launcher, result["idle"])
-    caller = Caller(launcher)
+    client = ComparisonClient(launcher)
     result["quotes"] = await measurement.compare(
-        "quotes", caller.quote_direct, caller.quote_through, seconds
+        "quotes", client.quote_direct, client.quote_through, seconds
     )
     result["dated_orders"] = await measurement.compare(
-        "deposits", caller.order_direct, caller.order_through, seconds
+        "deposits", client.order_direct, client.order_through, seconds
     )
     result["plain_orders"] = await measurement.compare(
-        "deposits", caller.order_direct, caller.order_plain_through, seconds
+        "deposits", client.order_direct, client.order_plain_through, seconds
     )
     for name in ("quotes", "dated_orders", "plain_orders"):
         print(f"{name}: {result[name]}", flush=True)
     result["flat_out"] = {
-        "direct": await run_flat_out(caller.quote_direct, seconds / 2),
-        "through": await measurement.flat_out(caller.quote_through, seconds / 2),
+        "direct": await run_closed_loop(client.quote_direct, seconds / 2),
+        "through": await measurement.measure_throughput(
+            client.quote_through, seconds / 2
+        ),
     }
     print(f"flat out: {result['flat_out']}", flush=True)
-    await caller.aclose()
+    await client.aclose()
     return result
 
 
--- a/bench/measuring.py
+++ b/bench/measuring.py
@@ -30,7 +30,7 @@
 class CpuMeter:
     """Measures the processor time of processes by role since its creation.
 
-    On a machine with other load, processor time varies far less than latency does.
+    Processor time varies far less than latency if the machine has other load.
     `idle_shares` are the shares of a core that the daemons use when idle, which
     `per_unit_ms` subtracts.
     """
--- a/bench/origin_only_distribution.py
+++ b/bench/origin_only_distribution.py
@@ -10,11 +10,11 @@
 
 __all__ = ["OriginOnlyDistribution"]
 
-MAX_OPEN_READS = 4
+OPEN_READS_MAX = 4
 
 
 class OriginOnlyDistribution:
-    """Read chunks in order, at most `MAX_OPEN_READS` at a time."""
+    """Read chunks in order, at most `OPEN_READS_MAX` at a time."""
 
     def __init__(self) -> None:
         self._to_read: list[str] = []
@@ -22,7 +22,7 @@
         self._actions: list[Action] = []
 
     def set_peers(self, model: str, peers: Iterable[WeightPeer], now_s: float) -> None:
-        """Ignore the peers."""
+        """Do nothing: no peer is used."""
 
     def fetch_object(self, model: str, digest: str, now_s: float) -> None:
         """Read an object."""
@@ -42,7 +42,7 @@
         self._to_read = []
 
     def receive(self, peer: str, message: WeightMessage, now_s: float) -> None:
-        """Ignore messages."""
+        """Do nothing: no peer is asked for chunks."""
 
     def complete_read(self, digest: str, result: bytes | Failure, now_s: float) -> None:
         """Report an object as ready, or read it again if the read failed."""
@@ -84,6 +84,6 @@
         return actions
 
     def _start_reads(self) -> None:
-        while self._to_read and self._open_reads < MAX_OPEN_READS:
+        while self._to_read and self._open_reads < OPEN_READS_MAX:
             self._open_reads += 1
             self._actions.append(ReadOrigin(self._to_read.pop()))
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -33,8 +33,8 @@
 
 TARGET_NAMES = tuple(f"t{number}" for number in range(8))
 ENTRY_NAMES = tuple(f"entry-{number}" for number in range(9))
-SLOW, COLD = "t6", "t7"
-LIMIT = 8
+SLOW_TARGET, COLD_TARGET = "t6", "t7"
+CONCURRENCY_LIMIT = 8
 COLD_LIMIT = 1
 SERVICE_TIME_S = 0.1
 SLOW_FACTOR = 10
@@ -42,11 +42,11 @@
 WARM_UP_S = 5.0
 WORKSPACES = ("big", "small", "tiny")
 DEMAND_SHARES = (0.8, 0.15, 0.05)
-WAYS = ("round robin", "routing alone", "admission")
+STRATEGIES = ("round robin", "routing alone", "admission")
 
 
 @dataclass
-class Way:
+class OverloadResult:
     """Results of one way at one offered load."""
 
     way: str
@@ -64,17 +64,17 @@
 
 
 class LoadedTarget:
-    """Target that slows down above its limit; a cold one also fails requests then."""
+    """Target that slows down above its limit; a cold one then also fails requests."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
-        self.is_cold = name == COLD
-        self.limit = COLD_LIMIT if self.is_cold else LIMIT
-        self.service_s = SERVICE_TIME_S * (SLOW_FACTOR if name == SLOW else 1)
+        self.is_cold = name == COLD_TARGET
+        self.limit = COLD_LIMIT if self.is_cold else CONCURRENCY_LIMIT
+        self.service_s = SERVICE_TIME_S * (SLOW_FACTOR if name == SLOW_TARGET else 1)
         self.rng = rng
         self.in_flight = 0
         self.max_in_flight = 0
-        self.broken = 0
-        """Number of overloads while cold; each fails all earlier requests."""
+        self.cold_overloads = 0
+        """Number of overloads while cold; each fails the requests then in flight."""
 
     @property
     def capacity_per_s(self) -> float:
@@ -87,12 +87,12 @@
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         try:
             if self.is_cold and self.in_flight > self.limit:
-                self.broken += 1
-            before = self.broken
+                self.cold_overloads += 1
+            before = self.cold_overloads
             slowdown = max(1.0, self.in_flight / self.limit)
             mean_s = self.service_s * slowdown
             await anyio.sleep(self.rng.uniform(0.5, 1.5) * mean_s)
-            return self.broken == before
+            return self.cold_overloads == before
         finally:
             self.in_flight -= 1
 
@@ -141,7 +141,7 @@
 class Trial:
     """Run of one way under one load."""
 
-    way: str
+    strategy: str
     load: float
     seconds: float
     rng: random.Random = field(default_factory=lambda: random.Random(1))
@@ -157,7 +157,7 @@
         """Offer the load; only requests after the warm-up count."""
         self.targets = {name: LoadedTarget(name, self.rng) for name in TARGET_NAMES}
         async with anyio.create_task_group() as tasks:
-            if self.way != "round robin":
+            if self.strategy != "round robin":
                 await self._start_daemons(tasks)
             async with anyio.create_task_group() as calls:
                 at_s = 0.0
@@ -185,14 +185,14 @@
                 settings=settings,
                 rng=random.Random(name),
             )
-            if self.way == "routing alone":
+            if self.strategy == "routing alone":
                 service.admission.pools["orders"] = UnlimitedAdmission()
             self.services.append(service)
             tasks.start_soon(timers.run)
         for name in TARGET_NAMES:
             timers = create_loop_timers()
             create_target_controller(
-                make_agent_settings(name, LIMIT, COLD_LIMIT),
+                make_agent_settings(name, CONCURRENCY_LIMIT, COLD_LIMIT),
                 1,
                 mesh.add(name),
                 timers,
@@ -222,7 +222,7 @@
             self.failed += 1
 
     async def _send(self, number: int, workspace: str) -> int:
-        if self.way == "round robin":
+        if self.strategy == "round robin":
             target = self.targets[TARGET_NAMES[number % len(TARGET_NAMES)]]
             with anyio.move_on_after(DEADLINE_S):
                 return 200 if await target.serve() else 502
@@ -256,27 +256,27 @@
     return statuses[0]
 
 
-def measure(way: str, load: float, seconds: float) -> Way:
+def measure(strategy: str, load: float, seconds: float) -> OverloadResult:
     """Run one way under one load and return its results."""
-    trial = Trial(way, load, seconds)
+    trial = Trial(strategy, load, seconds)
     run_virtual(trial.run)
     sent = sum(trial.sent.values())
     capacity = trial.capacity_per_s
-    figures = Way(way, round(load * capacity, 1), round(capacity, 1))
-    figures.goodput_per_s = round(len(trial.answered_s) / seconds, 1)
-    figures.goodput_share = round(figures.goodput_per_s / min(load, 1) / capacity, 4)
-    figures.p50_ms, figures.p99_ms = compute_percentiles_ms(trial.answered_s)
-    figures.refused_share = round(len(trial.refused_s) / sent, 4)
-    figures.refusal_p99_ms = compute_percentiles_ms(trial.refused_s)[1]
-    figures.failed_share = round(trial.failed / sent, 4)
-    figures.most_over_limit = max(
+    result = OverloadResult(strategy, round(load * capacity, 1), round(capacity, 1))
+    result.goodput_per_s = round(len(trial.answered_s) / seconds, 1)
+    result.goodput_share = round(result.goodput_per_s / min(load, 1) / capacity, 4)
+    result.p50_ms, result.p99_ms = compute_percentiles_ms(trial.answered_s)
+    result.refused_share = round(len(trial.refused_s) / sent, 4)
+    result.refusal_p99_ms = compute_percentiles_ms(trial.refused_s)[1]
+    result.failed_share = round(trial.failed / sent, 4)
+    result.most_over_limit = max(
         target.max_in_flight - target.limit for target in trial.targets.values()
     )
-    figures.answered_share_by_workspace = {
+    result.answered_share_by_workspace = {
         name: round(trial.answered.get(name, 0) / trial.sent[name], 4)
         for name in WORKSPACES
     }
-    return figures
+    return result
 
 
 def compute_percentiles_ms(times_s: list[float]) -> tuple[float, float]:
@@ -295,8 +295,8 @@
     arguments = parser.parse_args()
     rows = []
     for load in arguments.loads:
-        for way in WAYS:
-            row = measure(way, load, arguments.seconds)
+        for strategy in STRATEGIES:
+            row = measure(strategy, load, arguments.seconds)
             print(row, flush=True)
             rows.append({"load": load, **asdict(row)})
     print(json.dumps({"seconds": arguments.seconds, "rows": rows}))
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -1,8 +1,8 @@
 """Inject random faults into a deployment of real processes, and check all promises.
 
 ``python -m bench.random_run --seed 1 --seconds 120``.  Prints the faults, the first
-violation with its time line, and one JSON object last; exits with 1 if a promise was
-broken.  The same seed draws the same faults, but their timing relative to the
+violation with its timeline, and one JSON object last; exits with 1 if a promise was
+broken.  The same seed gives the same faults, but their timing relative to the
 requests depends on the machine.
 """
 
@@ -27,7 +27,7 @@
 from stand_ins.promises import Ledger, Violation, compute_percentile
 from stand_ins.reasons import describe_reasons
 
-from .configuration_watch import ConfigurationWatch
+from .configuration_monitor import ConfigurationMonitor
 from .fault_injector import FaultInjector
 from .measuring import print_result
 
@@ -39,8 +39,8 @@
 PUBLISH_INTERVAL_S = 20.0
 LAST_CALLS_TIMEOUT_S = 30.0
 LEAVING_GRACE_S = 3.0
-TIME_LINE_BEFORE_S = 15.0
-UNKNOWN_STATUS = 504
+TIMELINE_BEFORE_S = 15.0
+UNKNOWN_OUTCOME_STATUS = 504
 ENGINE_ARGUMENTS = ("--cold-s", "3", "--cold-completions", "6", "--crash-limit", "6")
 
 
@@ -53,7 +53,9 @@
         self._operator = Operator(launcher)
         self._ledger = Ledger()
         self._fault_injector = FaultInjector(launcher, self._operator, arguments.seed)
-        self._watch = ConfigurationWatch(launcher, self._fault_injector.disturbed_at)
+        self._monitor = ConfigurationMonitor(
+            launcher, self._fault_injector.disturbed_at
+        )
         pools = launcher.deployment.pools
         self._pool = next(p for p in pools if p.kind is TargetKind.MODEL_ENGINE)
 
@@ -70,7 +72,7 @@
         plan = LoadPlan()
         load = Load(self._launcher, self._ledger, plan, self._arguments.seed)
         async with anyio.create_task_group() as background:
-            background.start_soon(self._watch.run)
+            background.start_soon(self._monitor.run)
             background.start_soon(self._publish_periodically)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(load.run)
@@ -92,7 +94,7 @@
             self._pool.models[0], f"v{sequence}", sequence, weights, CHUNK_BYTES
         )
         self._root_digest = publication.version.root_digest
-        self._fault_injector.time_line.record(
+        self._fault_injector.timeline.record(
             f"published v{sequence} {self._root_digest[:12]}"
         )
 
@@ -104,7 +106,7 @@
                 await self._publish(sequence + 1)
                 sequence += 1
             except OperatorError as error:
-                self._fault_injector.time_line.record(f"publishing failed: {error}")
+                self._fault_injector.timeline.record(f"publishing failed: {error}")
 
     def _evaluate(self) -> dict[str, Any]:
         for line in describe_reasons(self._ledger.calls):
@@ -114,7 +116,7 @@
         violations = [
             *self._ledger.check(),
             *self._check_stops(),
-            *self._watch.violations,
+            *self._monitor.violations,
             *self._check_unexpected_exits(),
         ]
         violations.sort(key=lambda violation: violation.at)
@@ -124,7 +126,7 @@
                 flush=True,
             )
         if violations:
-            self._print_time_line(violations[0])
+            self._print_timeline(violations[0])
         return self._make_result(violations)
 
     def _check_stops(self) -> Iterable[Violation]:
@@ -135,20 +137,22 @@
                 yield Violation(stop.ended_at, promise, detail)
             for call in self._ledger.calls:
                 overlaps = (
-                    call.started_at < stop.ended_at and call.ended_at > stop.begun_at
+                    call.started_at < stop.ended_at and call.ended_at > stop.started_at
+                )
+                is_cut = (
+                    call.ending is Ending.CUT or call.status == UNKNOWN_OUTCOME_STATUS
                 )
-                is_cut = call.ending is Ending.CUT or call.status == UNKNOWN_STATUS
                 if overlaps and is_cut:
                     detail = f"{stop.daemon.name}: {call.describe()}"
                     yield Violation(call.ended_at, promise, detail)
-            yield from self._check_leaving(stop.daemon.name, stop.begun_at)
+            yield from self._check_leaving(stop.daemon.name, stop.started_at)
 
-    def _check_leaving(self, name: str, begun_at: float) -> Iterable[Violation]:
+    def _check_leaving(self, name: str, started_at: float) -> Iterable[Violation]:
         ended_at = next(
-            s.ended_at for s in self._fault_injector.stops if s.begun_at == begun_at
+            s.ended_at for s in self._fault_injector.stops if s.started_at == started_at
         )
         for run in self._ledger.runs:
-            late_s = run.started_at - begun_at
+            late_s = run.started_at - started_at
             if run.target == name and late_s > LEAVING_GRACE_S:
                 if run.started_at > ended_at:
                     continue
@@ -161,14 +165,14 @@
             detail = f"{process.name}:\n{process.read_log_tail(3000)}"
             yield Violation(float("inf"), "no process dies by itself", detail)
 
-    def _print_time_line(self, violation: Violation) -> None:
+    def _print_timeline(self, violation: Violation) -> None:
         until_at = min(violation.at, 1e12)
         print(
-            f"time line of the {TIME_LINE_BEFORE_S:g} s before the first violation:",
+            f"time line of the {TIMELINE_BEFORE_S:g} s before the first violation:",
             flush=True,
         )
-        for line in self._fault_injector.time_line.list_lines_between(
-            until_at - TIME_LINE_BEFORE_S, until_at
+        for line in self._fault_injector.timeline.list_lines_between(
+            until_at - TIMELINE_BEFORE_S, until_at
         ):
             print(f"  {line}", flush=True)
         for call in self._ledger.calls:
@@ -192,7 +196,7 @@
             "p99_ms": round(compute_percentile(answered, 0.99), 1),
             "planned_stops": len(self._fault_injector.stops),
             "zone_outages": len(self._fault_injector.outages),
-            "time_line_lines": len(self._fault_injector.time_line.lines),
+            "time_line_lines": len(self._fault_injector.timeline.lines),
             "engines": dict(self._ledger.engine_counts),
             "violations": len(violations),
             "violations_by_promise": dict(Counter(v.promise for v in violations)),
--- a/bench/requests_during_distribution.py
+++ b/bench/requests_during_distribution.py
@@ -39,7 +39,7 @@
     """A period of the run, in wall-clock seconds."""
 
     name: str
-    begun_at: float
+    started_at: float
     ended_at: float
 
 
@@ -61,7 +61,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             await anyio.sleep(WARM_UP_S)
-            begun_at = time.time()
+            started_at = time.time()
             await anyio.sleep(BASELINE_S)
             published_at = time.time()
             times_s = await self._distribute(2)
@@ -73,7 +73,7 @@
         first_at = wait_started_at + min(times_s)
         last_at = wait_started_at + max(times_s)
         windows = [
-            Window("before", begun_at, published_at),
+            Window("before", started_at, published_at),
             Window("transfer", published_at, first_at),
             Window("switch", first_at, last_at + AFTER_SWITCH_S),
         ]
@@ -102,7 +102,7 @@
         calls = [
             call
             for call in self._ledger.calls
-            if window.begun_at <= call.started_at < window.ended_at
+            if window.started_at <= call.started_at < window.ended_at
         ]
         latencies_s = [
             call.latency_s
@@ -110,7 +110,7 @@
             if call.ending is Ending.ANSWERED and call.kind is not CallKind.ORDER
         ]
         return {
-            "seconds": round(window.ended_at - window.begun_at, 2),
+            "seconds": round(window.ended_at - window.started_at, 2),
             "calls": len(calls),
             "p50_ms": round(1000 * compute_percentile(latencies_s, 0.5), 1),
             "p99_ms": round(1000 * compute_percentile(latencies_s, 0.99), 1),
--- a/bench/simulated_links.py
+++ b/bench/simulated_links.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkRates:
-    """Rates in bytes per second by kind of link, and one-way delays."""
+    """Rates by kind of link, and one-way delays."""
 
     machine_bytes_per_s: float
     region_bytes_per_s: float
@@ -47,9 +47,9 @@
 class QueueLink:
     """Link that sends messages one at a time, in the order of arrival."""
 
-    def __init__(self, events: EventQueue, rate: float) -> None:
+    def __init__(self, events: EventQueue, bytes_per_s: float) -> None:
         self._events = events
-        self._rate = rate
+        self._bytes_per_s = bytes_per_s
         self._free_s = 0.0
         self.sent_bytes = 0
 
@@ -58,19 +58,21 @@
         return max(0.0, self._free_s - self._events.now_s)
 
     def send(self, size_bytes: int, delay_s: float, call: Callable[[], None]) -> None:
-        """Queue a message, and call `delay_s` after its last byte is sent."""
+        """Queue a message; run `call` `delay_s` after its last byte is sent."""
         start_s = max(self._events.now_s, self._free_s)
-        self._free_s = start_s + size_bytes / self._rate
+        self._free_s = start_s + size_bytes / self._bytes_per_s
         self.sent_bytes += size_bytes
         self._events.at(self._free_s + delay_s, call)
 
 
 class FairLink:
-    """Link shared by streams, piece by piece in turn, like a download server's."""
+    """Link that streams share by sending pieces in turn, like a download server's."""
 
-    def __init__(self, events: EventQueue, rate: float, piece_bytes: int) -> None:
+    def __init__(
+        self, events: EventQueue, bytes_per_s: float, piece_bytes: int
+    ) -> None:
         self._events = events
-        self._rate = rate
+        self._bytes_per_s = bytes_per_s
         self._piece_bytes = piece_bytes
         self._queue: deque[tuple[int, Callable[[int, bool], None]]] = deque()
         self._is_busy = False
@@ -79,7 +81,7 @@
     def send(
         self, name: str, size_bytes: int, on_piece: Callable[[int, bool], None]
     ) -> None:
-        """Call `on_piece` for each piece, with its size and whether it is the last."""
+        """Send a stream; call `on_piece` with each piece's size and if it is last."""
         self.sent_bytes[name] += size_bytes
         self._queue.append((size_bytes, on_piece))
         if not self._is_busy:
@@ -90,14 +92,14 @@
             self._is_busy = False
             return
         self._is_busy = True
-        left, on_piece = self._queue.popleft()
-        size_bytes = min(left, self._piece_bytes)
-        left -= size_bytes
-
-        def done() -> None:
-            on_piece(size_bytes, not left)
-            if left:
-                self._queue.append((left, on_piece))
+        remaining_bytes, on_piece = self._queue.popleft()
+        size_bytes = min(remaining_bytes, self._piece_bytes)
+        remaining_bytes -= size_bytes
+
+        def on_sent() -> None:
+            on_piece(size_bytes, not remaining_bytes)
+            if remaining_bytes:
+                self._queue.append((remaining_bytes, on_piece))
             self._send_piece()
 
-        self._events.at(self._events.now_s + size_bytes / self._rate, done)
+        self._events.at(self._events.now_s + size_bytes / self._bytes_per_s, on_sent)
--- a/bench/small_deployment.py
+++ b/bench/small_deployment.py
@@ -9,18 +9,29 @@
 
 __all__ = ["DEPLOYMENT", "make_options", "prepare"]
 
-ENGINES = 4
+ENGINE_COUNT = 4
 CONCURRENCY_LIMIT = 512
 DEPLOYMENT = Deployment(
     "bench",
     (Zone("zone-a", "region-a"),),
     (
-        Pool("quotes", TargetKind.MODEL_ENGINE, ENGINES, ("m",), ("/v1/completions",)),
+        Pool(
+            "quotes",
+            TargetKind.MODEL_ENGINE,
+            ENGINE_COUNT,
+            ("m",),
+            ("/v1/completions",),
+        ),
         Pool("deposits", TargetKind.PLAIN_SERVICE, 1),
     ),
     entry_count=1,
 )
-WARM_ENGINE = ("--max-batch", str(CONCURRENCY_LIMIT), "--cold-completions", "0")
+WARM_ENGINE_ARGUMENTS = (
+    "--max-batch",
+    str(CONCURRENCY_LIMIT),
+    "--cold-completions",
+    "0",
+)
 WEIGHTS_BYTES = 256 * 1024
 LOAD_TIMEOUT_S = 30.0
 WAIT_AFTER_LOAD_S = 2.0
@@ -29,7 +40,7 @@
 def make_options(engine_arguments: tuple[str, ...]) -> LauncherOptions:
     """Return the launcher options for engines that are never cold."""
     return LauncherOptions(
-        engine_arguments=(*WARM_ENGINE, *engine_arguments),
+        engine_arguments=(*WARM_ENGINE_ARGUMENTS, *engine_arguments),
         daemon_settings={"target": {"concurrency_limit": CONCURRENCY_LIMIT}},
     )
 
--- a/bench/stream_worker.py
+++ b/bench/stream_worker.py
@@ -15,7 +15,7 @@
 
 __all__ = ["main"]
 
-EVENT = b"data: "
+EVENT_PREFIX = b"data: "
 DEFAULT_RETRY_DELAY_S = 1.0
 WARM_UP_TOKENS = 10
 FULL_LENGTH_LEAD_S = 3.0
@@ -78,7 +78,7 @@
         if now_s >= tally.until_s:
             return
         if now_s >= tally.from_s:
-            tally.events += data.count(EVENT)
+            tally.events += data.count(EVENT_PREFIX)
 
 
 async def run(arguments: argparse.Namespace) -> None:
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -20,9 +20,9 @@
 ENGINE_ARGUMENTS = ("--token-s", "0.02", "--sequence-s", "0")
 DIRECT_WARM_UP_S = 2.0
 THROUGH_WARM_UP_S = 12.0
-"""Longer because entry and agents raise their limits with each completed request.
+"""Longer, as entry and agents raise their limits with each completed request.
 
-The streams of the workers are short for most of the warm-up for the same reason.
+For the same reason, the workers' streams are short for most of the warm-up.
 """
 
 
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -26,6 +26,7 @@
 Links = set[tuple[str, str]]
 """Pairs of an entry and an agent."""
 SIZES = {"small": (9, 9, 3), "middle": (59, 190, 11), "full": (590, 1900, 11)}
+"""Numbers of entries, agents and zones."""
 REMOVALS_PER_ROLE = 5
 
 
@@ -48,7 +49,7 @@
 
 
 def link_by_product(entries: Records, agents: Records) -> Links:
-    """Return the links that membership opens."""
+    """Return the links that the product's membership opens."""
     links = {
         (entry.name, agent.name)
         for agent in agents
@@ -108,8 +109,8 @@
     zones = {agent.zone for agent in agents}
     uncovered = 0
     for entry, names in by_entry.items():
-        near = [name for name in names if zone_of[name] == zone_of[entry]]
-        chosen = near or names
+        same_zone_names = [name for name in names if zone_of[name] == zone_of[entry]]
+        chosen = same_zone_names or names
         for name in chosen:
             load[name] += 1 / len(chosen)
         uncovered += len(zones - {zone_of[name] for name in names})
@@ -153,16 +154,16 @@
     agents = make_records(agent_count, "agent", zone_count)
     product = link_by_product(entries, agents)
     per_entry = round(len(product) / entry_count)
-    ways = {
+    strategies = {
         "product": link_by_product,
         "random": create_random_linker(per_entry, seed),
         "arc": create_arc_linker(per_entry),
     }
     result: dict[str, Any] = {}
-    for way, link in ways.items():
+    for strategy, link in strategies.items():
         links = link(entries, agents)
         degrees = Counter(agent for _, agent in links)
-        result[way] = {
+        result[strategy] = {
             "links": len(links),
             "links_of_agent_min": min(degrees[agent.name] for agent in agents),
             "links_of_agent_max": max(degrees.values()),
@@ -180,8 +181,8 @@
     result: dict[str, Any] = {"seed": options.seed}
     for name in SIZES:
         result[name] = measure(options.seed, name)
-        for way, figures in result[name].items():
-            print(name, way, figures, flush=True)
+        for strategy, figures in result[name].items():
+            print(name, strategy, figures, flush=True)
     print_result(result)
 
 
--- a/bench/target_choice.py
+++ b/bench/target_choice.py
@@ -1,11 +1,12 @@
 """Simulate many entries that choose among batching model engines independently.
 
-Each entry runs the product's choice of targets with the loads that are known to it, in
-virtual time and without a network.  Arrivals are a Poisson process; prompts and
-answers have typical sizes.  An engine works in passes: five decoding steps for all
-running requests, and between them the prefill of prompts in the order of arrival.  A
-request is in time if its first event comes within 0.5 s and no gap between events
-exceeds 0.4 s.  `worth` counts a late answer as a quarter of one in time.
+Each entry runs the product's choice of targets in virtual time and without a network,
+and knows only the loads that engines report to it.  Arrivals are a Poisson process;
+prompt and answer lengths have log-normal distributions.  An engine works in passes:
+five decoding steps for all running requests, and between them the prefill of prompts
+in the order of arrival.  A request is in time if its first event arrives within 0.5 s
+and no gap between events exceeds 0.4 s.  `worth` counts a late answer as a quarter of
+one in time.
 
 Run ``python -m bench.target_choice [--seconds 20]``; the last line is one JSON array.
 """
@@ -37,8 +38,8 @@
 NETWORK_S = 0.004
 LATENCY_GOAL_S = 0.5
 ROUTE_LATENCY_GOAL_S = 0.43
-"""Goal in the routes: `LATENCY_GOAL_S` less the network time from caller to entry."""
-MAX_EVENT_GAP_S = 0.4
+"""Latency goal at the entry: `LATENCY_GOAL_S` less the network time of the caller."""
+EVENT_GAP_MAX_S = 0.4
 DEADLINE_S = 6.0
 WARM_UP_S = 3.0
 LATE_ANSWER_VALUE = 0.25
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Number of entries and engines, and the rate of requests to all of them."""
+    """Numbers of entries and engines, and the total rate of requests."""
 
     name: str
     entries: int
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Outcomes:
-    """Shares of the requests that arrived after the warm-up."""
+    """Shares of the requests that arrived after the warm-up, by outcome."""
 
     load: str
     in_time: float
@@ -85,7 +86,7 @@
 
     @property
     def worth(self) -> float:
-        """Return the share that was served, with late answers at reduced value."""
+        """Return the share in time plus the share of late answers at reduced value."""
         return self.in_time + LATE_ANSWER_VALUE * self.late
 
 
@@ -95,7 +96,7 @@
     entry: "_Entry"
     chosen: ChosenTarget | Failure
     answer_tokens: int
-    left_tokens: int = 0
+    remaining_tokens: int = 0
     first_s: float | None = None
     last_s: float = 0.0
     gap_s: float = 0.0
@@ -105,11 +106,11 @@
         if self.first_s is None:
             return False
         waited_s = self.first_s - self.request.arrived_s
-        return waited_s <= LATENCY_GOAL_S and self.gap_s <= MAX_EVENT_GAP_S
+        return waited_s <= LATENCY_GOAL_S and self.gap_s <= EVENT_GAP_MAX_S
 
 
 class _Entry:
-    """An entry that chooses targets, with a clock that the simulation advances."""
+    """An entry's choice of targets, with a clock that the simulation advances."""
 
     def __init__(self, name: str, targets: list[str], seed: int) -> None:
         self._clock = VirtualClock()
@@ -133,7 +134,7 @@
             random.Random(seed),
         )
 
-    def at(self, now_s: float) -> DirectChooser:
+    def advance_to(self, now_s: float) -> DirectChooser:
         """Advance the clock to a time and return the chooser."""
         self._clock.advance(now_s - self._clock.now_s())
         return self.chooser
@@ -171,7 +172,7 @@
             return
         prefilled, prefill_s = self._run_prefill()
         pass_s = prefill_s + self._compute_decode_s()
-        self._simulation.after(pass_s, lambda: self._end_pass(prefilled))
+        self._simulation.call_after(pass_s, lambda: self._end_pass(prefilled))
 
     def _compute_decode_s(self) -> float:
         decoding = len(self._decoding)
@@ -205,13 +206,13 @@
 
     def _end_pass(self, prefilled: list[_Job]) -> None:
         for job in list(self._decoding):
-            job.left_tokens -= ENGINE.steps_per_pass
+            job.remaining_tokens -= ENGINE.steps_per_pass
             self._simulation.record_event(job, self)
-            if job.left_tokens <= 0:
+            if job.remaining_tokens <= 0:
                 self._decoding.remove(job)
                 self._simulation.record_end(job)
         for job in prefilled:
-            job.left_tokens = job.answer_tokens
+            job.remaining_tokens = job.answer_tokens
             self._decoding.append(job)
             self._simulation.record_event(job, self)
         self._begin_pass()
@@ -237,12 +238,12 @@
 
     def run(self) -> None:
         """Run until every request has ended."""
-        self._arrive()
+        self._handle_arrival()
         while self._events:
             self._now_s, _, call = heapq.heappop(self._events)
             call()
 
-    def after(self, delay_s: float, call: Callable[[], None]) -> None:
+    def call_after(self, delay_s: float, call: Callable[[], None]) -> None:
         """Schedule a call after a delay."""
         item = (self._now_s + delay_s, next(self._sequence), call)
         heapq.heappush(self._events, item)
@@ -253,22 +254,22 @@
         if job.first_s is None:
             job.first_s = now_s
             report = engine.report
-            self.after(NETWORK_S, lambda: self._report_first_event(job, report))
+            self.call_after(NETWORK_S, lambda: self._report_first_event(job, report))
         else:
             job.gap_s = max(job.gap_s, now_s - job.last_s)
         job.last_s = now_s
 
     def record_end(self, job: _Job) -> None:
         """Record that an answer is complete."""
-        self.after(NETWORK_S, lambda: self._report_end(job))
+        self.call_after(NETWORK_S, lambda: self._report_end(job))
 
-    def _arrive(self) -> None:
+    def _handle_arrival(self) -> None:
         if self._now_s > self._arrivals_end_s:
             return
-        self.after(self._rng.expovariate(self._rate_per_s), self._arrive)
+        self.call_after(self._rng.expovariate(self._rate_per_s), self._handle_arrival)
         entry = self._rng.choice(self._entries)
         request = self._make_request()
-        chooser = entry.at(self._now_s)
+        chooser = entry.advance_to(self._now_s)
         chosen = chooser.choose(request, ())
         job = _Job(request, entry, chosen, self._sample_answer_tokens())
         self.jobs.append(job)
@@ -276,7 +277,7 @@
             return
         chooser.on_started(request, chosen)
         engine = self._engines[chosen.name]
-        self.after(NETWORK_S, lambda: engine.enqueue(job))
+        self.call_after(NETWORK_S, lambda: engine.enqueue(job))
 
     def _make_request(self) -> Request:
         mean = self._rng.choice(PROMPT_MEAN_TOKENS)
@@ -290,13 +291,13 @@
             "/q/1",
             (),
             b"",
-            _NoResponder(),
+            _DiscardingResponder(),
             self._now_s,
         )
         request.model = "m"
         request.prompt_tokens = int(tokens)
         request.latency_goal_s = ROUTE_LATENCY_GOAL_S
-        request.gap_s = MAX_EVENT_GAP_S
+        request.gap_s = EVENT_GAP_MAX_S
         request.deadline_s = self._now_s + DEADLINE_S
         return request
 
@@ -308,17 +309,17 @@
 
     def _report_first_event(self, job: _Job, report: LoadReport) -> None:
         assert not isinstance(job.chosen, Failure)
-        chooser = job.entry.at(self._now_s)
+        chooser = job.entry.advance_to(self._now_s)
         chooser.on_first_byte(job.request, job.chosen)
         chooser.note_report(job.chosen.name, report)
 
     def _report_end(self, job: _Job) -> None:
         assert not isinstance(job.chosen, Failure)
-        chooser = job.entry.at(self._now_s)
+        chooser = job.entry.advance_to(self._now_s)
         chooser.on_ended(job.request, job.chosen, Answer(Outcome.ANSWERED))
 
 
-class _NoResponder(Responder):
+class _DiscardingResponder(Responder):
     """Discards answers: the simulation counts events itself."""
 
     async def start(self, status: int, headers: object) -> None:
--- a/bench/weight_agents.py
+++ b/bench/weight_agents.py
@@ -48,7 +48,7 @@
         self._next_tick_s = -1.0
 
     def set_link(self, bytes_per_s: float) -> None:
-        """Replace the links of this agent's machine by links of another rate."""
+        """Replace the links of this agent's machine by links of the given rate."""
         self.uplink = QueueLink(self.fleet.events, bytes_per_s)
         self.downlink = QueueLink(self.fleet.events, bytes_per_s)
 
@@ -72,7 +72,7 @@
         self.run_actions()
 
     def handle_link_lost(self, peer: str) -> None:
-        """Handle that a peer's machine refused or closed its connections."""
+        """Handle the loss of the link to a peer."""
         if not self.is_dead:
             self.distribution.handle_link_lost(peer, self.fleet.events.now_s)
             self.run_actions()
--- a/bench/weights_distribution.py
+++ b/bench/weights_distribution.py
@@ -1,11 +1,11 @@
 """Measure the time until all targets have a version, and the traffic it causes.
 
-The agents run the real distribution code in one process, in virtual time, over
+The agents run the product's distribution code in one process, in virtual time, over
 simulated links with limited rates.  Sizes and rates are divided by 16, which leaves
-the times the same.  Designs are "swarm", "hashed" and "origin_only", the baseline in
-which every target reads from the origin.  Times are compared with the physical bound:
-the largest of the time for a copy over a machine's link, for the copies that the
-origin sends over its link, and for the copies between regions over a region link.
+the times the same.  The designs are "swarm", "hashed" and "origin_only", the baseline
+in which every target reads from the origin.  Times are compared with the physical
+bound: the largest of the time for a copy over a machine's link, for the copies that
+the origin sends over its link, and for the copies between regions over a region link.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 CHUNK_BYTES = 256 * 1024 // SCALE
 PIECE_BYTES = 64 * 1024 // SCALE
 MACHINE_BYTES_PER_S = 12_500_000 / SCALE
-SETTINGS = {
+LINK_RATES = {
     "machine": LinkRates(
         MACHINE_BYTES_PER_S, 8 * MACHINE_BYTES_PER_S, 2 * MACHINE_BYTES_PER_S
     ),
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class RunParameters:
     """Parameters of one run."""
 
     design: str
@@ -53,12 +53,12 @@
     seed: int = 1
 
 
-def create_distribution(case: Case, peer: WeightPeer) -> Distribution:
-    """Return the distribution of an agent for the design of a case."""
-    rates = SETTINGS[case.links]
-    if case.design == "origin_only":
+def create_distribution(parameters: RunParameters, peer: WeightPeer) -> Distribution:
+    """Return an agent's distribution of the chosen design."""
+    rates = LINK_RATES[parameters.links]
+    if parameters.design == "origin_only":
         return OriginOnlyDistribution()
-    if case.design == "hashed":
+    if parameters.design == "hashed":
         return HashedDistribution(peer, REGIONS[0], 3.0)
     limits = SwarmLimits(
         origin_region=REGIONS[0],
@@ -67,17 +67,19 @@
         memory_bytes=64 * 1024 * 1024 // SCALE,
         piece_bytes=PIECE_BYTES,
     )
-    return SwarmDistribution(peer, limits, random.Random(f"{case.seed} {peer.name}"))
+    return SwarmDistribution(
+        peer, limits, random.Random(f"{parameters.seed} {peer.name}")
+    )
 
 
-def compute_bounds(case: Case) -> dict[str, float]:
+def compute_bounds(parameters: RunParameters) -> dict[str, float]:
     """Return the physical bounds, in seconds.
 
     `star_s` is for one copy over each link from the origin's region.  `exchange_s` is
     for regions that also exchange parts of the copy with each other.
     """
-    rates = SETTINGS[case.links]
-    copy_bytes = case.chunks * CHUNK_BYTES
+    rates = LINK_RATES[parameters.links]
+    copy_bytes = parameters.chunks * CHUNK_BYTES
     common_s = max(
         copy_bytes / rates.machine_bytes_per_s, copy_bytes / rates.origin_bytes_per_s
     )
@@ -86,42 +88,44 @@
         "star_s": max(common_s, across_s),
         "exchange_s": max(common_s, across_s / (len(REGIONS) - 1)),
         "origin_only_s": max(
-            common_s, case.targets * copy_bytes / rates.origin_bytes_per_s
+            common_s, parameters.targets * copy_bytes / rates.origin_bytes_per_s
         ),
     }
 
 
-def run_case(case: Case) -> dict[str, Any]:
-    """Run one case and return its figures."""
-    rng = random.Random(case.seed)
+def run_distribution(parameters: RunParameters) -> dict[str, Any]:
+    """Distribute a version with the given parameters and return the figures."""
+    rng = random.Random(parameters.seed)
     peers = [
         WeightPeer(f"agent-{i}", REGIONS[i % 3], f"{REGIONS[i % 3]}-a")
-        for i in range(case.targets)
+        for i in range(parameters.targets)
     ]
     fleet = Fleet(
         peers,
-        SETTINGS[case.links],
+        LINK_RATES[parameters.links],
         PIECE_BYTES,
-        lambda peer: create_distribution(case, peer),
-        corrupt_share=0.01 if case.event == "corrupt" else 0.0,
-        seed=case.seed,
+        lambda peer: create_distribution(parameters, peer),
+        corrupt_share=0.01 if parameters.event == "corrupt" else 0.0,
+        seed=parameters.seed,
     )
-    manifest, fleet.objects = make_weights(case.chunks, CHUNK_BYTES)
-    bounds = compute_bounds(case)
+    manifest, fleet.objects = make_weights(parameters.chunks, CHUNK_BYTES)
+    bounds = compute_bounds(parameters)
     bound_s = bounds["exchange_s"]
     fleet.set_views(MODEL)
     for agent in fleet.live:
         agent.fetch_version(manifest)
     copy_bytes = manifest.size_bytes
     changed_s = 0.0
-    if case.event == "kill":
+    if parameters.event == "kill":
         fleet.events.run(fleet.is_finished, bound_s / 2)
-        victims = rng.sample(fleet.live, case.targets // 10)
+        victims = rng.sample(fleet.live, parameters.targets // 10)
         fleet.kill(victims, MODEL)
-    elif case.event == "change":
+    elif parameters.event == "change":
         fleet.events.run(fleet.is_finished, bound_s / 2)
         changed_s = fleet.events.now_s
-        manifest, objects = make_weights(case.chunks, CHUNK_BYTES, 2, case.chunks // 2)
+        manifest, objects = make_weights(
+            parameters.chunks, CHUNK_BYTES, 2, parameters.chunks // 2
+        )
         fleet.objects.update(objects)
         for agent in fleet.live:
             agent.distribution.remove_version(
@@ -129,7 +133,7 @@
             )
             agent.fetch_version(manifest)
     is_done = fleet.events.run(fleet.is_finished, TIME_LIMIT_S)
-    return describe(case, fleet, bounds, copy_bytes, is_done, changed_s)
+    return describe(parameters, fleet, bounds, copy_bytes, is_done, changed_s)
 
 
 def find_first_root_digest(agent: Any, manifest: Any) -> str:
@@ -139,7 +143,7 @@
 
 
 def describe(
-    case: Case,
+    parameters: RunParameters,
     fleet: Fleet,
     bounds: dict[str, float],
     copy_bytes: int,
@@ -157,11 +161,11 @@
     }
     control_bytes = [agent.control_bytes for agent in fleet.live]
     result = {
-        "design": case.design,
-        "links": case.links,
-        "targets": case.targets,
-        "chunks": case.chunks,
-        "event": case.event,
+        "design": parameters.design,
+        "links": parameters.links,
+        "targets": parameters.targets,
+        "chunks": parameters.chunks,
+        "event": parameters.event,
         "finished": is_done,
         "time_s": round(last_s, 3) if last_s else None,
         "half_s": round(finish_times_s[len(finish_times_s) // 2] - changed_s, 3)
@@ -183,12 +187,12 @@
 
 
 def main() -> None:
-    """Run all cases; print a JSON line for each, and one with all results last."""
+    """Run all combinations; print a JSON line for each, and one with all last."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--targets", type=int, nargs="*", default=[24, 96, 240])
     parser.add_argument("--chunks", type=int, default=128)
     parser.add_argument("--designs", nargs="*", default=["hashed", "swarm"])
-    parser.add_argument("--links", nargs="*", default=list(SETTINGS))
+    parser.add_argument("--links", nargs="*", default=list(LINK_RATES))
     parser.add_argument(
         "--events", nargs="*", default=["", "kill", "corrupt", "change"]
     )
@@ -199,10 +203,10 @@
         for targets in options.targets:
             for event in options.events:
                 for design in options.designs:
-                    case = Case(
+                    parameters = RunParameters(
                         design, links, targets, options.chunks, event, options.seed
                     )
-                    result = run_case(case)
+                    result = run_distribution(parameters)
                     results.append(result)
                     print(json.dumps(result), flush=True)
     print(json.dumps({"bench": "weights_distribution", "results": results}))
--- a/bench/zone_outage.py
+++ b/bench/zone_outage.py
@@ -22,7 +22,7 @@
 from stand_ins.promises import Ledger, ZoneOutage, compute_percentile
 
 from .measuring import print_result
-from .zone_outage_plot import Mark, render_plot
+from .zone_outage_plot import TimeMarker, render_plot
 
 __all__ = ["main"]
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Second:
+class SecondCounts:
     """Calls that ended within one second."""
 
     at_s: int
@@ -45,7 +45,7 @@
     cut: int
     p99_ms: float
     zone_starts: int
-    """Number of runs that began at targets of the zone."""
+    """Number of runs that started at targets of the zone."""
 
 
 class ZoneOutageRun:
@@ -118,7 +118,7 @@
             "seconds": [asdict(second) for second in seconds],
         }
 
-    def _count_second(self, i: int) -> Second:
+    def _count_second(self, i: int) -> SecondCounts:
         begins_at = self._started_at + i
         calls = [
             c for c in self._ledger.calls if begins_at <= c.ended_at < begins_at + 1
@@ -129,7 +129,7 @@
             for run in self._ledger.runs
             if run.zone == self._zone and begins_at <= run.started_at < begins_at + 1
         ]
-        return Second(
+        return SecondCounts(
             i,
             len(answered),
             _count_endings(calls, Ending.NOT_RUN),
@@ -150,7 +150,7 @@
     return round(1000 * compute_percentile([c.latency_s for c in calls], 0.99), 1)
 
 
-def _summarize_seconds(seconds: list[Second]) -> dict[str, float]:
+def _summarize_seconds(seconds: list[SecondCounts]) -> dict[str, float]:
     return {
         "goodput_per_s": round(sum(s.goodput for s in seconds) / len(seconds), 1),
         "refused": sum(s.refused for s in seconds),
@@ -171,9 +171,9 @@
     for second in result["seconds"]:
         print(second)
     third = arguments.seconds / 3
-    marks = [Mark(third, "zone out"), Mark(2 * third, "zone back")]
+    markers = [TimeMarker(third, "zone out"), TimeMarker(2 * third, "zone back")]
     arguments.plot.parent.mkdir(parents=True, exist_ok=True)
-    arguments.plot.write_text(render_plot(result["seconds"], marks))
+    arguments.plot.write_text(render_plot(result["seconds"], markers))
     print(f"plot: {arguments.plot}")
     print_result(result)
 
