--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -26,6 +26,7 @@
 
 ZONES = tuple(Zone(f"zone-{i}", f"region-{i}") for i in range(3))
 ENTRY_FRACTION = 590 / 2490
+"""Share of entries in the full fleet of `bench.configuration`."""
 POOL = "orders"
 WARM_UP_S = 8.0
 MEBIBYTE = 1024 * 1024
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -139,7 +139,7 @@
 
 @dataclass
 class Trial:
-    """Run of one way under one load."""
+    """Run of one way under one load, which is a multiple of the capacity."""
 
     strategy: str
     load: float
--- a/bench/random_run.py
+++ b/bench/random_run.py
@@ -21,10 +21,10 @@
 from stand_ins.caller import Call, CallKind, Ending
 from stand_ins.deployments import MARCOS_CENTRAL
 from stand_ins.launcher import Launcher, LauncherOptions, launch
-from stand_ins.load import Load, LoadPlan
+from stand_ins.load import LoadGenerator, LoadPlan
 from stand_ins.operations import Operator, OperatorError
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, Violation, compute_percentile
+from stand_ins.promises import TrialRecords, Violation, compute_percentile
 from stand_ins.reasons import describe_reasons
 
 from .configuration_monitor import ConfigurationMonitor
@@ -51,7 +51,7 @@
         self._launcher = launcher
         self._arguments = arguments
         self._operator = Operator(launcher)
-        self._ledger = Ledger()
+        self._records = TrialRecords()
         self._fault_injector = FaultInjector(launcher, self._operator, arguments.seed)
         self._monitor = ConfigurationMonitor(
             launcher, self._fault_injector.disturbed_at
@@ -70,7 +70,7 @@
             FIRST_LOAD_TIMEOUT_S,
         )
         plan = LoadPlan()
-        load = Load(self._launcher, self._ledger, plan, self._arguments.seed)
+        load = LoadGenerator(self._launcher, self._records, plan, self._arguments.seed)
         async with anyio.create_task_group() as background:
             background.start_soon(self._monitor.run)
             background.start_soon(self._publish_periodically)
@@ -85,7 +85,7 @@
         await load.aclose()
         await self._operator.aclose()
         await self._fault_injector.aclose()
-        await self._ledger.read_targets(self._launcher)
+        await self._records.read_targets(self._launcher)
         return self._evaluate()
 
     async def _publish(self, sequence: int) -> None:
@@ -109,12 +109,12 @@
                 self._fault_injector.timeline.record(f"publishing failed: {error}")
 
     def _evaluate(self) -> dict[str, Any]:
-        for line in describe_reasons(self._ledger.calls):
+        for line in describe_reasons(self._records.calls):
             print(f"  {line}", flush=True)
-        self._ledger.outages = self._fault_injector.outages
-        self._ledger.stalled_paths = self._fault_injector.stalled_paths
+        self._records.outages = self._fault_injector.outages
+        self._records.stalled_paths = self._fault_injector.stalled_paths
         violations = [
-            *self._ledger.check(),
+            *self._records.check(),
             *self._check_stops(),
             *self._monitor.violations,
             *self._check_unexpected_exits(),
@@ -135,7 +135,7 @@
             if stop.exit_code != 0:
                 detail = f"{stop.daemon.name} exited with {stop.exit_code}"
                 yield Violation(stop.ended_at, promise, detail)
-            for call in self._ledger.calls:
+            for call in self._records.calls:
                 overlaps = (
                     call.started_at < stop.ended_at and call.ended_at > stop.started_at
                 )
@@ -151,7 +151,7 @@
         ended_at = next(
             s.ended_at for s in self._fault_injector.stops if s.started_at == started_at
         )
-        for run in self._ledger.runs:
+        for run in self._records.runs:
             late_s = run.started_at - started_at
             if run.target == name and late_s > LEAVING_GRACE_S:
                 if run.started_at > ended_at:
@@ -175,12 +175,12 @@
             until_at - TIMELINE_BEFORE_S, until_at
         ):
             print(f"  {line}", flush=True)
-        for call in self._ledger.calls:
+        for call in self._records.calls:
             if call.key and call.key in violation.detail:
                 print(f"  {call.describe()}", flush=True)
 
     def _make_result(self, violations: list[Violation]) -> dict[str, Any]:
-        calls = self._ledger.calls
+        calls = self._records.calls
         answered = [
             1000 * call.latency_s for call in calls if call.ending is Ending.ANSWERED
         ]
@@ -190,14 +190,14 @@
             "seconds": self._arguments.seconds,
             "requests": len(calls),
             "orders": len({c.key for c in calls if c.kind is CallKind.ORDER}),
-            "endings": self._ledger.count_endings(),
+            "endings": self._records.count_endings(),
             "endings_of_orders": count_endings(calls, CallKind.ORDER),
             "p50_ms": round(compute_percentile(answered, 0.5), 1),
             "p99_ms": round(compute_percentile(answered, 0.99), 1),
             "planned_stops": len(self._fault_injector.stops),
             "zone_outages": len(self._fault_injector.outages),
             "time_line_lines": len(self._fault_injector.timeline.lines),
-            "engines": dict(self._ledger.engine_counts),
+            "engines": dict(self._records.engine_counts),
             "violations": len(violations),
             "violations_by_promise": dict(Counter(v.promise for v in violations)),
         }
--- a/bench/requests_during_distribution.py
+++ b/bench/requests_during_distribution.py
@@ -16,10 +16,10 @@
 from stand_ins.caller import CallKind, Ending
 from stand_ins.deployments import MARCOS_CENTRAL
 from stand_ins.launcher import Launcher, launch
-from stand_ins.load import Load, LoadPlan
+from stand_ins.load import LoadGenerator, LoadPlan
 from stand_ins.operations import Operator
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, compute_percentile
+from stand_ins.promises import TrialRecords, compute_percentile
 
 from .measuring import print_result
 
@@ -49,7 +49,7 @@
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
         self._operator = Operator(launcher)
-        self._ledger = Ledger()
+        self._records = TrialRecords()
         self._pool = launcher.deployment.pools[0]
         self._rng = random.Random(1)
 
@@ -57,7 +57,7 @@
         """Run the load and the distributions, and return the result."""
         await self._operator.configure()
         await self._distribute(1)
-        load = Load(self._launcher, self._ledger, PLAN, seed=1)
+        load = LoadGenerator(self._launcher, self._records, PLAN, seed=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             await anyio.sleep(WARM_UP_S)
@@ -101,7 +101,7 @@
     def _summarize(self, window: Window) -> dict[str, Any]:
         calls = [
             call
-            for call in self._ledger.calls
+            for call in self._records.calls
             if window.started_at <= call.started_at < window.ended_at
         ]
         latencies_s = [
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -10,7 +10,7 @@
 import anyio
 
 from stand_ins.launcher import launch
-from stand_ins.processes import TOP
+from stand_ins.processes import REPOSITORY_ROOT
 
 from .measuring import CpuMeter
 from .small_deployment import DEPLOYMENT, make_options, prepare
@@ -57,7 +57,9 @@
     command += ["--streams", str(streams // len(urls))]
     command += ["--seconds", str(seconds), "--warm-s", str(warm_s)]
     workers = [
-        subprocess.Popen([*command, "--url", url], cwd=TOP, stdout=subprocess.PIPE)
+        subprocess.Popen(
+            [*command, "--url", url], cwd=REPOSITORY_ROOT, stdout=subprocess.PIPE
+        )
         for url in urls
     ]
     time.sleep(warm_s)
--- a/bench/weights_replicas.py
+++ b/bench/weights_replicas.py
@@ -22,12 +22,20 @@
 
 __all__ = ["main"]
 
-TARGETS = 6
+TARGET_COUNT = 6
 REGIONS = ("region-a", "region-b", "region-c")
 DEPLOYMENT = Deployment(
     "replicas",
     tuple(Zone(f"zone-{region}", region) for region in REGIONS),
-    (Pool("quotes", TargetKind.MODEL_ENGINE, TARGETS, ("m",), ("/v1/completions",)),),
+    (
+        Pool(
+            "quotes",
+            TargetKind.MODEL_ENGINE,
+            TARGET_COUNT,
+            ("m",),
+            ("/v1/completions",),
+        ),
+    ),
     entry_count=1,
 )
 COPY_BYTES = 16 * 1024 * 1024
--- a/bench/zone_outage.py
+++ b/bench/zone_outage.py
@@ -16,10 +16,10 @@
 from stand_ins.caller import Call, Ending
 from stand_ins.deployments import MARCOS_CENTRAL
 from stand_ins.launcher import Launcher, launch
-from stand_ins.load import Load, LoadPlan
+from stand_ins.load import LoadGenerator, LoadPlan
 from stand_ins.operations import Operator
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, ZoneOutage, compute_percentile
+from stand_ins.promises import TrialRecords, ZoneOutage, compute_percentile
 
 from .measuring import print_result
 from .zone_outage_plot import TimeMarker, render_plot
@@ -56,19 +56,19 @@
         self._seconds = seconds
         self._zone = launcher.deployment.zones[1].name
         self._operator = Operator(launcher)
-        self._ledger = Ledger()
+        self._records = TrialRecords()
         self._started_at = 0.0
 
     async def run(self) -> dict[str, Any]:
         """Run the load and the outage, and return the result."""
         await self._prepare()
-        load = Load(self._launcher, self._ledger, PLAN, seed=1)
+        load = LoadGenerator(self._launcher, self._records, PLAN, seed=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             outage = await self._run_outage()
             load.stop()
         await load.aclose()
-        await self._ledger.read_targets(self._launcher)
+        await self._records.read_targets(self._launcher)
         await self._operator.aclose()
         return self._summarize(outage)
 
@@ -102,7 +102,7 @@
         third = len(seconds) // 3
         late_starts = sum(
             1
-            for run in self._ledger.runs
+            for run in self._records.runs
             if run.zone == self._zone
             and outage.accepted_at + ZONE_OUT_LIMIT_S < run.started_at < outage.ended_at
         )
@@ -113,20 +113,20 @@
             "out": _summarize_seconds(seconds[third : 2 * third]),
             "back": _summarize_seconds(seconds[2 * third :]),
             "new_work_after_3_s": late_starts,
-            "cut": sum(1 for c in self._ledger.calls if c.ending is Ending.CUT),
-            "problems": sum(1 for c in self._ledger.calls if c.problem),
+            "cut": sum(1 for c in self._records.calls if c.ending is Ending.CUT),
+            "problems": sum(1 for c in self._records.calls if c.problem),
             "seconds": [asdict(second) for second in seconds],
         }
 
     def _count_second(self, i: int) -> SecondCounts:
         begins_at = self._started_at + i
         calls = [
-            c for c in self._ledger.calls if begins_at <= c.ended_at < begins_at + 1
+            c for c in self._records.calls if begins_at <= c.ended_at < begins_at + 1
         ]
         answered = [c for c in calls if c.ending is Ending.ANSWERED]
         starts = [
             run
-            for run in self._ledger.runs
+            for run in self._records.runs
             if run.zone == self._zone and begins_at <= run.started_at < begins_at + 1
         ]
         return SecondCounts(
--- a/stand_ins/engine_batch.py
+++ b/stand_ins/engine_batch.py
@@ -18,7 +18,7 @@
 
 __all__ = ["Batch", "Job", "JobEnd"]
 
-MAX_TRACE_JOBS = 100_000
+TRACE_JOBS_MAX = 100_000
 
 
 class JobEnd(Enum):
@@ -100,7 +100,7 @@
         self._arrival_numbers = itertools.count()
         self._start_numbers = itertools.count(1)
         self._work_available = anyio.Event()
-        self.trace: deque[Job] = deque(maxlen=MAX_TRACE_JOBS)
+        self.trace: deque[Job] = deque(maxlen=TRACE_JOBS_MAX)
         self.control = EngineControl.model_validate({})
 
     @property
--- a/stand_ins/faults.py
+++ b/stand_ins/faults.py
@@ -12,7 +12,7 @@
 
 __all__ = ["FaultControl", "Faults", "refuse"]
 
-Share = Field(0.0, ge=0, le=1)
+SHARE_FIELD = Field(0.0, ge=0, le=1)
 REFUSED_STATUS = 503
 INVALID_STATUS = 422
 
@@ -26,11 +26,11 @@
 
     outage: bool = Field(False, description="Refuse every call.")
     slow_s: float = Field(0.0, ge=0, description="Wait before each call.")
-    lost_answer_share: float = Share
+    lost_answer_share: float = SHARE_FIELD
     """Share of writes that take effect but whose answer is lost."""
-    stale_read_share: float = Share
+    stale_read_share: float = SHARE_FIELD
     """Share of reads that return the previous revision."""
-    corrupt_share: float = Share
+    corrupt_share: float = SHARE_FIELD
     """Share of reads whose body is corrupted."""
 
 
--- a/stand_ins/key_value.py
+++ b/stand_ins/key_value.py
@@ -16,8 +16,8 @@
 
 __all__ = ["KeyValueService", "create_app"]
 
-MAX_VALUE_BYTES = 1024 * 1024
-MAX_WATCH_S = 300.0
+VALUE_MAX_BYTES = 1024 * 1024
+WATCH_MAX_S = 300.0
 
 
 class KeyValueService:
@@ -73,7 +73,7 @@
         refusal = await self._admit_call("writes", self._writes_per_s)
         if refusal is not None:
             return refusal
-        if len(value) > MAX_VALUE_BYTES:
+        if len(value) > VALUE_MAX_BYTES:
             return JSONResponse({"error": "value larger than 1 MiB"}, status_code=413)
         params = request.query_params
         lease_id = params.get("lease", "")
@@ -94,7 +94,7 @@
             return refusal
         params = request.query_params
         after = int(params["after"])
-        timeout_s = min(float(params["timeout_s"]), MAX_WATCH_S)
+        timeout_s = min(float(params["timeout_s"]), WATCH_MAX_S)
         self._watches_waiting += 1
         try:
             entry = await self._wait_for_newer(params["key"], after, timeout_s)
--- a/stand_ins/keys.py
+++ b/stand_ins/keys.py
@@ -10,7 +10,7 @@
 
 
 def make_dated_key(rng: random.Random) -> str:
-    """Return a key with the current time."""
+    """Return a key that contains the current time."""
     bits = rng.getrandbits(RANDOM_BITS)
     high, low = bits >> 62, bits & ((1 << 62) - 1)
     number = (int(time.time() * 1000) << 80) | (7 << 76) | (high << 64)
--- a/stand_ins/launcher.py
+++ b/stand_ins/launcher.py
@@ -274,7 +274,7 @@
 
 
 def remove_stale_folders() -> None:
-    """Remove the folders of launchers that were killed before they could."""
+    """Remove the folders of launchers that were killed before they removed them."""
     for path in Path(tempfile.gettempdir()).glob("reedspar-*"):
         match = _FOLDER_NAME.fullmatch(path.name)
         if match is not None and not Path(f"/proc/{match.group(1)}").exists():
--- a/stand_ins/load.py
+++ b/stand_ins/load.py
@@ -15,11 +15,11 @@
 from .deployments import Pool
 from .keys import make_dated_key
 from .launcher import Launcher
-from .promises import Ledger
+from .promises import TrialRecords
 
-__all__ = ["Load", "LoadPlan"]
+__all__ = ["LoadGenerator", "LoadPlan"]
 
-MAX_REPEAT_DELAY_S = 0.6
+REPEAT_DELAY_MAX_S = 0.6
 PROMPT_FAMILY_COUNT = 12
 """Prompts of one family share a long prefix."""
 PREFIX_CHARACTERS = 256
@@ -43,11 +43,11 @@
     deadline_s: float = 10.0
 
 
-class Load:
+class LoadGenerator:
     """Starts calls at the plan's rates until `stop`, then waits for those in flight."""
 
     def __init__(
-        self, launcher: Launcher, ledger: Ledger, plan: LoadPlan, seed: int
+        self, launcher: Launcher, records: TrialRecords, plan: LoadPlan, seed: int
     ) -> None:
         deployment = launcher.deployment
         pools = deployment.pools
@@ -55,7 +55,7 @@
         plain = [p for p in pools if p.kind is TargetKind.PLAIN_SERVICE]
         self._order_pool: Pool = plain[0]
         self._status_pool: Pool = plain[-1]
-        self._ledger = ledger
+        self._records = records
         self._plan = plan
         self._rng = random.Random(seed)
         self._is_stopped = False
@@ -108,7 +108,7 @@
             ended = await call
         finally:
             self.in_flight -= 1
-        self._ledger.add(ended)
+        self._records.add(ended)
         return ended
 
     def _pick_caller(self) -> Caller:
@@ -157,7 +157,7 @@
 
             tasks.start_soon(send)
             if is_repeated:
-                await anyio.sleep(self._rng.random() * MAX_REPEAT_DELAY_S)
+                await anyio.sleep(self._rng.random() * REPEAT_DELAY_MAX_S)
                 tasks.start_soon(send)
 
     async def _status(self) -> None:
--- a/stand_ins/operations.py
+++ b/stand_ins/operations.py
@@ -17,7 +17,7 @@
 __all__ = ["Operator", "OperatorError"]
 
 POLL_INTERVAL_S = 0.05
-MAX_PATCH_ATTEMPTS = 20
+PATCH_ATTEMPTS_MAX = 20
 
 
 class OperatorError(Exception):
@@ -61,7 +61,7 @@
         """Patch the current version; after a conflict, read it again and retry."""
         detail = ""
         patch_id = uuid.uuid4().hex
-        for attempt in range(MAX_PATCH_ATTEMPTS):
+        for attempt in range(PATCH_ATTEMPTS_MAX):
             document = await self.read_configuration()
             body = {
                 "base_version": document["version"],
--- a/stand_ins/plain_service.py
+++ b/stand_ins/plain_service.py
@@ -38,8 +38,8 @@
 
 
 @dataclass
-class Run:
-    """All runs of one order key."""
+class OrderRuns:
+    """The runs of one order key."""
 
     count: int = 0
     answered: int = 0
@@ -53,7 +53,7 @@
 
     def __init__(self, load_lag_s: float = 0.2) -> None:
         self._control = PlainServiceControl.model_validate({})
-        self._runs: dict[str, Run] = {}
+        self._runs: dict[str, OrderRuns] = {}
         self._boot_id = uuid.uuid4().hex
         self._down_until_s = 0.0
         self._in_flight = 0
@@ -82,7 +82,7 @@
             return refuse("restarting")
         key = find_order_key(request)
         boot_id = self._boot_id
-        run = self._record(key, request)
+        runs = self._record(key, request)
         self._adjust_load(1)
         try:
             await anyio.sleep(self._control.latency_s)
@@ -94,16 +94,16 @@
             self._crash()
         if boot_id != self._boot_id:
             return TruncatedResponse()
-        run.answered += 1
-        return JSONResponse(make_answer(key, request, body, run.count))
+        runs.answered += 1
+        return JSONResponse(make_answer(key, request, body, runs.count))
 
-    def _record(self, key: str, request: Request) -> Run:
-        run = self._runs.setdefault(key, Run())
-        run.count += 1
-        run.method = request.method
-        run.path = request.url.path
-        run.started_at.append(time.time())
-        return run
+    def _record(self, key: str, request: Request) -> OrderRuns:
+        runs = self._runs.setdefault(key, OrderRuns())
+        runs.count += 1
+        runs.method = request.method
+        runs.path = request.url.path
+        runs.started_at.append(time.time())
+        return runs
 
     def _adjust_load(self, delta: int) -> None:
         self._in_flight += delta
@@ -121,7 +121,7 @@
         return JSONResponse(asdict(state))
 
     async def _list_runs(self, request: Request) -> Response:
-        return JSONResponse({key: asdict(run) for key, run in self._runs.items()})
+        return JSONResponse({key: asdict(runs) for key, runs in self._runs.items()})
 
     async def _ready(self, request: Request) -> Response:
         return JSONResponse({"boot_id": self._boot_id})
--- a/stand_ins/prefix_cache.py
+++ b/stand_ins/prefix_cache.py
@@ -9,7 +9,7 @@
 __all__ = ["CacheEvent", "PrefixCache"]
 
 BLOCK_CHARACTERS = 64
-MAX_RETAINED_EVENTS = 4096
+RETAINED_EVENTS_MAX = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
             return
         visible_s = time.monotonic() + self._event_lag_s
         self._events.append(CacheEvent(self._sequence, kind, block, visible_s))
-        del self._events[:-MAX_RETAINED_EVENTS]
+        del self._events[:-RETAINED_EVENTS_MAX]
 
 
 def make_blocks(prompt: str) -> list[str]:
--- a/stand_ins/processes.py
+++ b/stand_ins/processes.py
@@ -14,10 +14,10 @@
 
 __all__ = ["ManagedProcess", "ProcessGroup", "StartError", "exit_on_signals"]
 
-TOP = Path(__file__).resolve().parent.parent
+REPOSITORY_ROOT = Path(__file__).resolve().parent.parent
 READY_POLL_INTERVAL_S = 0.02
 STOP_TIMEOUT_S = 10.0
-"""Longer than an entry, on shutdown, serves callers that still have its address."""
+"""Longer than a stopping entry serves callers that still have its address."""
 STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
 
@@ -136,11 +136,11 @@
         return killed
 
     def _spawn(self, command: list[str], log_path: Path) -> subprocess.Popen[bytes]:
-        environment = {**os.environ, "PYTHONPATH": str(TOP)}
+        environment = {**os.environ, "PYTHONPATH": str(REPOSITORY_ROOT)}
         with log_path.open("ab") as log:
             return subprocess.Popen(
                 command,
-                cwd=TOP,
+                cwd=REPOSITORY_ROOT,
                 env=environment,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
--- a/stand_ins/promises.py
+++ b/stand_ins/promises.py
@@ -1,4 +1,7 @@
-"""Check the system's guarantees against the records of callers and targets."""
+"""Check the system's promises against the records of callers and targets.
+
+A promise is a guarantee that the system gives to callers or operators.
+"""
 
 import math
 from collections import Counter, defaultdict
@@ -14,16 +17,16 @@
 from .launcher import Daemon, Launcher
 
 __all__ = [
-    "Ledger",
     "StalledPath",
     "TargetRun",
+    "TrialRecords",
     "Violation",
     "ZoneOutage",
     "compute_percentile",
 ]
 
 ZONE_OUT_DEADLINE_S = 3.0
-"""Time from accepting a zone's removal after which it may get no new work."""
+"""Time after a zone's removal is accepted from which it may get no new work."""
 STALL_RELEASE_MARGIN_S = 0.5
 """Time for a path to deliver its delayed bytes once it is no longer silent."""
 
@@ -68,7 +71,7 @@
 
 
 @dataclass
-class Ledger:
+class TrialRecords:
     """Records of calls and target runs, and checks that they agree."""
 
     calls: list[Call] = field(default_factory=list)
--- a/stand_ins/reasons.py
+++ b/stand_ins/reasons.py
@@ -8,7 +8,7 @@
 
 __all__ = ["describe_reasons"]
 
-MAX_REASONS_SHOWN = 12
+REASONS_SHOWN_MAX = 12
 
 
 def describe_reasons(calls: Iterable[Call]) -> list[str]:
@@ -20,7 +20,7 @@
     )
     return [
         f"{count} x {reason}"
-        for reason, count in reasons.most_common(MAX_REASONS_SHOWN)
+        for reason, count in reasons.most_common(REASONS_SHOWN_MAX)
     ]
 
 
--- a/stand_ins/relay.py
+++ b/stand_ins/relay.py
@@ -21,7 +21,7 @@
 
 __all__ = ["Direction", "Relay", "RelayRule", "create_control_app"]
 
-MAX_RECEIVE_BYTES = 64 * 1024
+RECEIVE_MAX_BYTES = 64 * 1024
 SILENCE_POLL_INTERVAL_S = 0.05
 
 
@@ -165,7 +165,7 @@
         """Forward bytes until one end closes, then close both."""
         try:
             while True:
-                piece = await source.receive(MAX_RECEIVE_BYTES)
+                piece = await source.receive(RECEIVE_MAX_BYTES)
                 rule = connection.rule(direction)
                 if rule.delay_s:
                     await anyio.sleep(rule.delay_s)
--- a/stand_ins/run.py
+++ b/stand_ins/run.py
@@ -18,8 +18,8 @@
     """Have the kernel kill this process when its parent dies.
 
     A parent killed with SIGKILL can't stop its children, which would keep running
-    and hold their ports.  The death signal is requested only after the start, so
-    a changed parent process id shows a parent that died before that.
+    and hold their ports.  This process requests the death signal only after it has
+    started; if its parent process id has changed by then, the parent died earlier.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL) != 0:
--- a/stand_ins/tests/test_launcher.py
+++ b/stand_ins/tests/test_launcher.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-TOP = Path(__file__).resolve().parents[2]
+REPOSITORY_ROOT = Path(__file__).resolve().parents[2]
 EXIT_TIMEOUT_S = 10.0
 PARENT = """
 import time
@@ -47,8 +47,8 @@
     def start_parent(self) -> tuple[subprocess.Popen[str], Path, list[int]]:
         parent = subprocess.Popen(
             [sys.executable, "-c", PARENT],
-            cwd=TOP,
-            env={**os.environ, "PYTHONPATH": str(TOP)},
+            cwd=REPOSITORY_ROOT,
+            env={**os.environ, "PYTHONPATH": str(REPOSITORY_ROOT)},
             stdout=subprocess.PIPE,
             text=True,
         )
--- a/stand_ins/tests/test_states.py
+++ b/stand_ins/tests/test_states.py
@@ -42,9 +42,9 @@
 
 class EngineModelTest(unittest.TestCase):
     def test_report_after_second_load_can_be_parsed(self) -> None:
-        # Each load has a higher fencing number.  When the report had the number in
-        # another field, agents could not parse the value 2: an agent that had ordered
-        # its second load waited for a report indefinitely, and all others for it.
+        # Each load has a higher fencing number.  If the report has the number in
+        # another field, agents can't parse the value 2: an agent that has ordered its
+        # second load waits for a report indefinitely, and all others wait for it.
         model = EngineModel(EngineOptions())
         model.weights.fencing_number = 2
         adapter = TypeAdapter(EngineState)
--- a/stand_ins/try_it.py
+++ b/stand_ins/try_it.py
@@ -18,10 +18,10 @@
 from .caller import Call, CallKind, Ending
 from .deployments import MARCOS_CENTRAL
 from .launcher import Launcher, LauncherOptions, launch
-from .load import Load, LoadPlan
+from .load import LoadGenerator, LoadPlan
 from .operations import Operator, OperatorError
 from .processes import StartError, exit_on_signals
-from .promises import Ledger, ZoneOutage, compute_percentile
+from .promises import TrialRecords, ZoneOutage, compute_percentile
 from .reasons import describe_reasons
 
 __all__ = ["main"]
@@ -37,13 +37,13 @@
 SEED = 1
 
 
-class Trial:
+class Demonstration:
     """One run of the demonstration and its records."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
         self._operator = Operator(launcher)
-        self._ledger = Ledger()
+        self._records = TrialRecords()
         self._start_s = time.monotonic()
         pools = launcher.deployment.pools
         self._pool = next(p for p in pools if p.kind is TargetKind.MODEL_ENGINE)
@@ -60,12 +60,12 @@
             await self._run_load()
         finally:
             await self._operator.aclose()
-        await self._ledger.read_targets(self._launcher)
+        await self._records.read_targets(self._launcher)
         return self._conclude()
 
     async def _run_load(self) -> None:
         """Run a load while a zone leaves and returns and a version is published."""
-        load = Load(self._launcher, self._ledger, LoadPlan(), SEED)
+        load = LoadGenerator(self._launcher, self._records, LoadPlan(), SEED)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             try:
@@ -84,7 +84,7 @@
         zone = self._launcher.deployment.zones[1].name
         accepted = await self._operator.set_zone(zone, "out")
         outage = ZoneOutage(zone, accepted.at)
-        self._ledger.outages.append(outage)
+        self._records.outages.append(outage)
         self._print(f"zone {zone} taken out by configuration {accepted.version}")
         await anyio.sleep(ZONE_OUTAGE_S)
         outage.ended_at = time.time()
@@ -121,14 +121,14 @@
             return int((await client.get(url)).json()["bytes_served"])
 
     def _conclude(self) -> int:
-        calls = self._ledger.calls
+        calls = self._records.calls
         for kind in CallKind:
             self._print(describe_calls(kind, [c for c in calls if c.kind is kind]))
         for line in describe_reasons(calls):
             self._print(f"  {line}")
-        violations = self._ledger.check()
-        doubled = sum("at most once" in v.promise for v in violations)
-        self._print(f"orders that ran twice: {doubled}")
+        violations = self._records.check()
+        rerun_orders = sum("at most once" in v.promise for v in violations)
+        self._print(f"orders that ran twice: {rerun_orders}")
         for violation in violations[:10]:
             self._print(f"BROKEN {violation.promise}: {violation.detail}")
         for process in self._launcher.processes.find_unexpected_exits():
@@ -149,10 +149,10 @@
         f"{ending.value} {sum(call.ending is ending for call in calls)}"
         for ending in Ending
     )
-    latencies = [1000 * call.latency_s for call in answered]
-    middle = compute_percentile(latencies, 0.5)
-    late = compute_percentile(latencies, 0.99)
-    return f"{kind.value}: {endings}; p50 {middle:.1f} ms, p99 {late:.1f} ms"
+    latencies_ms = [1000 * call.latency_s for call in answered]
+    p50_ms = compute_percentile(latencies_ms, 0.5)
+    p99_ms = compute_percentile(latencies_ms, 0.99)
+    return f"{kind.value}: {endings}; p50 {p50_ms:.1f} ms, p99 {p99_ms:.1f} ms"
 
 
 def main() -> int:
@@ -172,7 +172,7 @@
             count = len(launcher.processes.names)
             took_s = time.monotonic() - start_s
             print(f"{count} processes ready after {took_s:.2f} s", flush=True)
-            code = anyio.run(Trial(launcher).run)
+            code = anyio.run(Demonstration(launcher).run)
             killed = launcher.close()
             print(
                 f"processes killed because they did not stop: {killed or 'none'}",
