--- a/tests/run.py
+++ b/tests/run.py
@@ -13,10 +13,10 @@
 
 __all__ = ["main"]
 
-TOP = Path(__file__).resolve().parent.parent
-KNOWN_RED = TOP / "KNOWN-RED.txt"
+REPOSITORY_ROOT = Path(__file__).resolve().parent.parent
+KNOWN_RED = REPOSITORY_ROOT / "KNOWN-RED.txt"
 KNOWN_RED_MAX = 3
-ADAPTER = str(TOP / "platform")
+ADAPTER_FOLDER = str(REPOSITORY_ROOT / "platform")
 TEST_ROOTS = ("reedspar", "stand_ins", "bench", "tests")
 
 
@@ -35,11 +35,15 @@
         return loader.loadTestsFromNames(names)
     suite = unittest.TestSuite()
     for root in TEST_ROOTS:
-        if (TOP / root).is_dir():
-            suite.addTests(loader.discover(str(TOP / root), top_level_dir=str(TOP)))
+        if (REPOSITORY_ROOT / root).is_dir():
+            suite.addTests(
+                loader.discover(
+                    str(REPOSITORY_ROOT / root), top_level_dir=str(REPOSITORY_ROOT)
+                )
+            )
     # The adapter's folder is on the import path and is not a package: a package
     # named `platform` would shadow the standard library's module.
-    suite.addTests(loader.discover(ADAPTER, top_level_dir=ADAPTER))
+    suite.addTests(loader.discover(ADAPTER_FOLDER, top_level_dir=ADAPTER_FOLDER))
     return suite
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -19,8 +19,11 @@
 from reedspar.tool import ExitCode
 from reedspar.tool.main import Tool
 
-TOP = Path(__file__).resolve().parent.parent
-PAGES = [TOP / "README.md", *sorted((TOP / "docs").rglob("*.md"))]
+REPOSITORY_ROOT = Path(__file__).resolve().parent.parent
+PAGES = [
+    REPOSITORY_ROOT / "README.md",
+    *sorted((REPOSITORY_ROOT / "docs").rglob("*.md")),
+]
 LINK = re.compile(r"\]\(([^)\s]+)\)")
 CODE = re.compile(r"`([^`\n]+)`")
 SCRIPT = re.compile(r"(?:^|\s|`)(\./[\w./-]+)")
@@ -34,17 +37,17 @@
 
 
 def read_page(name: str) -> str:
-    return (TOP / "docs" / name).read_text()
+    return (REPOSITORY_ROOT / "docs" / name).read_text()
 
 
-def product_modules() -> Iterator[Path]:
-    for path in sorted((TOP / "reedspar").rglob("*.py")):
+def list_product_modules() -> Iterator[Path]:
+    for path in sorted((REPOSITORY_ROOT / "reedspar").rglob("*.py")):
         if "tests" not in path.parts:
             yield path
 
 
 class PathsTest(unittest.TestCase):
-    def test_relative_links_lead_somewhere(self) -> None:
+    def test_relative_links_resolve(self) -> None:
         for page in PAGES:
             for target in LINK.findall(page.read_text()):
                 if "://" in target or target.startswith("#"):
@@ -59,7 +62,9 @@
             named |= {code for code in CODE.findall(text) if PATH.match(code)}
             for path in named:
                 path = path.rstrip(".")
-                self.assertTrue((TOP / path).exists(), f"{page.name}: {path}")
+                self.assertTrue(
+                    (REPOSITORY_ROOT / path).exists(), f"{page.name}: {path}"
+                )
 
     def test_named_modules_exist(self) -> None:
         for page in PAGES:
@@ -70,7 +75,7 @@
     def test_every_page_is_in_the_index(self) -> None:
         index = set(LINK.findall(read_page("README.md")))
         for page in PAGES[1:]:
-            name = str(page.relative_to(TOP / "docs"))
+            name = str(page.relative_to(REPOSITORY_ROOT / "docs"))
             if name != "README.md":
                 self.assertIn(name, index)
 
@@ -79,7 +84,7 @@
     def setUp(self) -> None:
         self.page = read_page("operators.md")
 
-    def test_every_metric_is_there_and_no_other(self) -> None:
+    def test_page_lists_exactly_the_declared_metrics(self) -> None:
         declared = {spec.prometheus_name for spec in list_instruments().values()}
         named = set(re.findall(r"^\| `(reedspar_\w+)`", self.page, re.MULTILINE))
         self.assertEqual(named, declared)
@@ -87,10 +92,10 @@
             labels = ", ".join(spec.attributes) or "-"
             self.assertIn(f"| `{spec.prometheus_name}` | {labels} |", self.page)
 
-    def test_every_metric_is_fed(self) -> None:
+    def test_every_metric_is_recorded_somewhere(self) -> None:
         source = "\n".join(
             path.read_text()
-            for path in product_modules()
+            for path in list_product_modules()
             if path.parent.name != "telemetry" or path.name == "invariants.py"
         )
         for attribute in list_instruments():
@@ -103,18 +108,18 @@
         self.assertTrue(used)
         self.assertLessEqual(used - {"reedspar_chunks_"}, declared)
 
-    def test_every_kind_of_event_is_there_and_recorded_somewhere(self) -> None:
+    def test_every_event_kind_is_listed_and_recorded_somewhere(self) -> None:
         source = "\n".join(
             path.read_text()
-            for path in product_modules()
+            for path in list_product_modules()
             if path.parent.name != "timeline"
         )
         for kind in EventKind:
             self.assertIn(f"| `{kind.value}` |", self.page)
             self.assertIn(f"EventKind.{kind.name}", source)
 
-    def test_every_log_message_is_there(self) -> None:
-        for path in product_modules():
+    def test_every_log_message_is_listed(self) -> None:
+        for path in list_product_modules():
             for message in read_log_messages(path):
                 self.assertIn(f"| `{message}` |", self.page, path.name)
 
@@ -138,14 +143,16 @@
     def setUp(self) -> None:
         self.page = read_page("tool.md")
 
-    def walk(self, command, words: tuple[str, ...]) -> Iterator[tuple]:
+    def list_commands(self, command, words: tuple[str, ...]) -> Iterator[tuple]:
         yield words, command
         for argument in command.arguments:
-            for name, below in getattr(argument, "options", {}).items():
-                yield from self.walk(below, (*words, name))
+            for name, subcommand in getattr(argument, "options", {}).items():
+                yield from self.list_commands(subcommand, (*words, name))
 
-    def test_every_command_and_option_is_there(self) -> None:
-        commands = list(self.walk(cappa.collect(Tool, completion=False), ("reedspar",)))
+    def test_every_command_and_option_is_listed(self) -> None:
+        commands = list(
+            self.list_commands(cappa.collect(Tool, completion=False), ("reedspar",))
+        )
         self.assertGreater(len(commands), 12)
         for words, command in commands:
             is_group = any(
@@ -158,37 +165,37 @@
                     if option != "--help":
                         self.assertIn(option, self.page, words)
 
-    def test_every_exit_code_is_there(self) -> None:
+    def test_page_lists_exactly_the_exit_codes(self) -> None:
         codes = re.findall(r"^\| (\d+) \|", self.page, re.MULTILINE)
         self.assertEqual([int(code) for code in codes], [int(c) for c in ExitCode])
 
 
 class SettingsPageTest(unittest.TestCase):
-    def test_every_key_is_there_with_its_default(self) -> None:
+    def test_page_lists_exactly_the_settings_with_descriptions(self) -> None:
         page = read_page("settings.md")
         named = set(re.findall(r"^\| `([\w.]+)` \|", page, re.MULTILINE))
         keys = set()
-        for key, line in self.describe(DaemonSettings, ""):
+        for key, line in self.list_settings(DaemonSettings, ""):
             keys.add(key)
             self.assertIn(line, page)
         self.assertEqual(named, keys)
 
-    def test_every_key_of_a_site_is_there(self) -> None:
+    def test_page_lists_exactly_the_settings_of_a_site(self) -> None:
         page = read_page("site.md").split("## Settings")[1]
         named = set(re.findall(r"^\| `([\w.]+)` \|", page, re.MULTILINE))
         keys = set()
-        for key, line in self.describe(SiteSettings, ""):
+        for key, line in self.list_settings(SiteSettings, ""):
             if key.startswith("weights."):
                 continue  # The page of all settings lists them.
             keys.add(key)
             self.assertIn(f"| `{key}` {line}", page)
         self.assertEqual(named, keys)
 
-    def describe(self, model, prefix: str) -> Iterator[tuple[str, str]]:
+    def list_settings(self, model, prefix: str) -> Iterator[tuple[str, str]]:
         for name, field in model.model_fields.items():
             section = find_model(field.annotation)
             if section is not None and section is not SocketAddress:
-                yield from self.describe(section, f"{prefix}{name}.")
+                yield from self.list_settings(section, f"{prefix}{name}.")
                 continue
             key = prefix + name
             yield key, f"| {field.description} |"
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -33,7 +33,7 @@
             steps = [step for step, _ in ROW.findall(section) if step != "step"]
             self.assertEqual(len(set(steps)), STEP_COUNT, section.splitlines()[0])
 
-    def test_counts_at_the_top_are_true(self) -> None:
+    def test_counts_match_the_cells(self) -> None:
         counts = {name: int(count) for name, count in COUNT.findall(self.text)}
         self.assertEqual(len(counts), 3)
         for name, count in counts.items():
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -156,14 +156,14 @@
         # The agent gets SIGTERM while its target works, and again 0.3 s later, as
         # some supervisors do.  It must not exit before the caller has its answer.
         async def stop(agent: Daemon) -> None:
-            process = self.launcher.processes
-            process.kill(agent.name, signal.SIGTERM)
+            processes = self.launcher.processes
+            processes.kill(agent.name, signal.SIGTERM)
             await anyio.sleep(0.3)
             code = await anyio.to_thread.run_sync(
-                process.stop, agent.name, STEP_TIMEOUT_S
+                processes.stop, agent.name, STEP_TIMEOUT_S
             )
             self.assertEqual(code, 0)
-            process.restart(agent.name)
+            processes.restart(agent.name)
 
         async def scenario() -> None:
             call = await self.place("stop-agent", stop)
