--- a/bench/requests_during_distribution.py
+++ b/bench/requests_during_distribution.py
@@ -16,10 +16,10 @@
 from stand_ins.caller import CallKind, Ending
 from stand_ins.deployments import MARCOS_CENTRAL
 from stand_ins.launcher import Launcher, launch
-from stand_ins.load import Load, LoadPlan
+from stand_ins.load import LoadGenerator, LoadPlan
 from stand_ins.operations import Operator
 from stand_ins.processes import exit_on_signals
-from stand_ins.promises import Ledger, compute_percentile
+from stand_ins.promises import TrialRecords, compute_percentile
 
 from .measuring import print_result
 
@@ -39,7 +39,7 @@
     """A period of the run, in wall-clock seconds."""
 
     name: str
-    begun_at: float
+    started_at: float
     ended_at: float
 
 
@@ -49,7 +49,7 @@
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
         self._operator = Operator(launcher)
-        self._ledger = Ledger()
+        self._records = TrialRecords()
         self._pool = launcher.deployment.pools[0]
         self._rng = random.Random(1)
 
@@ -57,11 +57,11 @@
         """Run the load and the distributions, and return the result."""
         await self._operator.configure()
         await self._distribute(1)
-        load = Load(self._launcher, self._ledger, PLAN, seed=1)
+        load = LoadGenerator(self._launcher, self._records, PLAN, seed=1)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(load.run)
             await anyio.sleep(WARM_UP_S)
-            begun_at = time.time()
+            started_at = time.time()
             await anyio.sleep(BASELINE_S)
             published_at = time.time()
             times_s = await self._distribute(2)
@@ -73,7 +73,7 @@
         first_at = wait_started_at + min(times_s)
         last_at = wait_started_at + max(times_s)
         windows = [
-            Window("before", begun_at, published_at),
+            Window("before", started_at, published_at),
             Window("transfer", published_at, first_at),
             Window("switch", first_at, last_at + AFTER_SWITCH_S),
         ]
@@ -101,8 +101,8 @@
     def _summarize(self, window: Window) -> dict[str, Any]:
         calls = [
             call
-            for call in self._ledger.calls
-            if window.begun_at <= call.started_at < window.ended_at
+            for call in self._records.calls
+            if window.started_at <= call.started_at < window.ended_at
         ]
         latencies_s = [
             call.latency_s
@@ -110,7 +110,7 @@
             if call.ending is Ending.ANSWERED and call.kind is not CallKind.ORDER
         ]
         return {
-            "seconds": round(window.ended_at - window.begun_at, 2),
+            "seconds": round(window.ended_at - window.started_at, 2),
             "calls": len(calls),
             "p50_ms": round(1000 * compute_percentile(latencies_s, 0.5), 1),
             "p99_ms": round(1000 * compute_percentile(latencies_s, 0.99), 1),
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -10,7 +10,7 @@
 import anyio
 
 from stand_ins.launcher import launch
-from stand_ins.processes import TOP
+from stand_ins.processes import REPOSITORY_ROOT
 
 from .measuring import CpuMeter
 from .small_deployment import DEPLOYMENT, make_options, prepare
@@ -20,9 +20,9 @@
 ENGINE_ARGUMENTS = ("--token-s", "0.02", "--sequence-s", "0")
 DIRECT_WARM_UP_S = 2.0
 THROUGH_WARM_UP_S = 12.0
-"""Longer because entry and agents raise their limits with each completed request.
+"""Longer, as entry and agents raise their limits with each completed request.
 
-The streams of the workers are short for most of the warm-up for the same reason.
+For the same reason, the workers' streams are short for most of the warm-up.
 """
 
 
@@ -57,7 +57,9 @@
     command += ["--streams", str(streams // len(urls))]
     command += ["--seconds", str(seconds), "--warm-s", str(warm_s)]
     workers = [
-        subprocess.Popen([*command, "--url", url], cwd=TOP, stdout=subprocess.PIPE)
+        subprocess.Popen(
+            [*command, "--url", url], cwd=REPOSITORY_ROOT, stdout=subprocess.PIPE
+        )
         for url in urls
     ]
     time.sleep(warm_s)
--- a/stand_ins/tests/test_states.py
+++ b/stand_ins/tests/test_states.py
@@ -8,7 +8,7 @@
 from stand_ins.engine_model import EngineModel
 from stand_ins.engine_settings import EngineOptions
 from stand_ins.key_value_state import KeyValueState
-from stand_ins.rate import RateLimit
+from stand_ins.rate_limit import RateLimit
 
 
 class KeyValueStateTest(unittest.TestCase):
@@ -42,9 +42,9 @@
 
 class EngineModelTest(unittest.TestCase):
     def test_report_after_second_load_can_be_parsed(self) -> None:
-        # Each load has a higher fencing number.  When the report had the number in
-        # another field, agents could not parse the value 2: an agent that had ordered
-        # its second load waited for a report indefinitely, and all others for it.
+        # Each load has a higher fencing number.  If the report has the number in
+        # another field, agents can't parse the value 2: an agent that has ordered its
+        # second load waits for a report indefinitely, and all others wait for it.
         model = EngineModel(EngineOptions())
         model.weights.fencing_number = 2
         adapter = TypeAdapter(EngineState)
