--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -226,7 +226,7 @@
     ages: list[float] = []
     for _ in range(int(STEADY_DURATION_S / 0.5)):
         fleet.run_for(0.5)
-        ages += [node.controller.age_s for node in nodes]
+        ages += [node.controller.freshness_age_s for node in nodes]
     daemon_seconds = len(nodes) * STEADY_DURATION_S
     messages = sum(node.sent_messages for node in nodes) - messages
     sent_bytes = sum(node.sent_bytes for node in nodes) - sent_bytes
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -21,7 +21,7 @@
 from .fetching import DocumentFetch
 from .freshness import age_to_ms
 from .messages import ConfigurationOffer, ConfigurationRequest
-from .patching import DOCUMENT_LIMIT_BYTES, encode_document
+from .patching import DOCUMENT_MAX_BYTES, encode_document
 from .store import decode_document, decode_entry
 from .view import DaemonView
 from .watching import (
@@ -43,13 +43,13 @@
 WATCH_TIMEOUT_S = 0.5
 """Short because an answer only proves which version was newest when the call began."""
 WATCH_RETRY_DELAY_S = 0.5
-MAX_READ_STALENESS_S = 0.5
+READ_STALENESS_MAX_S = 0.5
 """Assumed bound on the staleness of a read from the key-value service."""
 OUTDATED_PEER_BEACON_INTERVAL_S = 1.0
-BEACON_TIMES_LIMIT = 1024
+BEACON_TIMES_MAX = 1024
 """Maximum number of outdated peers whose last beacon time is kept."""
 FALLBACK_READ_INITIAL_DELAY_S = 4.0
-FALLBACK_READ_MAX_DELAY_S = 60.0
+FALLBACK_READ_DELAY_MAX_S = 60.0
 
 ChangeListener = Callable[[ConfigurationDocument], None]
 
@@ -126,9 +126,9 @@
         return self._is_ready
 
     @property
-    def age_s(self) -> float:
+    def freshness_age_s(self) -> float:
         """Return the time in s since the held version was known to be the newest."""
-        return self._exchange.age_s()
+        return self._exchange.freshness_age_s()
 
     @property
     def confirmed_age_s(self) -> float:
@@ -142,8 +142,8 @@
 
     @property
     def fresh_age_ms(self) -> int:
-        """Return `age_s` for `Sender`: for diagnostics, not evidence of freshness."""
-        age_s = self._exchange.age_s()
+        """Return the age for `Sender`; it is diagnostic, not evidence of freshness."""
+        age_s = self._exchange.freshness_age_s()
         return age_to_ms(None if age_s == float("inf") else age_s)
 
     @property
@@ -178,7 +178,7 @@
         self._timers.check_pause()
         if self._document is None or not self._is_ready:
             return Failure(Reason.NOT_READY, Step.CONFIGURE, retry_after_s=1.0)
-        age_s = self._exchange.age_s()
+        age_s = self._exchange.freshness_age_s()
         if age_s > self._freshness_s:
             detail = f"version {self.version} was last known to be the newest "
             detail += "never" if age_s == float("inf") else f"{age_s:.1f} s ago"
@@ -234,7 +234,7 @@
 
     def _run_tick(self) -> None:
         now_s = self._timers.now_s()
-        if len(self._beacon_sent_s) > BEACON_TIMES_LIMIT:
+        if len(self._beacon_sent_s) > BEACON_TIMES_MAX:
             self._beacon_sent_s.clear()
         self._update_readiness()
         is_watching = self.is_watching
@@ -250,7 +250,7 @@
     def _update_readiness(self) -> None:
         if self._is_ready or self._document is None:
             return
-        if self._exchange.age_s() <= self._freshness_s:
+        if self._exchange.freshness_age_s() <= self._freshness_s:
             self._is_ready = True
             self._attest_after_s = self._timers.now_s() + ATTESTATION_DELAY_S
 
@@ -284,7 +284,7 @@
         without an instance list from overloading the service.
         """
         self._fallback_read_delay_s = min(
-            self._fallback_read_delay_s * 2, FALLBACK_READ_MAX_DELAY_S
+            self._fallback_read_delay_s * 2, FALLBACK_READ_DELAY_MAX_S
         )
         self._fallback_read_at_s = now_s + self._fallback_read_delay_s * (
             0.5 + self._rng.random()
@@ -315,7 +315,7 @@
         # the newest, provided that the revision belongs to that version.
         is_current = 0 < self._version_at_revision == self.version
         if is_current and pause_count == self._timers.pause_count:
-            self._exchange.table.record_confirmation(started_s - MAX_READ_STALENESS_S)
+            self._exchange.table.record_confirmation(started_s - READ_STALENESS_MAX_S)
             self._update_readiness()
         if self.is_watching:
             self._start_watch()
@@ -325,7 +325,7 @@
         self._watch_after_s = self._timers.now_s() + WATCH_RETRY_DELAY_S
 
     def _request_document(self) -> None:
-        peer = self._fetch.next_peer(self._timers.now_s())
+        peer = self._fetch.begin_request(self._timers.now_s())
         if peer is not None:
             self.counters.requests += 1
             self._network.send(peer, ConfigurationRequest(self.version))
@@ -364,10 +364,10 @@
     """Return the document, or None if it is corrupt or of another version."""
     decompressor = zlib.decompressobj()
     try:
-        data = decompressor.decompress(offer.document, DOCUMENT_LIMIT_BYTES + 1)
+        data = decompressor.decompress(offer.document, DOCUMENT_MAX_BYTES + 1)
     except zlib.error:
         return None
-    if len(data) > DOCUMENT_LIMIT_BYTES or not decompressor.eof:
+    if len(data) > DOCUMENT_MAX_BYTES or not decompressor.eof:
         return None
     document = decode_document(data)
     if isinstance(document, Failure) or document.version != offer.version:
--- a/reedspar/configuration/exchange.py
+++ b/reedspar/configuration/exchange.py
@@ -55,7 +55,7 @@
         view: DaemonView,
         rng: random.Random,
         zone: str,
-        is_hub: bool,
+        is_entry: bool,
         held_version: Callable[[], int],
         handle_sender: Callable[[Sender], None],
     ) -> None:
@@ -64,7 +64,7 @@
         self._view = view
         self._rng = rng
         self._own_zone = frozenset({zone})
-        self._is_hub = is_hub
+        self._is_entry = is_entry
         self._held_version = held_version
         self._handle_sender = handle_sender
         self._clocks = PeerClocks()
@@ -81,7 +81,7 @@
         """Return the evidence held."""
         return self._table
 
-    def age_s(self) -> float:
+    def freshness_age_s(self) -> float:
         """Return the age of the evidence in s; infinite without any."""
         verified_at_s = self._table.verified_at_s(self._view.zones())
         return (
@@ -123,7 +123,7 @@
             self._pushed_confirmed_s = confirmed_s
             self._pushed_attestation_s = attested_s
             self._push_to(
-                HUB_PUSH_FANOUT if self._is_hub or is_watching else LEAF_PUSH_FANOUT
+                HUB_PUSH_FANOUT if self._is_entry or is_watching else LEAF_PUSH_FANOUT
             )
         if is_aging:
             for peer in self._choose_peers(PUSH_FANOUT):
--- a/reedspar/configuration/fetching.py
+++ b/reedspar/configuration/fetching.py
@@ -5,7 +5,7 @@
 __all__ = ["DocumentFetch"]
 
 DOCUMENT_REQUEST_TIMEOUT_S = 0.4
-MAX_SOURCES = 16
+SOURCES_MAX = 16
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
         if version <= held_version:
             return
         self._sources[peer] = version
-        if len(self._sources) > MAX_SOURCES:
+        if len(self._sources) > SOURCES_MAX:
             del self._sources[next(iter(self._sources))]
 
     def record_adoption(self, version: int) -> None:
@@ -40,7 +40,7 @@
         self._sources.pop(peer, None)
         self._request = None
 
-    def next_peer(self, now_s: float) -> str | None:
+    def begin_request(self, now_s: float) -> str | None:
         """Return the peer to ask, or None while one is pending or none is newer."""
         request = self._request
         if request is not None:
--- a/reedspar/configuration/patching.py
+++ b/reedspar/configuration/patching.py
@@ -13,8 +13,8 @@
 from .document import ConfigurationDocument, PatchRecord
 
 __all__ = [
-    "DOCUMENT_LIMIT_BYTES",
-    "HISTORY_LIMIT",
+    "DOCUMENT_MAX_BYTES",
+    "HISTORY_RECORDS_MAX",
     "PatchRequest",
     "apply_patch",
     "describe_errors",
@@ -23,10 +23,10 @@
     "parse_patch",
 ]
 
-HISTORY_LIMIT = 200
-DOCUMENT_LIMIT_BYTES = 1024 * 1024
+HISTORY_RECORDS_MAX = 200
+DOCUMENT_MAX_BYTES = 1024 * 1024
 """The key-value service's limit on the size of a value."""
-DEPTH_LIMIT = 16
+PATCH_DEPTH_MAX = 16
 SYSTEM_KEYS = frozenset({"version", "history"})
 
 PatchId = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -93,8 +93,8 @@
         return _make_invalid(
             "\n".join(f"{key}: kept by the system" for key in sorted(reserved))
         )
-    if _measure_depth(request.changes) > DEPTH_LIMIT:
-        return _make_invalid(f"changes: nested more than {DEPTH_LIMIT} deep")
+    if _measure_depth(request.changes) > PATCH_DEPTH_MAX:
+        return _make_invalid(f"changes: nested more than {PATCH_DEPTH_MAX} deep")
     plain = document.model_dump(mode="json", exclude=set(SYSTEM_KEYS))
     version = document.version + 1
     record = PatchRecord(
@@ -106,7 +106,7 @@
     )
     merged = merge_patch(plain, request.changes)
     merged["version"] = version
-    merged["history"] = [*document.history, record][-HISTORY_LIMIT:]
+    merged["history"] = [*document.history, record][-HISTORY_RECORDS_MAX:]
     try:
         patched = ConfigurationDocument.model_validate(merged)
     except ValidationError as error:
@@ -114,8 +114,8 @@
     if errors := _check_sequences(document, patched):
         return _make_invalid("\n".join(errors))
     size_bytes = len(encode_document(patched))
-    if size_bytes > DOCUMENT_LIMIT_BYTES:
-        return _make_invalid(f"{size_bytes} bytes; the limit is {DOCUMENT_LIMIT_BYTES}")
+    if size_bytes > DOCUMENT_MAX_BYTES:
+        return _make_invalid(f"{size_bytes} bytes; the limit is {DOCUMENT_MAX_BYTES}")
     return patched
 
 
@@ -143,7 +143,7 @@
 def _measure_depth(value: Any) -> int:
     depth = 0
     level = [value]
-    while level and depth <= DEPTH_LIMIT:
+    while level and depth <= PATCH_DEPTH_MAX:
         depth += 1
         level = [
             child
--- a/reedspar/configuration/store.py
+++ b/reedspar/configuration/store.py
@@ -23,7 +23,7 @@
 ]
 
 CURRENT_KEY = "configuration/current"
-MAX_ATTEMPTS = 8
+ACCEPT_ATTEMPTS_MAX = 8
 RETRY_BACKOFF_STEP_S = 0.1
 
 Sleep = Callable[[float], Awaitable[None]]
@@ -99,7 +99,7 @@
         `known_version` is the newest version that the caller knows of.
         """
         unknown_outcome: Failure | None = None
-        for attempt in range(MAX_ATTEMPTS):
+        for attempt in range(ACCEPT_ATTEMPTS_MAX):
             if attempt:
                 await self._sleep(RETRY_BACKOFF_STEP_S * attempt)
             result = await self._try_once(request, known_version)
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -29,7 +29,7 @@
 __all__ = ["Fleet", "FleetKeyValue", "Node"]
 
 TIMER_STEP_S = 0.05
-BUFFERED_INPUTS_LIMIT = 2000
+BUFFERED_INPUTS_MAX = 2000
 
 
 class FleetKeyValue:
@@ -205,7 +205,7 @@
         """Process an input now, or buffer it while the process is stopped."""
         if not self.is_frozen:
             action()
-        elif len(self._buffer) < BUFFERED_INPUTS_LIMIT:
+        elif len(self._buffer) < BUFFERED_INPUTS_MAX:
             self._buffer.append(action)
 
     def thaw(self) -> None:
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -110,12 +110,12 @@
                 each.name for each in self.nodes_in_zone(zone)
             }
             self.key_value.unreachable_from |= self.isolated
-        elif fault == "region_cut":
+        elif fault == "zone_pair_cut":
             self.partitioned_zone_pairs ^= {frozenset(self.rng.sample(ZONES, 2))}
         else:
-            self.isolate(node)
+            self.toggle_isolation(node)
 
-    def isolate(self, node: Node) -> None:
+    def toggle_isolation(self, node: Node) -> None:
         self.isolated ^= {node.name}
         if node.name in self.isolated:
             self.key_value.unreachable_from |= {node.name}
@@ -138,7 +138,7 @@
     "cold_start",
     "service_down",
     "service_cut",
-    "region_cut",
+    "zone_pair_cut",
     "isolate",
 )
 STEPS = st.lists(
@@ -177,7 +177,7 @@
             if node.controller.check_work_allowed("kingston-c") is not None
         ]
 
-    def test_outage_of_the_service_alone_stops_nothing(self) -> None:
+    def test_key_value_outage_alone_refuses_no_work(self) -> None:
         # The key-value service is down for ten minutes.  If freshness depended on
         # it alone, all requests would be refused although nothing has changed.
         self.simulation.key_value.is_down = True
@@ -185,7 +185,7 @@
             self.simulation.fleet.run_for(1.0)
             self.assertEqual(self.refused(), [])
 
-    def test_restarted_process_learns_from_peers_during_an_outage(self) -> None:
+    def test_restarted_process_learns_version_from_peers_in_an_outage(self) -> None:
         self.simulation.key_value.is_down = True
         self.simulation.fleet.run_for(5.0)
         for node in self.simulation.nodes:
--- a/reedspar/configuration/tests/test_patching.py
+++ b/reedspar/configuration/tests/test_patching.py
@@ -5,7 +5,7 @@
 
 from reedspar.configuration import ConfigurationDocument
 from reedspar.configuration.patching import (
-    HISTORY_LIMIT,
+    HISTORY_RECORDS_MAX,
     PatchRequest,
     apply_patch,
     merge_patch,
@@ -107,10 +107,10 @@
         result = self.apply(ConfigurationDocument(), nested)
         self.assert_refused(result, Reason.INVALID, "deep")
         document = ConfigurationDocument()
-        for _ in range(HISTORY_LIMIT + 5):
+        for _ in range(HISTORY_RECORDS_MAX + 5):
             document = self.apply(document, {})
-        self.assertEqual(len(document.history), HISTORY_LIMIT)
-        self.assertEqual(document.history[-1].version, HISTORY_LIMIT + 5)
+        self.assertEqual(len(document.history), HISTORY_RECORDS_MAX)
+        self.assertEqual(document.history[-1].version, HISTORY_RECORDS_MAX + 5)
 
     def test_malformed_patch_is_refused_with_its_fields(self) -> None:
         result = parse_patch(b'{"patch_id": "a b", "base_version": -1}')
--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -119,7 +119,9 @@
             ]
         )
         self.metrics.config_version.set_callback(lambda: self.configuration.version)
-        self.metrics.freshness_age.set_callback(lambda: self.configuration.age_s)
+        self.metrics.freshness_age.set_callback(
+            lambda: self.configuration.freshness_age_s
+        )
 
     def _handle_pause(self, gap_s: float) -> None:
         self.metrics.pauses.add(1)
--- a/reedspar/daemon/views.py
+++ b/reedspar/daemon/views.py
@@ -116,7 +116,7 @@
         """Return the current state."""
         node = self._node
         settings = node.settings
-        age_s = node.configuration.age_s
+        age_s = node.configuration.freshness_age_s
         role = node.describe_role()
         return DaemonStatus(
             name=settings.name,
--- a/reedspar/timeline/__init__.py
+++ b/reedspar/timeline/__init__.py
@@ -12,11 +12,11 @@
         explain_request,
     )
     from .filters import EventFilter, format_caller_id
+    from .html_rendering import render_html
     from .log_lines import LogLine, parse_log_line, read_log_lines
     from .merging import merge_events
-    from .picture import render_html
     from .recorder import EventPage, EventRecorder, create_event_recorder
-    from .text import render_text
+    from .text_rendering import render_text
 
 __all__ = [
     "Event",
@@ -59,7 +59,7 @@
                 "read_log_lines",
             ),
             "merging": ("merge_events",),
-            "picture": ("render_html",),
+            "html_rendering": ("render_html",),
             "recorder": (
                 "EventPage",
                 "EventRecorder",
@@ -70,6 +70,6 @@
                 "count_unlogged_requests",
                 "explain_request",
             ),
-            "text": ("render_text",),
+            "text_rendering": ("render_text",),
         },
     )
--- a/reedspar/timeline/explanation.py
+++ b/reedspar/timeline/explanation.py
@@ -2,7 +2,7 @@
 
 An explanation contains the lines that name the request, and the state that the
 processes last logged before it ended.  Clocks differ between processes, so lines of
-other processes are accepted up to `MAX_CLOCK_SKEW_S` after the end, and keep their own
+other processes are accepted up to `CLOCK_SKEW_MAX_S` after the end, and keep their own
 times.
 """
 
@@ -20,7 +20,7 @@
 
 It exceeds the time that a new version may take to arrive.
 """
-MAX_CLOCK_SKEW_S = 2.0
+CLOCK_SKEW_MAX_S = 2.0
 """Assumed bound on the difference between the clocks of two processes."""
 PROCESS_STATE_MESSAGES = frozenset(
     {
@@ -134,7 +134,7 @@
     last: dict[tuple[str, str, str], LogLine] = {}
     for line in lines:
         is_own_process = line.process in processes
-        clock_skew_s = 0.0 if is_own_process else MAX_CLOCK_SKEW_S
+        clock_skew_s = 0.0 if is_own_process else CLOCK_SKEW_MAX_S
         if not begin_s <= line.time_s <= end_s + clock_skew_s:
             continue
         subject = ""
--- a/reedspar/timeline/filters.py
+++ b/reedspar/timeline/filters.py
@@ -7,13 +7,13 @@
 
 __all__ = ["EventFilter", "format_caller_id"]
 
-MIN_DIGEST_PREFIX_LENGTH = 6
-MAX_CALLER_ID_LENGTH = 100
+DIGEST_PREFIX_LENGTH_MIN = 6
+CALLER_ID_LENGTH_MAX = 100
 
 
 def format_caller_id(caller_id: str) -> str:
     """Return the text that identifies a caller's own id in an event's detail."""
-    return f"caller-id={caller_id[:MAX_CALLER_ID_LENGTH]}"
+    return f"caller-id={caller_id[:CALLER_ID_LENGTH_MAX]}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,6 +47,6 @@
     def _matches_version(self, version: str) -> bool:
         if self.version in ("", version):
             return True
-        return len(self.version) >= MIN_DIGEST_PREFIX_LENGTH and version.startswith(
+        return len(self.version) >= DIGEST_PREFIX_LENGTH_MIN and version.startswith(
             self.version
         )
--- a/reedspar/timeline/picture.py
+++ b/reedspar/timeline/html_rendering.py
@@ -2,8 +2,8 @@
 
 Events in a burst are microseconds apart, while pauses last minutes; a linear axis
 would hide one or the other.  Events are drawn in merged order, at least
-`MIN_EVENT_GAP_PX` apart.  The gap grows with the time between two events, up to
-`MAX_EVENT_GAP_PX`, and the axis is labelled with times where there is room.
+`EVENT_GAP_MIN_PX` apart.  The gap grows with the time between two events, up to
+`EVENT_GAP_MAX_PX`, and the axis is labelled with times where there is room.
 """
 
 from collections.abc import Sequence
@@ -11,19 +11,19 @@
 from html import escape
 
 from .events import Event, format_time
-from .text import describe_event
+from .text_rendering import describe_event
 
 __all__ = ["render_html"]
 
-MIN_EVENT_GAP_PX = 16.0
-MAX_EVENT_GAP_PX = 80.0
+EVENT_GAP_MIN_PX = 16.0
+EVENT_GAP_MAX_PX = 80.0
 GAP_GROWTH_PX_PER_S = 40.0
 LANE_HEIGHT_PX = 34
 MARGIN_PX = 24
 AXIS_HEIGHT_PX = 30
-MIN_TICK_GAP_PX = 96.0
+TICK_GAP_MIN_PX = 96.0
 CHARACTER_WIDTH_PX = 7.6
-MAX_DRAWN_EVENTS = 999
+DRAWN_EVENTS_MAX = 999
 """Numbers of four digits would not fit into the marks."""
 COLOURS = {
     "request": "#1f5fbf",
@@ -67,10 +67,10 @@
 def render_html(events: Sequence[Event], title: str = "Time line") -> str:
     """Return an HTML document of merged events without external resources.
 
-    Only the latest `MAX_DRAWN_EVENTS` events are drawn; the page states how many
+    Only the latest `DRAWN_EVENTS_MAX` events are drawn; the page states how many
     earlier ones are omitted.
     """
-    left_out = max(0, len(events) - MAX_DRAWN_EVENTS)
+    left_out = max(0, len(events) - DRAWN_EVENTS_MAX)
     shown = events[left_out:]
     lanes = sorted({event.process for event in shown})
     marks = _place_marks(shown, lanes)
@@ -102,7 +102,7 @@
         if i:
             elapsed_s = max(0.0, event.time_s - events[i - 1].time_s)
             x += min(
-                MAX_EVENT_GAP_PX, MIN_EVENT_GAP_PX + elapsed_s * GAP_GROWTH_PX_PER_S
+                EVENT_GAP_MAX_PX, EVENT_GAP_MIN_PX + elapsed_s * GAP_GROWTH_PX_PER_S
             )
         y = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * (lane_indices[event.process] + 0.5)
         marks.append(_Mark(i + 1, x, y, event))
@@ -121,7 +121,7 @@
 
 
 def _draw_lanes(marks: list[_Mark], lane_count: int) -> str:
-    width = (marks[-1].x if marks else 0) + MIN_TICK_GAP_PX
+    width = (marks[-1].x if marks else 0) + TICK_GAP_MIN_PX
     height = AXIS_HEIGHT_PX + LANE_HEIGHT_PX * lane_count
     parts = [f'<svg width="{width:.0f}" height="{height}">']
     for i in range(lane_count):
@@ -138,9 +138,9 @@
 
 def _draw_ticks(marks: list[_Mark], height: int) -> list[str]:
     parts = []
-    last_x = -MIN_TICK_GAP_PX
+    last_x = -TICK_GAP_MIN_PX
     for mark in marks:
-        if mark.x - last_x < MIN_TICK_GAP_PX:
+        if mark.x - last_x < TICK_GAP_MIN_PX:
             continue
         last_x = mark.x
         label = format_time(mark.event.time_s)[11:23]
--- a/reedspar/timeline/tests/test_timeline.py
+++ b/reedspar/timeline/tests/test_timeline.py
@@ -99,7 +99,7 @@
 
 
 class EventFilterTest(unittest.TestCase):
-    def test_each_field_selects(self) -> None:
+    def test_events_are_selected_by_request_target_and_version(self) -> None:
         events = [
             make_event("entry-1", 1, 1.0, request_id="r1", target="agent-1"),
             make_event("agent-1", 1, 2.0, version=DIGEST),
@@ -162,7 +162,7 @@
         for outside in ("http:", "https:", "src=", "<script"):
             self.assertNotIn(outside, page)
 
-    def test_html_without_events(self) -> None:
+    def test_html_of_no_events_is_rendered(self) -> None:
         self.assertIn("0 events", render_html([]))
 
 
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -16,7 +16,7 @@
     read_log_lines,
 )
 from reedspar.timeline.events import format_time
-from reedspar.timeline.text import make_printable
+from reedspar.timeline.text_rendering import make_printable
 
 from .exit_codes import ExitCode
 from .session import Session
--- a/reedspar/tool/timeline_command.py
+++ b/reedspar/tool/timeline_command.py
@@ -20,7 +20,7 @@
     render_text,
 )
 from reedspar.timeline.events import format_time
-from reedspar.timeline.picture import MAX_DRAWN_EVENTS
+from reedspar.timeline.html_rendering import DRAWN_EVENTS_MAX
 
 from .exit_codes import ExitCode
 from .fleet import ask_members
@@ -198,7 +198,7 @@
             failure = self._write_picture(self.picture, events)
             if failure:
                 return session.fail(failure)
-            drawn = min(len(events), MAX_DRAWN_EVENTS)
+            drawn = min(len(events), DRAWN_EVENTS_MAX)
             session.warn(f"{drawn} of {len(events)} events drawn in {self.picture}")
         if collected.complete_since_s:
             since = format_time(collected.complete_since_s)
