--- a/reedspar/configuration/configuration.capnp
+++ b/reedspar/configuration/configuration.capnp
@@ -12,7 +12,8 @@
   confirmedAgeMs @1 :UInt32;
   # Age of the latest confirmation by the key-value service; 4294967295 if none.
   attestations @2 :List(Attestation);
-  # Age of the latest attestation of each availability zone.
+  # The latest attestation of the sender's availability zone; of all zones if the
+  # confirmation is old or missing.
 }
 
 struct ClockProbe {
--- a/reedspar/configuration/controller.py
+++ b/reedspar/configuration/controller.py
@@ -135,9 +135,7 @@
         """Return the time in s since the key-value service confirmed the version."""
         confirmed_s = self._exchange.table.confirmed_s
         return (
-            float("inf")
-            if confirmed_s is None
-            else self._timers.now_s() - (confirmed_s)
+            float("inf") if confirmed_s is None else self._timers.now_s() - confirmed_s
         )
 
     @property
--- a/reedspar/configuration/exchange.py
+++ b/reedspar/configuration/exchange.py
@@ -14,7 +14,10 @@
 __all__ = ["ATTESTATION_DELAY_S", "FreshnessExchange"]
 
 ATTESTATION_DELAY_S = 1.5
-"""Wait after a start or a pause, for peers to send what the zone learned meanwhile."""
+"""Wait after a start or a pause before attesting.
+
+Meanwhile peers send any newer version that the zone has learned of.
+"""
 
 PUSH_FANOUT = 3
 """Peers per push of a new version, and per round of probes.
@@ -26,12 +29,16 @@
 """Periodic pushes use a larger fan-out at entries and watchers than at other agents.
 
 Agents have links to few entries, and entries to many agents.  With equal fan-outs,
-entries would receive three times the messages, mostly evidence that they had sent.
+entries would receive three times the messages, mostly with evidence that they had
+sent themselves.
 """
 CONFIRMATION_PUSH_STEP_S = 0.5
-"""Least advance of the confirmation that is pushed while evidence is recent."""
+"""Minimum advance of the confirmation time that triggers a push.
+
+It applies while the evidence is recent.
+"""
 ATTESTATION_PUSH_STEP_S = 0.9
-"""Least advance of an attestation that is pushed without a newer confirmation."""
+"""Minimum advance of the attestation time that triggers a push by itself."""
 LONG_AGO_S = -1e9
 """Stands for the time of evidence that does not exist; precedes any other time."""
 AGING_THRESHOLD_S = 2.5
--- a/reedspar/configuration/fetching.py
+++ b/reedspar/configuration/fetching.py
@@ -41,7 +41,10 @@
         self._request = None
 
     def begin_request(self, now_s: float) -> str | None:
-        """Return the peer to ask, or None while one is pending or none is newer."""
+        """Return the peer to request from now, or None.
+
+        None while a request is pending or if no peer is known to hold a newer version.
+        """
         request = self._request
         if request is not None:
             if now_s - request.sent_s < DOCUMENT_REQUEST_TIMEOUT_S:
--- a/reedspar/configuration/freshness.py
+++ b/reedspar/configuration/freshness.py
@@ -29,7 +29,7 @@
 
 
 def age_to_ms(age_s: float | None) -> int:
-    """Return an age for the wire in ms, rounded up."""
+    """Return the wire value of an age, rounded up; None stands for "never"."""
     if age_s is None:
         return NO_AGE_MS
     return min(int(max(age_s, 0.0) * 1000) + 1, NO_AGE_MS - 1)
--- a/reedspar/configuration/patching.py
+++ b/reedspar/configuration/patching.py
@@ -129,7 +129,7 @@
             continue
         # Agents order the weights of a model by sequence alone.  A smaller number,
         # or another digest under the same one, would leave some targets on the old
-        # weights permanently, seen as two digests under one label.
+        # weights permanently.  Operators would see two digests under one label.
         if model.sequence < old.sequence or (
             model.sequence == old.sequence and model.root_digest != old.root_digest
         ):
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -247,8 +247,10 @@
     """The region of each zone."""
     seed: int = 0
     loss: float = 0.0
+    """Probability that a message is lost."""
     watchers_per_zone: int = WATCHERS_PER_ZONE
     measure: Callable[[Sender, Any], int] = lambda sender, message: 0
+    """Returns the size of a message in bytes, summed up as `Node.sent_bytes`."""
     is_partitioned: Callable[[Node, Node], bool] = lambda a, b: False
     observe: Callable[[Node], None] = lambda node: None
     """Called after each message that a daemon processes, and at its timer steps."""
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -1,4 +1,8 @@
-"""Random sequences of faults: no late start of work in a zone that was taken out."""
+"""Tests of the freshness guarantee under faults.
+
+No daemon may start work in a zone long after the zone was taken out, and the version
+that a daemon holds may not revert.
+"""
 
 import random
 import unittest
@@ -15,6 +19,7 @@
 ZONES = tuple(REGIONS)
 NODES_PER_ZONE = 3
 FRESHNESS_S = 4.0
+"""Default of the `freshness_s` setting, which the simulated daemons use."""
 ZONE_PROPAGATION_S = 1.0
 """Assumed time for a version to reach all running daemons of a zone."""
 RECOVERY_S = 8.0
@@ -128,6 +133,7 @@
         self.isolated.clear()
         self.key_value.unreachable_from.clear()
         self.key_value.is_down = False
+        # A process is stopped for up to 12 s.
         self.fleet.run_for(12.0 + RECOVERY_S)
 
 
@@ -171,6 +177,7 @@
         self.simulation = FaultSimulation(seed=5)
 
     def refused(self) -> list[str]:
+        # No document takes this zone out, so work is refused only for lack of freshness.
         return [
             node.name
             for node in self.simulation.nodes
--- a/reedspar/timeline/explanation.py
+++ b/reedspar/timeline/explanation.py
@@ -2,8 +2,8 @@
 
 An explanation contains the lines that name the request, and the state that the
 processes last logged before it ended.  Clocks differ between processes, so lines of
-other processes are accepted up to `CLOCK_SKEW_MAX_S` after the end, and keep their own
-times.
+other processes are accepted up to `CLOCK_SKEW_MAX_S` after the end.  Their times are
+not adjusted.
 """
 
 from collections.abc import Iterable, Sequence
@@ -79,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestExplanation:
-    """A request's log lines, the state around it, and a summary."""
+    """A request's log lines, the state around it, and a summary.
+
+    The field names are keys in the JSON output of ``reedspar explain``.
+    """
 
     own: tuple[LogLine, ...]
     """The lines that name the request, in time order."""
@@ -96,7 +99,10 @@
     None if no line names the request.
     """
     ids = {request_id} | _find_system_ids(lines, request_id)
-    own = sorted((i for i in lines if _request_id(i) in ids), key=lambda i: i.time_s)
+    own = sorted(
+        (line for line in lines if _request_id(line) in ids),
+        key=lambda line: line.time_s,
+    )
     if not own:
         return None
     return RequestExplanation(
@@ -105,7 +111,7 @@
 
 
 def count_unlogged_requests(lines: Iterable[LogLine]) -> int:
-    """Return how many requests ended without their own line, by the summary lines."""
+    """Return the sum of the counts that summary lines give of unlogged requests."""
     counts = (line.fields.get("left_out") for line in lines)
     return sum(count for count in counts if isinstance(count, int))
 
@@ -117,7 +123,7 @@
 
 
 def _find_system_ids(lines: Iterable[LogLine], request_id: str) -> set[str]:
-    """Return the system's ids of the requests with a caller's id."""
+    """Return the system's ids of the requests that `request_id` identifies."""
     events = [event for line in lines if (event := line.event) is not None]
     chosen = EventFilter(request_id=request_id).select(events)
     return {event.request_id for event in chosen}
--- a/reedspar/timeline/log_lines.py
+++ b/reedspar/timeline/log_lines.py
@@ -1,4 +1,4 @@
-"""Parser for the JSON log lines of processes, as written by any log collector."""
+"""Parser for the JSON log lines of processes, with or without a collector's prefix."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -18,7 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One log line of one process."""
+    """One log line of one process.
+
+    The field names are keys in the JSON output of ``reedspar explain``.
+    """
 
     time_s: float
     """Wall time of the process that logged it, seconds since the Unix epoch."""
@@ -35,7 +38,7 @@
 
 
 def parse_log_line(text: str) -> LogLine | None:
-    """Return the parsed line, or None if it is not one of ours.
+    """Return the parsed line, or None if it has another format.
 
     A log collector may put its own prefix, such as a time and a name, before the
     JSON object.
--- a/reedspar/timeline/tests/test_explanation.py
+++ b/reedspar/timeline/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""Tests of explaining a request from logs."""
+"""Tests of the explanation of a request from logs."""
 
 import json
 import unittest
