--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -177,7 +177,7 @@
         self.simulation = FaultSimulation(seed=5)
 
     def refused(self) -> list[str]:
-        # No document takes this zone out, so work is refused only for lack of freshness.
+        # No document takes this zone out; only lack of freshness refuses work.
         return [
             node.name
             for node in self.simulation.nodes
