--- a/reedspar/configuration/exchange.py
+++ b/reedspar/configuration/exchange.py
@@ -14,7 +14,10 @@
 __all__ = ["ATTESTATION_DELAY_S", "FreshnessExchange"]
 
 ATTESTATION_DELAY_S = 1.5
-"""Wait after a start or a pause, for peers to send what the zone learned meanwhile."""
+"""Wait after a start or a pause before attesting.
+
+Meanwhile peers send any newer version that the zone has learned of.
+"""
 
 PUSH_FANOUT = 3
 """Peers per push of a new version, and per round of probes.
@@ -26,12 +29,16 @@
 """Periodic pushes use a larger fan-out at entries and watchers than at other agents.
 
 Agents have links to few entries, and entries to many agents.  With equal fan-outs,
-entries would receive three times the messages, mostly evidence that they had sent.
+entries would receive three times the messages, mostly with evidence that they had
+sent themselves.
 """
 CONFIRMATION_PUSH_STEP_S = 0.5
-"""Least advance of the confirmation that is pushed while evidence is recent."""
+"""Minimum advance of the confirmation time that triggers a push.
+
+It applies while the evidence is recent.
+"""
 ATTESTATION_PUSH_STEP_S = 0.9
-"""Least advance of an attestation that is pushed without a newer confirmation."""
+"""Minimum advance of the attestation time that triggers a push by itself."""
 LONG_AGO_S = -1e9
 """Stands for the time of evidence that does not exist; precedes any other time."""
 AGING_THRESHOLD_S = 2.5
@@ -55,7 +62,7 @@
         view: DaemonView,
         rng: random.Random,
         zone: str,
-        is_hub: bool,
+        is_entry: bool,
         held_version: Callable[[], int],
         handle_sender: Callable[[Sender], None],
     ) -> None:
@@ -64,7 +71,7 @@
         self._view = view
         self._rng = rng
         self._own_zone = frozenset({zone})
-        self._is_hub = is_hub
+        self._is_entry = is_entry
         self._held_version = held_version
         self._handle_sender = handle_sender
         self._clocks = PeerClocks()
@@ -81,7 +88,7 @@
         """Return the evidence held."""
         return self._table
 
-    def age_s(self) -> float:
+    def freshness_age_s(self) -> float:
         """Return the age of the evidence in s; infinite without any."""
         verified_at_s = self._table.verified_at_s(self._view.zones())
         return (
@@ -123,7 +130,7 @@
             self._pushed_confirmed_s = confirmed_s
             self._pushed_attestation_s = attested_s
             self._push_to(
-                HUB_PUSH_FANOUT if self._is_hub or is_watching else LEAF_PUSH_FANOUT
+                HUB_PUSH_FANOUT if self._is_entry or is_watching else LEAF_PUSH_FANOUT
             )
         if is_aging:
             for peer in self._choose_peers(PUSH_FANOUT):
--- a/reedspar/configuration/tests/fleet.py
+++ b/reedspar/configuration/tests/fleet.py
@@ -29,7 +29,7 @@
 __all__ = ["Fleet", "FleetKeyValue", "Node"]
 
 TIMER_STEP_S = 0.05
-BUFFERED_INPUTS_LIMIT = 2000
+BUFFERED_INPUTS_MAX = 2000
 
 
 class FleetKeyValue:
@@ -205,7 +205,7 @@
         """Process an input now, or buffer it while the process is stopped."""
         if not self.is_frozen:
             action()
-        elif len(self._buffer) < BUFFERED_INPUTS_LIMIT:
+        elif len(self._buffer) < BUFFERED_INPUTS_MAX:
             self._buffer.append(action)
 
     def thaw(self) -> None:
@@ -247,8 +247,10 @@
     """The region of each zone."""
     seed: int = 0
     loss: float = 0.0
+    """Probability that a message is lost."""
     watchers_per_zone: int = WATCHERS_PER_ZONE
     measure: Callable[[Sender, Any], int] = lambda sender, message: 0
+    """Returns the size of a message in bytes, summed up as `Node.sent_bytes`."""
     is_partitioned: Callable[[Node, Node], bool] = lambda a, b: False
     observe: Callable[[Node], None] = lambda node: None
     """Called after each message that a daemon processes, and at its timer steps."""
--- a/reedspar/configuration/tests/test_histories.py
+++ b/reedspar/configuration/tests/test_histories.py
@@ -1,4 +1,8 @@
-"""Random sequences of faults: no late start of work in a zone that was taken out."""
+"""Tests of the freshness guarantee under faults.
+
+No daemon may start work in a zone long after the zone was taken out, and the version
+that a daemon holds may not revert.
+"""
 
 import random
 import unittest
@@ -15,6 +19,7 @@
 ZONES = tuple(REGIONS)
 NODES_PER_ZONE = 3
 FRESHNESS_S = 4.0
+"""Default of the `freshness_s` setting, which the simulated daemons use."""
 ZONE_PROPAGATION_S = 1.0
 """Assumed time for a version to reach all running daemons of a zone."""
 RECOVERY_S = 8.0
@@ -110,12 +115,12 @@
                 each.name for each in self.nodes_in_zone(zone)
             }
             self.key_value.unreachable_from |= self.isolated
-        elif fault == "region_cut":
+        elif fault == "zone_pair_cut":
             self.partitioned_zone_pairs ^= {frozenset(self.rng.sample(ZONES, 2))}
         else:
-            self.isolate(node)
+            self.toggle_isolation(node)
 
-    def isolate(self, node: Node) -> None:
+    def toggle_isolation(self, node: Node) -> None:
         self.isolated ^= {node.name}
         if node.name in self.isolated:
             self.key_value.unreachable_from |= {node.name}
@@ -128,6 +133,7 @@
         self.isolated.clear()
         self.key_value.unreachable_from.clear()
         self.key_value.is_down = False
+        # A process is stopped for up to 12 s.
         self.fleet.run_for(12.0 + RECOVERY_S)
 
 
@@ -138,7 +144,7 @@
     "cold_start",
     "service_down",
     "service_cut",
-    "region_cut",
+    "zone_pair_cut",
     "isolate",
 )
 STEPS = st.lists(
@@ -171,13 +177,14 @@
         self.simulation = FaultSimulation(seed=5)
 
     def refused(self) -> list[str]:
+        # No document takes this zone out; only lack of freshness refuses work.
         return [
             node.name
             for node in self.simulation.nodes
             if node.controller.check_work_allowed("kingston-c") is not None
         ]
 
-    def test_outage_of_the_service_alone_stops_nothing(self) -> None:
+    def test_key_value_outage_alone_refuses_no_work(self) -> None:
         # The key-value service is down for ten minutes.  If freshness depended on
         # it alone, all requests would be refused although nothing has changed.
         self.simulation.key_value.is_down = True
@@ -185,7 +192,7 @@
             self.simulation.fleet.run_for(1.0)
             self.assertEqual(self.refused(), [])
 
-    def test_restarted_process_learns_from_peers_during_an_outage(self) -> None:
+    def test_restarted_process_learns_version_from_peers_in_an_outage(self) -> None:
         self.simulation.key_value.is_down = True
         self.simulation.fleet.run_for(5.0)
         for node in self.simulation.nodes:
