--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -175,7 +175,7 @@
             "Bytes of checked chunks handed to the engine.",
         ),
     ]
-    corrupt_draws: Annotated[
+    corrupt_reads: Annotated[
         Counter,
         counter(
             "chunks.corrupt",
@@ -202,7 +202,7 @@
             "change",
         ),
     ]
-    replaced_begun: Annotated[
+    begun_on_replaced_weights: Annotated[
         ObservableInstrument,
         observed_counter(
             "weights.replaced_begun",
