--- a/reedspar/tool/config_commands.py
+++ b/reedspar/tool/config_commands.py
@@ -4,10 +4,10 @@
 
 import cappa
 
-from .config_reading import Diff, History, Show
+from .config_read_commands import Diff, History, Show
 from .confirmation import Confirmed
 from .exit_codes import ExitCode
-from .patching import Patch
+from .patch_command import Patch
 from .session import Session
 
 __all__ = ["Config"]
--- a/reedspar/tool/config_reading.py
+++ b/reedspar/tool/config_read_commands.py
@@ -12,10 +12,10 @@
     change_to_json,
     compare_documents,
     format_change,
-    to_plain_document,
+    to_editable_document,
 )
 from .exit_codes import ExitCode
-from .fleet import member_url
+from .fleet_queries import member_url
 from .session import Session
 
 __all__ = ["Diff", "History", "Show", "find_version"]
@@ -51,12 +51,12 @@
         else:
             found = await find_version(session, self.version)
         if isinstance(found, Failure):
-            return session.fail(found)
+            return session.report_failure(found)
         if session.is_json:
             session.show_json(found)
             return ExitCode.OK
         session.show_line(f"version {found.version}")
-        session.show_json(to_plain_document(found))
+        session.show_json(to_editable_document(found))
         return ExitCode.OK
 
 
@@ -69,7 +69,7 @@
         """Write the records of the history."""
         found = await session.client.read_configuration()
         if isinstance(found, Failure):
-            return session.fail(found)
+            return session.report_failure(found)
         if session.is_json:
             session.show_json([r.model_dump(mode="json") for r in found.history])
             return ExitCode.OK
@@ -98,15 +98,15 @@
         """Write the differences."""
         before = await find_version(session, self.before)
         if isinstance(before, Failure):
-            return session.fail(before)
+            return session.report_failure(before)
         if self.after is None:
             after = await session.client.read_configuration()
         else:
             after = await find_version(session, self.after)
         if isinstance(after, Failure):
-            return session.fail(after)
+            return session.report_failure(after)
         changes = list(
-            compare_documents(to_plain_document(before), to_plain_document(after))
+            compare_documents(to_editable_document(before), to_editable_document(after))
         )
         if session.is_json:
             document = {
--- a/reedspar/tool/confirmation.py
+++ b/reedspar/tool/confirmation.py
@@ -10,7 +10,7 @@
 from reedspar.errors import Failure
 
 from .exit_codes import ExitCode
-from .fleet import MAX_CONCURRENT_QUERIES, member_url, read_fleet
+from .fleet_queries import CONCURRENT_QUERIES_MAX, member_url, read_fleet
 from .session import Session
 
 __all__ = ["Confirmed", "wait_until_confirmed"]
@@ -36,18 +36,18 @@
 
     async def run(self, session: Session) -> ExitCode:
         """Query all processes; list those that have not confirmed the version first."""
-        answers = await read_fleet(session.client)
-        if isinstance(answers, Failure):
-            return session.fail(answers)
+        results = await read_fleet(session.client)
+        if isinstance(results, Failure):
+            return session.report_failure(results)
         states = [
-            _classify_confirmation(answer.value, self.version) for answer in answers
+            _classify_confirmation(result.value, self.version) for result in results
         ]
-        is_whole = all(state == CONFIRMED for state in states)
+        is_confirmed_by_all = all(state == CONFIRMED for state in states)
         rows = []
-        for answer, state in zip(answers, states, strict=True):
-            member, value = answer.member, answer.value
-            known = "" if isinstance(value, Failure) else str(value.config_version)
-            rows.append([member.name, member.role.value, member.zone, known, state])
+        for result, state in zip(results, states, strict=True):
+            member, value = result.member, result.value
+            version = "" if isinstance(value, Failure) else str(value.config_version)
+            rows.append([member.name, member.role.value, member.zone, version, state])
         if session.is_json:
             names = ("name", "role", "zone", "config_version", "state")
             processes = [dict(zip(names, row, strict=True)) for row in rows]
@@ -56,7 +56,7 @@
             rows.sort(key=lambda row: row[-1] == CONFIRMED)
             session.show_table(["process", "role", "zone", "#version", "state"], rows)
             session.show_line(_count_states(states, self.version))
-        return ExitCode.OK if is_whole else ExitCode.INCOMPLETE
+        return ExitCode.OK if is_confirmed_by_all else ExitCode.INCOMPLETE
 
 
 def _count_states(states: list[str], version: int) -> str:
@@ -72,19 +72,19 @@
     """Wait until all processes confirm a version; at the timeout, name the others."""
     members = await session.client.list_members()
     if isinstance(members, Failure):
-        return session.fail(members)
-    missing = {member.name: UNREACHABLE for member in members}
-    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
+        return session.report_failure(members)
+    unconfirmed = {member.name: UNREACHABLE for member in members}
+    limiter = anyio.CapacityLimiter(CONCURRENT_QUERIES_MAX)
 
     async def poll(member: MemberStatus) -> None:
         # Each process is polled independently: a frozen one responds late or never, and
         # must not delay the others.
-        while member.name in missing:
+        while member.name in unconfirmed:
             async with limiter:
                 status = await session.client.read_status(member_url(member))
-            missing[member.name] = _classify_confirmation(status, version)
-            if missing[member.name] == CONFIRMED:
-                del missing[member.name]
+            unconfirmed[member.name] = _classify_confirmation(status, version)
+            if unconfirmed[member.name] == CONFIRMED:
+                del unconfirmed[member.name]
             else:
                 await anyio.sleep(CONFIRMATION_POLL_INTERVAL_S)
 
@@ -92,13 +92,16 @@
         async with anyio.create_task_group() as group:
             for member in members:
                 group.start_soon(poll, member)
-    if not missing:
+    if not unconfirmed:
         if not session.is_json:
             session.show_line(f"in force in all {len(members)} processes")
         return ExitCode.OK
-    names = ", ".join(f"{name} ({state})" for name, state in sorted(missing.items()))
+    names = ", ".join(
+        f"{name} ({state})" for name, state in sorted(unconfirmed.items())
+    )
     session.warn(
         f"reedspar: after {timeout_s:g} s version {version} is confirmed by "
-        f"{len(members) - len(missing)} of {len(members)} processes; not by: {names}"
+        f"{len(members) - len(unconfirmed)} of {len(members)} processes; "
+        f"not by: {names}"
     )
     return ExitCode.INCOMPLETE
--- a/reedspar/tool/differences.py
+++ b/reedspar/tool/differences.py
@@ -7,7 +7,7 @@
 
 from reedspar.configuration import ConfigurationDocument
 
-__all__ = ["Change", "compare_documents", "format_change", "to_plain_document"]
+__all__ = ["Change", "compare_documents", "format_change", "to_editable_document"]
 
 SYSTEM_KEYS = {"version", "history"}
 
@@ -28,7 +28,7 @@
     after: Any
 
 
-def to_plain_document(document: ConfigurationDocument) -> dict[str, Any]:
+def to_editable_document(document: ConfigurationDocument) -> dict[str, Any]:
     """Return the part of the document that operators can change."""
     return document.model_dump(mode="json", exclude=SYSTEM_KEYS)
 
@@ -53,10 +53,10 @@
 def format_change(change: Change) -> str:
     """Return a line that begins with + (added), - (removed) or ~ (changed)."""
     if change.before is ABSENT:
-        return f"+ {change.path}: {_show(change.after)}"
+        return f"+ {change.path}: {_to_text(change.after)}"
     if change.after is ABSENT:
-        return f"- {change.path}: {_show(change.before)}"
-    return f"~ {change.path}: {_show(change.before)} -> {_show(change.after)}"
+        return f"- {change.path}: {_to_text(change.before)}"
+    return f"~ {change.path}: {_to_text(change.before)} -> {_to_text(change.after)}"
 
 
 def change_to_json(change: Change) -> dict[str, Any]:
@@ -66,5 +66,5 @@
     return {"path": change.path, **present}
 
 
-def _show(value: Any) -> str:
+def _to_text(value: Any) -> str:
     return json.dumps(value, ensure_ascii=False, sort_keys=True)
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -47,10 +47,10 @@
         """Read the logs and write the explanation."""
         lines = read_log_lines(self.logs)
         if isinstance(lines, Failure):
-            return session.fail(lines)
+            return session.report_failure(lines)
         explanation = explain_request(lines, self.request)
         if explanation is None:
-            return session.fail(self._explain_missing_lines(lines))
+            return session.report_failure(self._explain_missing_lines(lines))
         if session.is_json:
             session.show_json(asdict(explanation))
             return ExitCode.OK
--- a/reedspar/tool/fleet_commands.py
+++ b/reedspar/tool/fleet_commands.py
@@ -12,10 +12,10 @@
 from reedspar.links.messages import Role
 
 from .exit_codes import ExitCode
-from .fleet import Answer, read_fleet
+from .fleet_queries import QueryResult, read_fleet
 from .session import Session
 
-__all__ = ["Entries", "Targets", "name_version"]
+__all__ = ["Entries", "Targets", "format_version"]
 
 SHOWN_DIGEST_LENGTH = 12
 STATE_COLUMN = 2
@@ -23,7 +23,7 @@
 RowMaker = Callable[[MemberStatus, DaemonStatus], list[str]]
 
 
-def name_version(
+def format_version(
     document: ConfigurationDocument | None, model: str, root_digest: str
 ) -> str:
     """Return the operator's label for a digest, or the start of the digest."""
@@ -49,18 +49,18 @@
 
 def show_fleet(
     session: Session,
-    answers: list[Answer[DaemonStatus]],
+    results: list[QueryResult[DaemonStatus]],
     columns: list[str],
     make_row: RowMaker,
 ) -> ExitCode:
     """Write a row per process, also for unreachable ones."""
-    lost = [answer for answer in answers if isinstance(answer.value, Failure)]
+    unreachable = [result for result in results if isinstance(result.value, Failure)]
     if session.is_json:
-        session.show_json([_to_json(answer) for answer in answers])
+        session.show_json([_to_json(result) for result in results])
     else:
         rows = []
-        for answer in answers:
-            member, value = answer.member, answer.value
+        for result in results:
+            member, value = result.member, result.value
             if isinstance(value, Failure):
                 blank = [""] * (len(columns) - 3)
                 rows.append([member.name, member.zone, "unreachable", *blank])
@@ -70,17 +70,17 @@
         states = Counter(row[STATE_COLUMN] for row in rows)
         counts = ", ".join(f"{n} {state}" for state, n in sorted(states.items()))
         session.show_line(f"{len(rows)} in all: {counts}")
-        for answer in lost:
-            session.warn(f"reedspar: {answer.value}")
-    return ExitCode.INCOMPLETE if lost else ExitCode.OK
+        for result in unreachable:
+            session.warn(f"reedspar: {result.value}")
+    return ExitCode.INCOMPLETE if unreachable else ExitCode.OK
 
 
-def _to_json(answer: Answer[DaemonStatus]) -> dict[str, object]:
-    document: dict[str, object] = {"member": answer.member.model_dump(mode="json")}
-    if isinstance(answer.value, Failure):
-        document["error"] = str(answer.value)
+def _to_json(result: QueryResult[DaemonStatus]) -> dict[str, object]:
+    document: dict[str, object] = {"member": result.member.model_dump(mode="json")}
+    if isinstance(result.value, Failure):
+        document["error"] = str(result.value)
     else:
-        document["status"] = answer.value.model_dump(mode="json")
+        document["status"] = result.value.model_dump(mode="json")
     return document
 
 
@@ -91,9 +91,9 @@
 
     async def run(self, session: Session) -> ExitCode:
         """Query all agents."""
-        answers = await read_fleet(session.client, Role.AGENT)
-        if isinstance(answers, Failure):
-            return session.fail(answers)
+        results = await read_fleet(session.client, Role.AGENT)
+        if isinstance(results, Failure):
+            return session.report_failure(results)
         found = await session.client.read_configuration()
         document = None if isinstance(found, Failure) else found
 
@@ -102,7 +102,7 @@
             if agent is None:
                 return [member.name, member.zone, describe_state(status), *[""] * 5]
             offered = [
-                f"{model}={name_version(document, model, digest)}"
+                f"{model}={format_version(document, model, digest)}"
                 for model, digest in sorted(agent.offered.items())
             ]
             return [
@@ -118,7 +118,7 @@
 
         columns = ["target", "zone", "state", "pool", "offered"]
         columns += ["#load", "#queued", "#config"]
-        return show_fleet(session, answers, columns, make_row)
+        return show_fleet(session, results, columns, make_row)
 
 
 @cappa.command(name="entries")
@@ -128,12 +128,12 @@
 
     async def run(self, session: Session) -> ExitCode:
         """Query all entries."""
-        answers = await read_fleet(session.client, Role.ENTRY)
-        if isinstance(answers, Failure):
-            return session.fail(answers)
+        results = await read_fleet(session.client, Role.ENTRY)
+        if isinstance(results, Failure):
+            return session.report_failure(results)
         columns = ["entry", "zone", "state", "#config", "#confirmed"]
         columns += ["#links", "#targets", "#in flight"]
-        return show_fleet(session, answers, columns, _make_entry_row)
+        return show_fleet(session, results, columns, _make_entry_row)
 
 
 def _make_entry_row(member: MemberStatus, status: DaemonStatus) -> list[str]:
--- a/reedspar/tool/fleet.py
+++ b/reedspar/tool/fleet_queries.py
@@ -11,22 +11,22 @@
 from reedspar.links.messages import Role
 
 __all__ = [
-    "MAX_CONCURRENT_QUERIES",
-    "Answer",
-    "ask_members",
+    "CONCURRENT_QUERIES_MAX",
+    "QueryResult",
     "member_url",
+    "query_members",
     "read_fleet",
     "select_role",
 ]
 
-MAX_CONCURRENT_QUERIES = 64
+CONCURRENT_QUERIES_MAX = 64
 
 ValueT = TypeVar("ValueT")
 
 
 @dataclass(frozen=True, slots=True)
-class Answer(Generic[ValueT]):
-    """The answer of a daemon, or the failure of the query."""
+class QueryResult(Generic[ValueT]):
+    """A daemon's response, or the failure of the query."""
 
     member: MemberStatus
     value: ValueT | Failure
@@ -42,30 +42,30 @@
     return sorted((m for m in members if m.role is role), key=lambda m: m.name)
 
 
-async def ask_members(
+async def query_members(
     members: Iterable[MemberStatus],
-    ask: Callable[[str], Awaitable[ValueT | Failure]],
-) -> list[Answer[ValueT]]:
-    """Call `ask` with the URL of each daemon, with limited concurrency."""
-    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
-    answers: list[Answer[ValueT]] = []
+    query: Callable[[str], Awaitable[ValueT | Failure]],
+) -> list[QueryResult[ValueT]]:
+    """Call `query` with the URL of each daemon, with limited concurrency."""
+    limiter = anyio.CapacityLimiter(CONCURRENT_QUERIES_MAX)
+    results: list[QueryResult[ValueT]] = []
 
     async def run(member: MemberStatus) -> None:
         async with limiter:
-            answers.append(Answer(member, await ask(member_url(member))))
+            results.append(QueryResult(member, await query(member_url(member))))
 
     async with anyio.create_task_group() as group:
         for member in members:
             group.start_soon(run, member)
-    return sorted(answers, key=lambda answer: answer.member.name)
+    return sorted(results, key=lambda result: result.member.name)
 
 
 async def read_fleet(
     client: AdminClient, role: Role | None = None
-) -> list[Answer[DaemonStatus]] | Failure:
+) -> list[QueryResult[DaemonStatus]] | Failure:
     """Return the state of all daemons, or of those with a role."""
     members = await client.list_members()
     if isinstance(members, Failure):
         return members
     chosen = members if role is None else select_role(members, role)
-    return await ask_members(chosen, client.read_status)
+    return await query_members(chosen, client.read_status)
--- a/reedspar/tool/patching.py
+++ b/reedspar/tool/patch_command.py
@@ -12,12 +12,12 @@
 from reedspar.configuration.patching import merge_patch
 from reedspar.errors import Failure, Reason, Step
 
-from .config_reading import find_version
+from .config_read_commands import find_version
 from .confirmation import wait_until_confirmed
 from .differences import (
     compare_documents,
     format_change,
-    to_plain_document,
+    to_editable_document,
 )
 from .exit_codes import ExitCode
 from .patch_input import create_patch_id, read_patch
@@ -69,20 +69,24 @@
         """Show the differences and send the patch."""
         patch = read_patch(self.file, self.assignments)
         if isinstance(patch, Failure):
-            session.fail(patch)
+            session.report_failure(patch)
             return ExitCode.USAGE
         base = await find_version(session, self.base)
         if not isinstance(base, Failure) and not session.is_json:
-            before = to_plain_document(base)
+            before = to_editable_document(base)
             for change in compare_documents(before, merge_patch(before, patch)):
                 session.show_line(format_change(change))
         if self.dry_run:
-            return session.fail(base) if isinstance(base, Failure) else ExitCode.OK
+            return (
+                session.report_failure(base)
+                if isinstance(base, Failure)
+                else ExitCode.OK
+            )
         request = build_request(
             self.base, patch, self.author, self.summary, self.patch_id
         )
         if isinstance(request, Failure):
-            session.fail(request)
+            session.report_failure(request)
             return ExitCode.USAGE
         return await send_patch(session, request, self.wait)
 
@@ -119,7 +123,7 @@
         if wait_s > 0:
             return await wait_until_confirmed(session, result.version, wait_s)
         return ExitCode.OK
-    code = session.fail_patch(result)
+    code = session.report_refusal(result)
     if result.reason is Reason.CONFLICT and not session.is_json:
         await _show_newer_changes(session, request.base_version)
     if result.reason is Reason.OUTCOME_UNKNOWN and not session.is_json:
@@ -152,6 +156,6 @@
     if isinstance(base, Failure):
         return
     for change in compare_documents(
-        to_plain_document(base), to_plain_document(current)
+        to_editable_document(base), to_editable_document(current)
     ):
         session.warn("  " + format_change(change))
--- a/reedspar/tool/patch_input.py
+++ b/reedspar/tool/patch_input.py
@@ -32,13 +32,13 @@
         if isinstance(parsed, Failure):
             return parsed
         keys, value = parsed
-        below = patch
+        parent = patch
         for key in keys[:-1]:
-            step = below.setdefault(key, {})
-            if not isinstance(step, dict):
+            child = parent.setdefault(key, {})
+            if not isinstance(child, dict):
                 return _invalid(f"{assignment}: {key} has a value already")
-            below = step
-        below[keys[-1]] = value
+            parent = child
+        parent[keys[-1]] = value
     return patch or _invalid("the patch changes nothing; give --file or --set")
 
 
--- a/reedspar/tool/current_patch.py
+++ b/reedspar/tool/patch_retry.py
@@ -14,12 +14,12 @@
 from reedspar.errors import Failure, Reason
 
 from .exit_codes import ExitCode
-from .patching import build_request
+from .patch_command import build_request
 from .session import Session
 
-__all__ = ["MakePatch", "PatchResult", "patch_current"]
+__all__ = ["MakePatch", "PatchResult", "patch_current_document"]
 
-MAX_PATCH_ATTEMPTS = 5
+PATCH_ATTEMPTS_MAX = 5
 
 MakePatch = Callable[[ConfigurationDocument], dict[str, Any] | Failure | None]
 """Returns the patch, None if no change is needed, or a failure that prevents one."""
@@ -35,32 +35,32 @@
     """None if no change was needed."""
 
 
-async def patch_current(
+async def patch_current_document(
     session: Session, make_patch: MakePatch, summary: str, base: int | None = None
 ) -> PatchResult | ExitCode:
     """Patch the current document; on failure, report it and return the exit code.
 
     With `base`, the patch is based on that version, and a conflict is not retried.
     """
-    for attempt in range(MAX_PATCH_ATTEMPTS):
+    for attempt in range(PATCH_ATTEMPTS_MAX):
         document = await session.client.read_configuration()
         if isinstance(document, Failure):
-            return session.fail(document)
+            return session.report_failure(document)
         patch = make_patch(document)
         if isinstance(patch, Failure):
-            return session.fail(patch)
+            return session.report_failure(patch)
         if patch is None and base in (None, document.version):
             return PatchResult(document.version, document, None)
-        number = document.version if base is None else base
-        request = build_request(number, patch or {}, "", summary)
+        base_version = document.version if base is None else base
+        request = build_request(base_version, patch or {}, "", summary)
         if isinstance(request, Failure):
-            return session.fail(request)
+            return session.report_failure(request)
         result = await session.client.apply_patch(request)
         if isinstance(result, PatchAccepted):
             return PatchResult(result.version, document, request.patch_id)
         is_conflict = result.reason is Reason.CONFLICT and base is None
-        if not is_conflict or attempt == MAX_PATCH_ATTEMPTS - 1:
-            code = session.fail_patch(result)
+        if not is_conflict or attempt == PATCH_ATTEMPTS_MAX - 1:
+            code = session.report_refusal(result)
             if result.reason is Reason.OUTCOME_UNKNOWN:
                 session.warn("  it may or may not be in force; run the command again")
             return code
--- a/reedspar/tool/publish_command.py
+++ b/reedspar/tool/publish_command.py
@@ -12,16 +12,16 @@
 from reedspar.platform import create_http_weight_source
 from reedspar.weights import Publication, WeightSink, publish_weights
 
-from .current_patch import patch_current
 from .exit_codes import ExitCode
+from .patch_retry import patch_current_document
 from .session import Session
 
-__all__ = ["Publish", "UploadSink", "upload"]
+__all__ = ["ProgressSink", "Publish", "upload"]
 
 UPLOAD_TIMEOUT_S = 60.0
 
 
-class UploadSink:
+class ProgressSink:
     """A `WeightSink` that displays the progress of the upload."""
 
     def __init__(self, store: WeightSink, progress: Progress, size_bytes: int) -> None:
@@ -64,7 +64,7 @@
         transient=True,
     )
     with progress:
-        sink = UploadSink(store, progress, size_bytes)
+        sink = ProgressSink(store, progress, size_bytes)
         return await publish_weights(sink, model, label, sequence, file)
 
 
@@ -94,7 +94,7 @@
         """Upload, then patch the configuration."""
         document = await session.client.read_configuration()
         if isinstance(document, Failure):
-            return session.fail(document)
+            return session.report_failure(document)
         if not any(self.model in pool.models for pool in document.pools.values()):
             session.warn(f"reedspar: note: no pool serves {self.model} yet")
         current = document.models.get(self.model)
@@ -104,12 +104,14 @@
             session, store, self.model, self.label, sequence, self.file
         )
         if isinstance(published, Failure):
-            return session.fail(published)
+            return session.report_failure(published)
         if not session.is_json:
             _show_publication(session, published)
-        return await self._put_in_force(session, published.version)
+        return await self._patch_configuration(session, published.version)
 
-    async def _put_in_force(self, session: Session, version: ModelVersion) -> ExitCode:
+    async def _patch_configuration(
+        self, session: Session, version: ModelVersion
+    ) -> ExitCode:
         """Patch the configuration; unrelated concurrent patches are no conflict."""
 
         def make_patch(
@@ -127,7 +129,7 @@
             return {"models": {self.model: version.model_dump(mode="json")}}
 
         summary = f"publish {self.model} {self.label}"
-        result = await patch_current(session, make_patch, summary)
+        result = await patch_current_document(session, make_patch, summary)
         if isinstance(result, ExitCode):
             return result
         if session.is_json:
--- a/reedspar/tool/session.py
+++ b/reedspar/tool/session.py
@@ -15,13 +15,13 @@
 
 from .exit_codes import ExitCode, exit_code_for
 
-__all__ = ["Command", "Session", "create_session", "plain"]
+__all__ = ["Command", "Session", "create_session", "to_json_value"]
 
 UNWRAPPED_WIDTH = 1000
 """Width of output to a pipe or file, wide enough for any row."""
 
 
-def plain(value: Any) -> Any:
+def to_json_value(value: Any) -> Any:
     """Convert a model to types that `json` can write."""
     return value.model_dump(mode="json") if isinstance(value, BaseModel) else value
 
@@ -37,7 +37,7 @@
 
     def show_json(self, document: Any) -> None:
         """Write one JSON document."""
-        text = json.dumps(plain(document), indent=2, default=plain)
+        text = json.dumps(to_json_value(document), indent=2, default=to_json_value)
         self.output.file.write(text + "\n")
 
     def show_line(self, text: str) -> None:
@@ -74,7 +74,7 @@
         """Write a line to standard error."""
         self.errors.file.write(text + "\n")
 
-    def fail(self, failure: Failure) -> ExitCode:
+    def report_failure(self, failure: Failure) -> ExitCode:
         """Report a failure with step and peer, and return its exit code."""
         if self.is_json:
             document = {
@@ -88,13 +88,13 @@
             self.warn(f"reedspar: {failure}")
         return exit_code_for(failure.reason)
 
-    def fail_patch(self, refused: PatchRefused) -> ExitCode:
+    def report_refusal(self, refused: PatchRefused) -> ExitCode:
         """Report why a patch was not accepted, and return the exit code."""
         if self.is_json:
             self.warn(json.dumps({"error": refused.model_dump(mode="json")}))
             return exit_code_for(refused.reason)
         failure = Failure(refused.reason, refused.step, refused.peer, refused.detail)
-        self.fail(failure)
+        self.report_failure(failure)
         for error in refused.errors:
             self.warn(f"  {error.path}: {error.message}")
         if refused.current_version is not None:
--- a/reedspar/tool/tests/fleet.py
+++ b/reedspar/tool/tests/fake_fleet.py
@@ -35,7 +35,7 @@
         await anyio.sleep_forever()
 
 
-class LostAnswerTransport(httpx.AsyncBaseTransport):
+class LostResponseTransport(httpx.AsyncBaseTransport):
     """Forward requests, and lose the responses to the first patches."""
 
     def __init__(self, inner: httpx.AsyncBaseTransport, lost: int) -> None:
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class Outcome:
+class RunResult:
     """Exit code and output of a run of the tool."""
 
     code: int
@@ -96,7 +96,7 @@
     def make_unreachable(self, address: str) -> None:
         self.transports[address] = UnreachableTransport()
 
-    def run_tool(self, *arguments: str, entry: str = ENTRY) -> Outcome:
+    def run_tool(self, *arguments: str, entry: str = ENTRY) -> RunResult:
         tool = cappa.parse(COMMAND, argv=[*arguments, "--entry", entry])
         output, errors = io.StringIO(), io.StringIO()
 
@@ -109,4 +109,4 @@
                 return await tool.command.run(session)
 
         code = anyio.run(run)
-        return Outcome(code, output.getvalue(), errors.getvalue())
+        return RunResult(code, output.getvalue(), errors.getvalue())
--- a/reedspar/tool/tests/test_config.py
+++ b/reedspar/tool/tests/test_config.py
@@ -5,7 +5,7 @@
 
 from reedspar.tool.exit_codes import ExitCode
 
-from .fleet import ENTRY, FleetTest, FrozenTransport, LostAnswerTransport
+from .fake_fleet import ENTRY, FleetTest, FrozenTransport, LostResponseTransport
 
 OUT = "zones.kingston-a=out"
 
@@ -37,7 +37,7 @@
         # reported an unknown outcome, the operator would retry by hand, get a stale
         # version, and not know whose change it was.
         inner = self.transports[ENTRY]
-        self.transports[ENTRY] = LostAnswerTransport(inner, lost=2)
+        self.transports[ENTRY] = LostResponseTransport(inner, lost=2)
         run = self.run_tool("config", "patch", "--base", "4", "--set", OUT)
         self.assertEqual(run.code, ExitCode.OK)
         self.assertIn("accepted as version 5", run.output)
@@ -192,18 +192,18 @@
         strict = self.run_tool("zone", "out", "kingston-a", "--base", "3")
         self.assertEqual(strict.code, ExitCode.STALE)
         inner = self.configuration.apply_patch
-        raced = []
+        earlier_requests = []
 
-        async def lose_the_first_race(request):
-            if not raced:
-                raced.append(request)
+        async def accept_another_patch_first(request):
+            if not earlier_requests:
+                earlier_requests.append(request)
                 other = request.model_copy(
                     update={"patch_id": "other-0001", "patch": {"zones": {"z": "out"}}}
                 )
                 await inner(other)
             return await inner(request)
 
-        self.configuration.apply_patch = lose_the_first_race
+        self.configuration.apply_patch = accept_another_patch_first
         run = self.run_tool("zone", "out", "kingston-a")
         self.assertEqual(run.code, ExitCode.OK)
         self.assertIn("accepted as version 6", run.output)
--- a/reedspar/tool/tests/test_fleet.py
+++ b/reedspar/tool/tests/test_fleet.py
@@ -26,7 +26,7 @@
 from reedspar.tool.session import create_session
 from reedspar.tool.watch_command import TargetProgress, render_progress
 
-from .fleet import POOLS, FleetTest
+from .fake_fleet import POOLS, FleetTest
 
 NEW_DIGEST, OLD_DIGEST = "ab" * 32, "cd" * 32
 
@@ -88,8 +88,8 @@
         self.assertEqual(run.code, ExitCode.OK)
         self.assertIn("0.2 s", run.output.splitlines()[1])
 
-    def test_watch_ends_when_all_targets_offer(self) -> None:
-        moving = TransferStatus(
+    def test_watch_ends_when_all_targets_offer_the_version(self) -> None:
+        transfer = TransferStatus(
             model="drafter",
             root_digest=NEW_DIGEST,
             phase="fetching",
@@ -97,7 +97,7 @@
             bytes_total=1000,
         )
         self.set_agent(2, NEW_DIGEST)
-        self.set_agent(3, OLD_DIGEST, moving)
+        self.set_agent(3, OLD_DIGEST, transfer)
         run = self.run_tool("watch", "drafter", "--until", "0", "--json")
         self.assertEqual(run.code, ExitCode.INCOMPLETE)
         shares = {t["target"]: t["share"] for t in run.json["targets"]}
@@ -121,7 +121,7 @@
         self.assertEqual(len(run.output.splitlines()), 4)
         self.assertIn("missing from the time line: agent-2", run.errors)
 
-    def test_overflown_rings_are_reported_as_a_note_not_a_gap(self) -> None:
+    def test_overflowed_rings_are_reported_as_a_note_not_a_gap(self) -> None:
         # The rings of busy processes are always full.  If dropped events counted as
         # missing, each time line would end with a line per process of the fleet, and
         # the exit code of an incomplete time line would be meaningless.
--- a/reedspar/tool/tests/test_publish.py
+++ b/reedspar/tool/tests/test_publish.py
@@ -11,7 +11,7 @@
 from reedspar.tool.exit_codes import ExitCode
 from reedspar.weights import decode_manifest
 
-from .fleet import FleetTest
+from .fake_fleet import FleetTest
 
 
 class FakeOrigin:
@@ -86,11 +86,11 @@
         version = self.configuration.read_document().models["drafter"]
         self.assertEqual((version.label, version.sequence), ("april", 2))
 
-    def change_while_uploading(self, patch: dict) -> None:
+    def patch_during_upload(self, patch: dict) -> None:
         """Apply another operator's patch during the next upload."""
         put = self.origin.put
 
-        async def put_and_race(name, data):
+        async def put_and_patch(name, data):
             if patch:
                 request = PatchRequest(
                     base_version=4, patch_id="other-0001", patch=dict(patch)
@@ -99,12 +99,12 @@
                 await self.configuration.apply_patch(request)
             return await put(name, data)
 
-        self.origin.put = put_and_race
+        self.origin.put = put_and_patch
 
     def test_unrelated_patch_during_the_upload_is_no_conflict(self) -> None:
         # An upload takes minutes.  It must not be refused as stale at its end because a
         # zone was taken out meanwhile, since it would have to be repeated.
-        self.change_while_uploading({"zones": {"kingston-a": "out"}})
+        self.patch_during_upload({"zones": {"kingston-a": "out"}})
         run = self.publish("march")
         self.assertEqual(run.code, ExitCode.OK)
         document = self.configuration.read_document()
@@ -123,7 +123,7 @@
             "root_digest": "cd" * 32,
             "size_bytes": 1,
         }
-        self.change_while_uploading({"models": {"drafter": other}})
+        self.patch_during_upload({"models": {"drafter": other}})
         run = self.publish("march")
         self.assertEqual(run.code, ExitCode.STALE)
         self.assertIn("drafter hotfix was published meanwhile", run.errors)
--- a/reedspar/tool/timeline_command.py
+++ b/reedspar/tool/timeline_command.py
@@ -23,10 +23,10 @@
 from reedspar.timeline.picture import MAX_DRAWN_EVENTS
 
 from .exit_codes import ExitCode
-from .fleet import ask_members
+from .fleet_queries import query_members
 from .session import Session
 
-__all__ = ["Timeline", "read_logs"]
+__all__ = ["Timeline", "read_log_events"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """Time before which at least one process no longer has all its events."""
 
 
-def read_logs(files: Iterable[Path]) -> CollectedEvents | Failure:
+def read_log_events(files: Iterable[Path]) -> CollectedEvents | Failure:
     """Return the events in JSON-line logs; other lines are ignored."""
     lines = read_log_lines(files)
     if isinstance(lines, Failure):
@@ -48,7 +48,7 @@
     return CollectedEvents(tuple(event for event in events if event is not None))
 
 
-async def read_process(
+async def read_process_events(
     client: AdminClient, url: str, parameters: dict[str, str]
 ) -> CollectedEvents | Failure:
     """Return all events that a daemon still has, read page by page."""
@@ -70,7 +70,7 @@
         after = page.next_after
 
 
-async def collect_events(
+async def query_processes(
     client: AdminClient, event_filter: EventFilter
 ) -> CollectedEvents | Failure:
     """Return the matching events of all processes that respond."""
@@ -83,19 +83,19 @@
         "version": event_filter.version,
     }
     parameters = {name: value for name, value in query.items() if value}
-    answers = await ask_members(
-        members, lambda url: read_process(client, url, parameters)
+    results = await query_members(
+        members, lambda url: read_process_events(client, url, parameters)
     )
     events: list[Event] = []
     gaps: list[str] = []
     complete_since_s = 0.0
-    for answer in answers:
-        if isinstance(answer.value, Failure):
-            gaps.append(f"{answer.member.name}: {answer.value}")
+    for result in results:
+        if isinstance(result.value, Failure):
+            gaps.append(f"{result.member.name}: {result.value}")
         else:
-            events += answer.value.events
-            gaps += answer.value.gaps
-            complete_since_s = max(complete_since_s, answer.value.complete_since_s)
+            events += result.value.events
+            gaps += result.value.gaps
+            complete_since_s = max(complete_since_s, result.value.complete_since_s)
     return CollectedEvents(tuple(events), tuple(gaps), complete_since_s)
 
 
@@ -107,7 +107,7 @@
     return {event.request_id for event in matching} - {event_filter.request_id}
 
 
-async def collect_all(
+async def collect_related_events(
     client: AdminClient, event_filter: EventFilter
 ) -> CollectedEvents | Failure:
     """Return the matching events; a caller's id matches all requests that have it.
@@ -115,12 +115,14 @@
     Only the entry's first event of a request contains the caller's id, so the other
     events are queried by the system's id in that event.
     """
-    collected = await collect_events(client, event_filter)
+    collected = await query_processes(client, event_filter)
     if isinstance(collected, Failure):
         return collected
     events, gaps = list(collected.events), list(collected.gaps)
     for system_id in sorted(find_system_ids(events, event_filter)):
-        more = await collect_events(client, replace(event_filter, request_id=system_id))
+        more = await query_processes(
+            client, replace(event_filter, request_id=system_id)
+        )
         if isinstance(more, Failure):
             return more
         events += more.events
@@ -183,11 +185,11 @@
         """Collect, merge and write the events."""
         event_filter = EventFilter(self.request, self.target, self.version)
         if self.from_logs:
-            collected = read_logs(self.from_logs)
+            collected = read_log_events(self.from_logs)
         else:
-            collected = await collect_all(session.client, event_filter)
+            collected = await collect_related_events(session.client, event_filter)
         if isinstance(collected, Failure):
-            return session.fail(collected)
+            return session.report_failure(collected)
         events = select_events(merge_events(collected.events), event_filter)
         if self.last > 0 and events:
             newest_s = max(event.time_s for event in events)
@@ -197,7 +199,7 @@
         else:
             failure = self._write_picture(self.picture, events)
             if failure:
-                return session.fail(failure)
+                return session.report_failure(failure)
             drawn = min(len(events), MAX_DRAWN_EVENTS)
             session.warn(f"{drawn} of {len(events)} events drawn in {self.picture}")
         if collected.complete_since_s:
--- a/reedspar/tool/watch_command.py
+++ b/reedspar/tool/watch_command.py
@@ -18,12 +18,12 @@
 from reedspar.links.messages import Role
 
 from .exit_codes import ExitCode
-from .fleet import Answer, read_fleet
+from .fleet_queries import QueryResult, read_fleet
 from .session import Session
 
 __all__ = ["TargetProgress", "Watch", "read_progress"]
 
-MAX_TARGET_ROWS = 30
+TARGET_ROWS_MAX = 30
 BAR_WIDTH = 20
 OFFERED = "offered"
 
@@ -48,7 +48,7 @@
 
 
 def read_progress(
-    answers: Iterable[Answer[DaemonStatus]],
+    results: Iterable[QueryResult[DaemonStatus]],
     document: ConfigurationDocument,
     model: str,
 ) -> list[TargetProgress]:
@@ -56,8 +56,8 @@
     version = document.models[model]
     pools = {n for n, pool in document.pools.items() if model in pool.models}
     found = []
-    for answer in answers:
-        member, status = answer.member, answer.value
+    for result in results:
+        member, status = result.member, result.value
         if isinstance(status, Failure):
             if member.pool in pools:
                 found.append(
@@ -67,7 +67,7 @@
                 )
         elif status.agent and status.agent.pool in pools:
             found.append(
-                _read_target(
+                _read_target_progress(
                     member.name,
                     member.zone,
                     status.agent,
@@ -79,7 +79,7 @@
     return found
 
 
-def _read_target(
+def _read_target_progress(
     target: str,
     zone: str,
     agent: AgentStatus,
@@ -116,7 +116,7 @@
 
 def render_progress(progress: list[TargetProgress], heading: str) -> Table:
     """Return a table with a progress bar per target, or per zone in a large fleet."""
-    rows = progress if len(progress) <= MAX_TARGET_ROWS else group_by_zone(progress)
+    rows = progress if len(progress) <= TARGET_ROWS_MAX else group_by_zone(progress)
     table = Table(box=None, pad_edge=False, padding=(0, 2, 0, 0), title=heading)
     table.title_justify = "left"
     for name in ("TARGET", "ZONE", "PROGRESS"):
@@ -179,15 +179,17 @@
         while True:
             progress = await self._read_progress(session)
             if isinstance(progress, Failure):
-                return session.fail(progress)
-            is_done = all(target.phase == OFFERED for target in progress)
-            is_finished = is_done or anyio.current_time() + self.interval > deadline_s
+                return session.report_failure(progress)
+            is_offered_by_all = all(target.phase == OFFERED for target in progress)
+            is_last_poll = (
+                is_offered_by_all or anyio.current_time() + self.interval > deadline_s
+            )
             if live is not None:
                 live.update(render_progress(progress, self.model), refresh=True)
             elif lines is not None and not session.is_json:
                 lines.show(progress)
-            if is_finished:
-                return self._finish(session, progress, is_done)
+            if is_last_poll:
+                return self._finish(session, progress, is_offered_by_all)
             await anyio.sleep(self.interval)
 
     async def _read_progress(self, session: Session) -> list[TargetProgress] | Failure:
@@ -197,17 +199,17 @@
         if self.model not in document.models:
             detail = f"no version of {self.model} was published"
             return Failure(Reason.NOT_FOUND, Step.CONFIGURE, detail=detail)
-        answers = await read_fleet(session.client, Role.AGENT)
-        if isinstance(answers, Failure):
-            return answers
-        progress = read_progress(answers, document, self.model)
+        results = await read_fleet(session.client, Role.AGENT)
+        if isinstance(results, Failure):
+            return results
+        progress = read_progress(results, document, self.model)
         if not progress:
             detail = f"no target's pool serves {self.model}"
             return Failure(Reason.NOT_FOUND, Step.OFFER, detail=detail)
         return progress
 
     def _finish(
-        self, session: Session, progress: list[TargetProgress], is_done: bool
+        self, session: Session, progress: list[TargetProgress], is_offered_by_all: bool
     ) -> ExitCode:
         done = sum(target.phase == OFFERED for target in progress)
         if session.is_json:
@@ -224,4 +226,4 @@
             session.show_json({"model": self.model, "targets": targets})
         else:
             session.show_line(f"{done} of {len(progress)} targets offer {self.model}")
-        return ExitCode.OK if is_done else ExitCode.INCOMPLETE
+        return ExitCode.OK if is_offered_by_all else ExitCode.INCOMPLETE
--- a/reedspar/tool/zone_commands.py
+++ b/reedspar/tool/zone_commands.py
@@ -18,8 +18,8 @@
 from reedspar.links.messages import Role
 
 from .confirmation import wait_until_confirmed
-from .current_patch import PatchResult, patch_current
 from .exit_codes import ExitCode
+from .patch_retry import PatchResult, patch_current_document
 from .session import Session
 
 __all__ = ["Zone", "check_zone_change", "count_remaining_targets"]
@@ -72,7 +72,7 @@
     """Patch the zone's state, and wait until all processes confirm it."""
     members = await session.client.list_members()
     if isinstance(members, Failure):
-        return session.fail(members)
+        return session.report_failure(members)
     zone = change.zone
 
     def make_patch(document: ConfigurationDocument) -> dict[str, Any] | Failure | None:
@@ -84,7 +84,7 @@
         return {"zones": {zone: state.value}}
 
     summary = f"zone {state.value} {zone}"
-    result = await patch_current(session, make_patch, summary, change.base)
+    result = await patch_current_document(session, make_patch, summary, change.base)
     if isinstance(result, ExitCode):
         return result
     _show_change(session, result, zone, state)
