--- a/reedspar/admin/app.py
+++ b/reedspar/admin/app.py
@@ -20,7 +20,7 @@
 
 from .models import (
     ErrorBody,
-    EventsPage,
+    EventPageBody,
     MemberList,
     PatchAccepted,
     PatchError,
@@ -31,8 +31,8 @@
 
 __all__ = ["create_admin_app"]
 
-MAX_PATCH_BODY_BYTES = 1024 * 1024
-MAX_EVENTS_PER_PAGE = 2000
+PATCH_BODY_MAX_BYTES = 1024 * 1024
+EVENTS_PER_PAGE_MAX = 2000
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 STATUS_BY_REASON = {
     Reason.CONFLICT: 409,
@@ -94,8 +94,8 @@
     body = bytearray()
     async for part in request.stream():
         body += part
-        if len(body) > MAX_PATCH_BODY_BYTES:
-            detail = f"the body is larger than {MAX_PATCH_BODY_BYTES} bytes"
+        if len(body) > PATCH_BODY_MAX_BYTES:
+            detail = f"the body is larger than {PATCH_BODY_MAX_BYTES} bytes"
             return PatchRefused(reason=Reason.INVALID, step=Step.BOUND, detail=detail)
     try:
         return PatchRequest.model_validate(json.loads(bytes(body)))
@@ -176,7 +176,7 @@
     async def get_events(self, request: Request) -> Response:
         """Return events after a sequence number that match the filters."""
         after = _read_number(request, "after", 0)
-        limit = _read_number(request, "limit", MAX_EVENTS_PER_PAGE)
+        limit = _read_number(request, "limit", EVENTS_PER_PAGE_MAX)
         if isinstance(after, Failure):
             return _create_failure_response(after)
         if isinstance(limit, Failure):
@@ -188,10 +188,10 @@
             parameters.get("target", ""),
             parameters.get("version", ""),
         )
-        limit = max(1, min(limit, MAX_EVENTS_PER_PAGE))
+        limit = max(1, min(limit, EVENTS_PER_PAGE_MAX))
         page = select_events(recorder, event_filter, after, limit)
         return _create_response(
-            EventsPage(
+            EventPageBody(
                 process=recorder.process,
                 incarnation=recorder.incarnation,
                 next_after=page.next_after,
--- a/reedspar/admin/client.py
+++ b/reedspar/admin/client.py
@@ -18,7 +18,7 @@
 from .models import (
     DaemonStatus,
     ErrorBody,
-    EventsPage,
+    EventPageBody,
     MemberList,
     MemberStatus,
     PatchAccepted,
@@ -29,7 +29,7 @@
 __all__ = ["AdminClient", "create_admin_client"]
 
 RESPONSE_TIMEOUT_S = 3.0
-MAX_PATCH_ATTEMPTS = 6
+SEND_ATTEMPTS_MAX = 6
 PATCH_RETRY_DELAY_S = 0.5
 UNSENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 RETRIED_REASONS = frozenset(
@@ -60,10 +60,10 @@
 
     async def read_events(
         self, url: str, after: int, parameters: dict[str, str]
-    ) -> EventsPage | Failure:
+    ) -> EventPageBody | Failure:
         """Return a page of events of the daemon at `url`."""
         query = {"after": str(after), **parameters}
-        return await self._get_from(url, "/admin/events", EventsPage, query)
+        return await self._get_from(url, "/admin/events", EventPageBody, query)
 
     async def list_members(self) -> tuple[MemberStatus, ...] | Failure:
         """Return the daemons known to the first reachable one."""
@@ -91,7 +91,7 @@
         """Apply a patch; return OUTCOME_UNKNOWN only if retries did not resolve it."""
         unknown_outcome: PatchRefused | None = None
         result: PatchAccepted | PatchRefused = _refuse_without_address()
-        for i in range(MAX_PATCH_ATTEMPTS if self._urls else 0):
+        for i in range(SEND_ATTEMPTS_MAX if self._urls else 0):
             if i >= len(self._urls) or unknown_outcome:
                 await self._sleep(PATCH_RETRY_DELAY_S)
             result = await self._post_patch(self._urls[i % len(self._urls)], request)
--- a/reedspar/admin/models.py
+++ b/reedspar/admin/models.py
@@ -12,7 +12,7 @@
     "DaemonStatus",
     "EntryStatus",
     "ErrorBody",
-    "EventsPage",
+    "EventPageBody",
     "LinkStatus",
     "MemberList",
     "MemberStatus",
@@ -180,7 +180,7 @@
         )
 
 
-class EventsPage(Body):
+class EventPageBody(Body):
     """Events after a sequence number."""
 
     process: str
--- a/reedspar/admin/stored_configuration.py
+++ b/reedspar/admin/stored_configuration.py
@@ -14,7 +14,7 @@
 __all__ = ["StoredConfigurationSource", "create_configuration_source"]
 
 ReadDocument = Callable[[], ConfigurationDocument | None]
-Adopt = Callable[[ConfigurationDocument], None]
+AdoptDocument = Callable[[ConfigurationDocument], None]
 
 
 class StoredConfigurationSource:
@@ -25,7 +25,7 @@
         store: ConfigurationStore,
         history: DocumentHistory,
         read_document: ReadDocument,
-        adopt: Adopt,
+        adopt: AdoptDocument,
     ) -> None:
         self._store = store
         self._history = history
@@ -104,7 +104,7 @@
     store: ConfigurationStore,
     history: DocumentHistory,
     read_document: ReadDocument,
-    adopt: Adopt,
+    adopt: AdoptDocument,
 ) -> ConfigurationSource:
     """Create the source; `adopt` is called with the document of an accepted patch."""
     return StoredConfigurationSource(store, history, read_document, adopt)
--- a/reedspar/settings/site.py
+++ b/reedspar/settings/site.py
@@ -158,8 +158,8 @@
     def links(self) -> LinkSettings:
         """Return the settings of links between daemons."""
         return LinkSettings(
-            machine_bytes_per_s=self._to_bytes(self.link_mbps),
-            region_bytes_per_s=self._to_bytes(self.region_link_mbps),
+            machine_bytes_per_s=self._to_weight_bytes_per_s(self.link_mbps),
+            region_bytes_per_s=self._to_weight_bytes_per_s(self.region_link_mbps),
         )
 
     @property
@@ -173,5 +173,5 @@
             url=f"http://{self.target_address}",
         )
 
-    def _to_bytes(self, mbps: float) -> int:
+    def _to_weight_bytes_per_s(self, mbps: float) -> int:
         return round(mbps * BITS_PER_MEGABIT / BITS_PER_BYTE * self.link_share)
--- a/reedspar/settings/tests/test_loading.py
+++ b/reedspar/settings/tests/test_loading.py
@@ -39,7 +39,7 @@
         for part in parts:
             self.assertIn(part, str(caught.exception))
 
-    def test_defaults_fill_in(self) -> None:
+    def test_missing_settings_have_defaults(self) -> None:
         settings = self.load(VALID_AGENT)
         self.assertEqual(settings.target.cold_concurrency, 1)
 
@@ -56,7 +56,7 @@
     def test_agent_without_target_is_refused(self) -> None:
         self.assert_refused(VALID_AGENT[: VALID_AGENT.index("[target]")], "[target]")
 
-    def test_missing_file_and_broken_toml(self) -> None:
+    def test_missing_file_and_invalid_toml_are_refused(self) -> None:
         with self.assertRaises(SettingsError):
             load_settings(Path("/nonexistent/settings.toml"))
         self.assert_refused("name = ", "not TOML")
--- a/reedspar/settings/tests/test_site.py
+++ b/reedspar/settings/tests/test_site.py
@@ -70,15 +70,15 @@
         # half-written file must neither stop the daemon nor change its settings.
         self.write(ENTRY)
         reloader = SettingsReloader(self.path, load_site_settings(self.path))
-        heard = []
-        reloader.on_change(heard.append)
+        received = []
+        reloader.on_change(received.append)
         self.write(ENTRY[: len(ENTRY) // 2])
         reloader.reload_if_changed()
-        self.assertEqual(heard, [])
+        self.assertEqual(received, [])
         self.write(ENTRY.replace("8000\n", "9000\n"))
         reloader.reload_if_changed()
         reloader.reload_if_changed()
-        self.assertEqual(len(heard), 1)
+        self.assertEqual(len(received), 1)
         self.assertEqual(reloader.settings.bounds.grace_ms, 9000)
 
 
