--- a/reedspar/observation/__init__.py
+++ b/reedspar/observation/__init__.py
@@ -5,6 +5,7 @@
 """
 
 from .attempts import AttemptObserver
+from .chunks import ChunkObserver
 from .configuration import ConfigurationObserver
 from .engine import ObservedEngine, ObservedTarget, TransferTracker
 from .members import MemberObserver
@@ -12,7 +13,6 @@
 from .platform import ObservedKeyValueStore, ObservedWeightSource
 from .reports import ReportObserver
 from .requests import RequestObserver
-from .weights import ChunkObserver
 
 __all__ = [
     "AttemptObserver",
--- a/reedspar/observation/attempts.py
+++ b/reedspar/observation/attempts.py
@@ -21,7 +21,7 @@
 
 __all__ = ["AttemptObserver"]
 
-MAX_OPEN_ATTEMPTS = 16_384
+OPEN_ATTEMPTS_MAX = 16_384
 REFUSED = "refused"
 END_EVENTS = {
     EndKind.COMPLETE: EventKind.ATTEMPT_FINISHED,
@@ -46,14 +46,14 @@
         self._relayed_bytes = 0
         metrics.relayed_bytes.set_callback(lambda: self._relayed_bytes)
         network.subscribe(AttemptData, self._on_data)
-        self._observe(network, AttemptStart, self._on_start)
-        self._observe(network, AttemptHead, self._on_head)
-        self._observe(network, AttemptEnd, self._on_end)
-        self._observe(network, AttemptRefused, self._on_refused)
+        self._observe_both_directions(network, AttemptStart, self._on_start)
+        self._observe_both_directions(network, AttemptHead, self._on_head)
+        self._observe_both_directions(network, AttemptEnd, self._on_end)
+        self._observe_both_directions(network, AttemptRefused, self._on_refused)
         network.on_sent(AttemptCancel, self._on_cancel_sent)
         network.on_sent(AttemptResume, self._on_resume_sent)
 
-    def _observe(
+    def _observe_both_directions(
         self, network: ObservedNetwork, message_class: type, observe: Any
     ) -> None:
         """Call `observe` with the peer, the message, and True if it was sent."""
@@ -78,7 +78,7 @@
         if key in self._open_attempts:
             return
         self._open_attempts[key] = peer
-        if len(self._open_attempts) > MAX_OPEN_ATTEMPTS:
+        if len(self._open_attempts) > OPEN_ATTEMPTS_MAX:
             self._open_attempts.popitem(last=False)
         if is_sent:
             self._record(EventKind.ATTEMPT_SENT, message, peer, "")
--- a/reedspar/observation/weights.py
+++ b/reedspar/observation/chunks.py
@@ -32,12 +32,12 @@
         self,
         network: ObservedNetwork,
         metrics: Metrics,
-        own: Location,
+        own_location: Location,
         locate: Callable[[str], Location | None],
     ) -> None:
-        self._own = own
+        self._own_location = own_location
         self._locate = locate
-        self._received: Counter[ChunkSource] = Counter()
+        self._received_bytes: Counter[ChunkSource] = Counter()
         self._sent_bytes = 0
         metrics.chunk_bytes.set_callback(self._read_received)
         metrics.chunk_bytes_sent.set_callback(lambda: self._sent_bytes)
@@ -46,22 +46,22 @@
 
     def record_origin_bytes(self, size_bytes: int) -> None:
         """Count bytes that were read from the origin."""
-        self._received[ChunkSource.ORIGIN] += size_bytes
+        self._received_bytes[ChunkSource.ORIGIN] += size_bytes
 
     def _on_received(self, sender: Sender, message: ChunkPiece) -> None:
-        self._received[self._classify(sender.name)] += len(message.data)
+        self._received_bytes[self._classify(sender.name)] += len(message.data)
 
     def _on_sent(self, peer: str, message: ChunkPiece) -> None:
         self._sent_bytes += len(message.data)
 
     def _classify(self, peer: str) -> ChunkSource:
         location = self._locate(peer)
-        if location is None or location[0] != self._own[0]:
+        if location is None or location[0] != self._own_location[0]:
             return ChunkSource.REGION
-        return ChunkSource.LOCAL if location == self._own else ChunkSource.ZONE
+        return ChunkSource.LOCAL if location == self._own_location else ChunkSource.ZONE
 
     def _read_received(self) -> list[tuple[float, dict[str, str]]]:
         return [
-            (float(count), {"source": source.value})
-            for source, count in self._received.items()
+            (float(size_bytes), {"source": source.value})
+            for source, size_bytes in self._received_bytes.items()
         ]
--- a/reedspar/observation/network.py
+++ b/reedspar/observation/network.py
@@ -36,8 +36,8 @@
         super().__init__(network)
         self._metrics = metrics
         self._recorder = recorder
-        self._sent: Counter[type] = Counter()
-        self._received: Counter[type] = Counter()
+        self._sent_counts: Counter[type] = Counter()
+        self._received_counts: Counter[type] = Counter()
         self._counted_classes: set[type] = set()
         self._sent_handlers: dict[type, SentHandler] = {}
         network.on_link_event(self._handle_link_event)
@@ -56,7 +56,7 @@
         if failure is not None:
             return failure
         message_class = type(message)
-        self._sent[message_class] += 1
+        self._sent_counts[message_class] += 1
         handler = self._sent_handlers.get(message_class)
         if handler is not None:
             handler(peer, message)
@@ -70,7 +70,7 @@
         self._network.subscribe(message_class, handler)
 
     def _count_received(self, sender: Sender, message: Any) -> None:
-        self._received[type(message)] += 1
+        self._received_counts[type(message)] += 1
 
     def _handle_link_event(self, event: LinkEvent) -> None:
         kind = LINK_EVENTS.get(event.change)
@@ -82,7 +82,10 @@
 
     def _read_counts(self) -> list[tuple[float, dict[str, str]]]:
         readings = []
-        for direction, counts in (("sent", self._sent), ("received", self._received)):
+        for direction, counts in (
+            ("sent", self._sent_counts),
+            ("received", self._received_counts),
+        ):
             for message_class, count in counts.items():
                 labels = {"kind": message_class.__name__, "direction": direction}
                 readings.append((float(count), labels))
--- a/reedspar/observation/reports.py
+++ b/reedspar/observation/reports.py
@@ -24,17 +24,17 @@
     ) -> None:
         self._metrics = metrics
         self._recorder = recorder
-        self._last: TargetReport | None = None
+        self._last_report: TargetReport | None = None
         network.on_sent(TargetReport, self._on_report)
 
     def _on_report(self, peer: str, report: TargetReport) -> None:
-        last = self._last
+        last = self._last_report
         if last is not None and report.sequence <= last.sequence:
             return
         if last is None:
             self._metrics.gate_limit.set_callback(self._read_limit)
             self._metrics.gate_queued.set_callback(self._read_queued)
-        self._last = report
+        self._last_report = report
         self._record_restart(last, report)
         if last is None or last.status is not report.status:
             kind = STATUS_EVENTS[report.status]
@@ -68,7 +68,7 @@
                 )
 
     def _read_limit(self) -> float:
-        return self._last.limit if self._last else 0
+        return self._last_report.limit if self._last_report else 0
 
     def _read_queued(self) -> float:
-        return self._last.queued if self._last else 0
+        return self._last_report.queued if self._last_report else 0
--- a/reedspar/telemetry/instruments.py
+++ b/reedspar/telemetry/instruments.py
@@ -71,17 +71,17 @@
     """
 
     def __init__(self) -> None:
-        self._read: Callable[[], float | Iterable[Reading]] | None = None
+        self._callback: Callable[[], float | Iterable[Reading]] | None = None
 
-    def set_callback(self, read: Callable[[], float | Iterable[Reading]]) -> None:
+    def set_callback(self, callback: Callable[[], float | Iterable[Reading]]) -> None:
         """Set the function that returns a value, or one per set of attributes."""
-        self._read = read
+        self._callback = callback
 
     def collect(self, options: CallbackOptions) -> Iterable[Observation]:
         """Return the current observations; none before `set_callback`."""
-        if self._read is None:
+        if self._callback is None:
             return []
-        found = self._read()
+        found = self._callback()
         if isinstance(found, int | float):
             return [Observation(found)]
         return [Observation(value, attributes) for value, attributes in found]
--- a/reedspar/telemetry/log_queue.py
+++ b/reedspar/telemetry/log_queue.py
@@ -6,7 +6,7 @@
 
 __all__ = ["DroppingQueueHandler", "start_log_queue"]
 
-MAX_QUEUED_LINES = 2000
+QUEUED_LINES_MAX = 2000
 """Maximum number of queued log lines, about a megabyte; further ones are dropped."""
 
 
@@ -49,7 +49,7 @@
 
 
 def start_log_queue(
-    handler: logging.Handler, max_queued_lines: int = MAX_QUEUED_LINES
+    handler: logging.Handler, max_queued_lines: int = QUEUED_LINES_MAX
 ) -> tuple[DroppingQueueHandler, QueueListener]:
     """Return a handler that never blocks, and the listener that feeds `handler`."""
     records: queue.Queue[logging.LogRecord] = queue.Queue(max_queued_lines)
--- a/reedspar/telemetry/logs.py
+++ b/reedspar/telemetry/logs.py
@@ -33,7 +33,7 @@
 )
 WITHHELD = "[withheld]"
 VERBOSE_LOGGERS = ("httpx", "httpcore", "hpack", "h2")
-MAX_TEXT_LENGTH = 2000
+TEXT_LENGTH_MAX = 2000
 
 
 class JsonFormatter(logging.Formatter):
@@ -87,7 +87,7 @@
             for f in fields(value)
         }
     text = str(value)
-    return text if len(text) <= MAX_TEXT_LENGTH else text[:MAX_TEXT_LENGTH] + "..."
+    return text if len(text) <= TEXT_LENGTH_MAX else text[:TEXT_LENGTH_MAX] + "..."
 
 
 def configure_logging(
--- a/reedspar/telemetry/tests/test_log_queue.py
+++ b/reedspar/telemetry/tests/test_log_queue.py
@@ -11,7 +11,7 @@
 from reedspar.telemetry.logs import JsonFormatter
 
 LINE_COUNT = 5000
-MAX_QUEUED_LINES = 100
+QUEUED_LINES_MAX = 100
 
 
 class LogQueueTest(unittest.TestCase):
@@ -22,7 +22,7 @@
         stream = os.fdopen(write_end, "w")
         handler = logging.StreamHandler(stream)
         handler.setFormatter(JsonFormatter())
-        queued, listener = start_log_queue(handler, MAX_QUEUED_LINES)
+        queued, listener = start_log_queue(handler, QUEUED_LINES_MAX)
         logger = logging.Logger("test")
         logger.addHandler(queued)
         started_s = time.monotonic()
