--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -192,9 +192,7 @@
         rng=rng,
         first_filters=(RequestLog(view, timers, adapters.metrics),),
     )
-    adapters.metrics.begun_on_replaced_weights.set_callback(
-        service.replaced.read_counts
-    )
+    adapters.metrics.replaced_begun.set_callback(service.replaced.read_counts)
     create_load_listener(view, service.chooser, links.transport)
     weights_network = links.on_demand("weights")
     origin = create_origin_with_exchange(
--- a/reedspar/observation/platform.py
+++ b/reedspar/observation/platform.py
@@ -92,7 +92,7 @@
         if not isinstance(result, Failure):
             self._record_bytes(len(result))
         elif result.reason is Reason.CORRUPT:
-            self._metrics.corrupt_reads.add(1)
+            self._metrics.corrupt_draws.add(1)
             self._recorder.record(
                 EventKind.WEIGHTS_CORRUPT, version=name, detail=str(result)
             )
--- a/reedspar/telemetry/metrics.py
+++ b/reedspar/telemetry/metrics.py
@@ -175,7 +175,7 @@
             "Bytes of checked chunks handed to the engine.",
         ),
     ]
-    corrupt_reads: Annotated[
+    corrupt_draws: Annotated[
         Counter,
         counter(
             "chunks.corrupt",
@@ -202,7 +202,7 @@
             "change",
         ),
     ]
-    begun_on_replaced_weights: Annotated[
+    replaced_begun: Annotated[
         ObservableInstrument,
         observed_counter(
             "weights.replaced_begun",
