--- a/reedspar/admin/models.py
+++ b/reedspar/admin/models.py
@@ -142,7 +142,7 @@
 
 
 class PatchRefused(Body):
-    """The reason for which a patch was rejected, or that its outcome is unknown."""
+    """Why a patch was refused, or that its outcome is unknown."""
 
     reason: Reason
     step: Step = Step.CONFIGURE
@@ -154,7 +154,7 @@
 
 
 class ErrorBody(Body):
-    """An error other than a rejected patch, with its step and peer."""
+    """An error other than a refused patch, with its step and peer."""
 
     reason: Reason
     step: Step
--- a/reedspar/admin/stored_configuration.py
+++ b/reedspar/admin/stored_configuration.py
@@ -18,7 +18,7 @@
 
 
 class StoredConfigurationSource:
-    """A `ConfigurationSource` on the store and the documents adopted by this daemon."""
+    """A `ConfigurationSource` backed by the store and the documents adopted here."""
 
     def __init__(
         self,
--- a/reedspar/observation/attempts.py
+++ b/reedspar/observation/attempts.py
@@ -1,4 +1,4 @@
-"""Events and metrics of attempts, derived from their messages at entry or agent."""
+"""Events and metrics of attempts, derived from their messages at an entry or agent."""
 
 from collections import OrderedDict
 from typing import Any
--- a/reedspar/observation/engine.py
+++ b/reedspar/observation/engine.py
@@ -57,7 +57,7 @@
     """Progress of each version's transfer since the engine's last boot."""
 
     def __init__(self) -> None:
-        self._sizes: dict[str, dict[int, int]] = {}
+        self._staged_sizes: dict[str, dict[int, int]] = {}
         self._phases: dict[str, tuple[str, str]] = {}
         self._boot_id = ""
 
@@ -65,12 +65,12 @@
         """Clear the progress if the engine has restarted: it has lost all chunks."""
         if boot_id != self._boot_id:
             self._boot_id = boot_id
-            self._sizes.clear()
+            self._staged_sizes.clear()
             self._phases.clear()
 
     def record_staged(self, root_digest: str, index: int, size_bytes: int) -> bool:
         """Record a staged chunk; return whether it is the version's first."""
-        sizes = self._sizes.setdefault(root_digest, {})
+        sizes = self._staged_sizes.setdefault(root_digest, {})
         sizes[index] = size_bytes
         self._phases[root_digest] = (STAGING, "")
         return len(sizes) == 1
@@ -81,7 +81,7 @@
 
     def remove(self, root_digest: str) -> None:
         """Remove a version whose chunks the engine has dropped."""
-        self._sizes.pop(root_digest, None)
+        self._staged_sizes.pop(root_digest, None)
         self._phases.pop(root_digest, None)
 
     def list_transfers(
@@ -95,7 +95,7 @@
             if version.root_digest not in self._phases:
                 continue
             phase, detail = self._phases[version.root_digest]
-            sizes = self._sizes.get(version.root_digest, {})
+            sizes = self._staged_sizes.get(version.root_digest, {})
             found.append(
                 TransferStatus(
                     model=model,
--- a/reedspar/observation/network.py
+++ b/reedspar/observation/network.py
@@ -45,7 +45,7 @@
         metrics.links_up.set_callback(lambda: len(network.peers()))
 
     def on_sent(self, message_class: type, handler: SentHandler) -> None:
-        """Call `handler` with peer and message when one of the class was queued."""
+        """Call `handler` with the peer and each queued message of the class."""
         self._sent_handlers[message_class] = handler
 
     def send(
--- a/reedspar/observation/reports.py
+++ b/reedspar/observation/reports.py
@@ -17,7 +17,7 @@
 
 
 class ReportObserver:
-    """Record the changes between reports; each report is sent to many entries."""
+    """Record the changes between reports; one sent to several entries counts once."""
 
     def __init__(
         self, network: ObservedNetwork, metrics: Metrics, recorder: EventRecorder
--- a/reedspar/observation/tests/test_observers.py
+++ b/reedspar/observation/tests/test_observers.py
@@ -164,10 +164,19 @@
         self.assert_metric("reedspar_gate_limit 4.0")
 
     def test_chunk_bytes_are_counted_by_source(self) -> None:
-        locations = {"near": ("r", "a"), "across": ("r", "b"), "far": ("s", "c")}
+        locations = {
+            "same-zone": ("r", "a"),
+            "other-zone": ("r", "b"),
+            "other-region": ("s", "c"),
+        }
         observer = ChunkObserver(self.network, self.metrics, ("r", "a"), locations.get)
         observer.record_origin_bytes(7)
-        for name, size_bytes in (("near", 1), ("across", 2), ("far", 3), ("new", 4)):
+        for name, size_bytes in (
+            ("same-zone", 1),
+            ("other-zone", 2),
+            ("other-region", 3),
+            ("unlisted", 4),
+        ):
             piece = ChunkPiece(DIGEST, 1, 0, 9, bytes(size_bytes))
             self.inner.deliver(piece, Sender(name, 1, 1))
         for source, total in (("local", 1), ("zone", 2), ("region", 7), ("origin", 7)):
--- a/reedspar/settings/tests/test_site.py
+++ b/reedspar/settings/tests/test_site.py
@@ -14,7 +14,7 @@
 region = "ra"
 store = "10.200.1.7:8007"
 link_mbps = 1000.0
-a_key_of_tomorrow = 1
+key_of_a_newer_platform = 1
 [zones]
 "a" = "ra"
 [listen]
--- a/reedspar/telemetry/instruments.py
+++ b/reedspar/telemetry/instruments.py
@@ -19,6 +19,8 @@
 ]
 
 Reading = tuple[float, dict[str, str]]
+"""A value and its attributes."""
+
 NAME_PREFIX = "reedspar."
 DURATION_BUCKETS_S = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05),
--- a/reedspar/telemetry/log_queue.py
+++ b/reedspar/telemetry/log_queue.py
@@ -11,7 +11,7 @@
 
 
 class DroppingQueueHandler(QueueHandler):
-    """Queue log records for the writing thread; drop and count those beyond its bound.
+    """Queue log records for the writing thread; count and drop those that do not fit.
 
     If the reader of standard output stops reading, the pipe fills up.  A process that
     wrote to it directly would then block, with all of its requests.
--- a/reedspar/telemetry/logs.py
+++ b/reedspar/telemetry/logs.py
@@ -101,7 +101,8 @@
 
     The fields of `common`, such as the process's name and zone, are added to each line.
     Libraries that log each HTTP call with its address are limited to warnings.  If
-    `is_queued`, a thread writes the lines; it is returned, and is to be stopped last.
+    `is_queued`, a thread writes the lines; its listener is returned and must be stopped
+    last.
     """
     handler: logging.Handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter(common))
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -24,6 +24,7 @@
 __all__ = ["Explain"]
 
 CLOCK_TIME_SLICE = slice(11, 23)
+"""The time of day in an ISO 8601 timestamp, to the millisecond."""
 
 
 @cappa.command(name="explain")
--- a/reedspar/tool/patch_retry.py
+++ b/reedspar/tool/patch_retry.py
@@ -1,8 +1,9 @@
-"""Patches of commands that state a goal (a zone out, a model's version) without a base.
+"""Patches of the current document, made again after a conflict.
 
-The patch is based on the current version of the document.  If another patch is accepted
-first, the document is read again and a new patch is made.  The command's `make_patch`
-decides whether the goal still applies to the newer document.
+Commands such as ``zone out`` and ``publish`` state a goal and need no base version.
+Their patch is based on the current version; if another patch is accepted first, the
+document is read again and a new patch is made.  The command's `make_patch` decides
+whether the goal still applies to the newer document.
 """
 
 from collections.abc import Callable
--- a/reedspar/tool/session.py
+++ b/reedspar/tool/session.py
@@ -18,7 +18,7 @@
 __all__ = ["Command", "Session", "create_session", "to_json_value"]
 
 UNWRAPPED_WIDTH = 1000
-"""Width of output to a pipe or file, wide enough for any row."""
+"""Width in characters of output to a pipe or file, wide enough for any row."""
 
 
 def to_json_value(value: Any) -> Any:
@@ -45,7 +45,7 @@
         self.output.file.write(text + "\n")
 
     def show_table(self, columns: list[str], rows: list[list[str]]) -> None:
-        """Write a table; a leading ``#`` marks a column of numbers, aligned right.
+        """Write a table; a leading ``#`` marks a right-aligned column of numbers.
 
         Cells are never wrapped or truncated, so names can be copied.  A terminal that
         is too narrow wraps the whole line.
--- a/reedspar/tool/tests/test_config.py
+++ b/reedspar/tool/tests/test_config.py
@@ -174,8 +174,8 @@
         self.assertIn("out already, version 6", repeated.output)
 
     def test_pool_without_live_targets_needs_no_force(self) -> None:
-        # The last targets of a pool are shutting down when a zone has to be taken out
-        # in a hurry.  The pool loses no live target, so --force must not be needed.
+        # The last targets of a pool are already shutting down when a zone is taken out.
+        # The pool loses no live target, so --force must not be needed.
         leaving = (
             self.daemons[3]
             .to_member_status()
--- a/reedspar/tool/zone_commands.py
+++ b/reedspar/tool/zone_commands.py
@@ -1,8 +1,8 @@
 """``reedspar zone out`` and ``zone in``.
 
-Zones are taken out in a hurry, so the tool checks for two serious mistakes: a zone name
-that no process has, which would change nothing, and a zone without which a pool has no
-targets left.
+Zones are taken out under time pressure, so the tool checks for two serious mistakes: a
+zone name that no process has, which would change nothing, and a zone without which a
+pool has no targets left.
 """
 
 from collections import Counter
@@ -30,7 +30,7 @@
 def count_remaining_targets(
     members: Iterable[MemberStatus], document: ConfigurationDocument, zone_out: str
 ) -> dict[str, tuple[int, int]]:
-    """Return, by pool, the targets left without that zone, and all known targets."""
+    """Return the numbers of targets left without `zone_out` and of all, by pool."""
     left: Counter[str] = Counter()
     known: Counter[str] = Counter()
     for member in members:
