--- a/reedspar/admin/client.py
+++ b/reedspar/admin/client.py
@@ -92,6 +92,7 @@
         unknown_outcome: PatchRefused | None = None
         result: PatchAccepted | PatchRefused = _refuse_without_address()
         for i in range(SEND_ATTEMPTS_MAX if self._urls else 0):
+            # Each address is tried once without a delay until an outcome is unknown.
             if i >= len(self._urls) or unknown_outcome:
                 await self._sleep(PATCH_RETRY_DELAY_S)
             result = await self._post_patch(self._urls[i % len(self._urls)], request)
--- a/reedspar/admin/document_history.py
+++ b/reedspar/admin/document_history.py
@@ -13,14 +13,16 @@
 __all__ = ["DocumentHistory"]
 
 DOCUMENTS_MAX = 64
-TOTAL_MAX_BYTES = 2 * 1024 * 1024
+TOTAL_SIZE_MAX_BYTES = 2 * 1024 * 1024
 
 
 class DocumentHistory:
     """Compressed documents, limited in number and total size."""
 
     def __init__(
-        self, max_documents: int = DOCUMENTS_MAX, max_total_bytes: int = TOTAL_MAX_BYTES
+        self,
+        max_documents: int = DOCUMENTS_MAX,
+        max_total_bytes: int = TOTAL_SIZE_MAX_BYTES,
     ) -> None:
         self._max_documents = max_documents
         self._max_total_bytes = max_total_bytes
--- a/reedspar/tool/main.py
+++ b/reedspar/tool/main.py
@@ -30,7 +30,7 @@
 class Tool:
     """Operate reedspar.
 
-    Exit codes: 0 ok, 2 usage, 3 refused, 4 stale number, 5 unreachable, 6 outcome
+    Exit codes: 0 ok, 2 usage, 3 refused, 4 stale version, 5 unreachable, 6 outcome
     unknown, 7 not found, 8 incomplete.
     """
 
--- a/reedspar/tool/patch_retry.py
+++ b/reedspar/tool/patch_retry.py
@@ -59,8 +59,8 @@
         result = await session.client.apply_patch(request)
         if isinstance(result, PatchAccepted):
             return PatchResult(result.version, document, request.patch_id)
-        is_conflict = result.reason is Reason.CONFLICT and base is None
-        if not is_conflict or attempt == PATCH_ATTEMPTS_MAX - 1:
+        is_retryable = result.reason is Reason.CONFLICT and base is None
+        if not is_retryable or attempt == PATCH_ATTEMPTS_MAX - 1:
             code = session.report_refusal(result)
             if result.reason is Reason.OUTCOME_UNKNOWN:
                 session.warn("  it may or may not be in force; run the command again")
