--- a/reedspar/admin/models.py
+++ b/reedspar/admin/models.py
@@ -12,7 +12,7 @@
     "DaemonStatus",
     "EntryStatus",
     "ErrorBody",
-    "EventsPage",
+    "EventPageBody",
     "LinkStatus",
     "MemberList",
     "MemberStatus",
@@ -142,7 +142,7 @@
 
 
 class PatchRefused(Body):
-    """The reason for which a patch was rejected, or that its outcome is unknown."""
+    """Why a patch was refused, or that its outcome is unknown."""
 
     reason: Reason
     step: Step = Step.CONFIGURE
@@ -154,7 +154,7 @@
 
 
 class ErrorBody(Body):
-    """An error other than a rejected patch, with its step and peer."""
+    """An error other than a refused patch, with its step and peer."""
 
     reason: Reason
     step: Step
@@ -180,7 +180,7 @@
         )
 
 
-class EventsPage(Body):
+class EventPageBody(Body):
     """Events after a sequence number."""
 
     process: str
--- a/reedspar/telemetry/instruments.py
+++ b/reedspar/telemetry/instruments.py
@@ -19,6 +19,8 @@
 ]
 
 Reading = tuple[float, dict[str, str]]
+"""A value and its attributes."""
+
 NAME_PREFIX = "reedspar."
 DURATION_BUCKETS_S = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05),
@@ -71,17 +73,17 @@
     """
 
     def __init__(self) -> None:
-        self._read: Callable[[], float | Iterable[Reading]] | None = None
+        self._callback: Callable[[], float | Iterable[Reading]] | None = None
 
-    def set_callback(self, read: Callable[[], float | Iterable[Reading]]) -> None:
+    def set_callback(self, callback: Callable[[], float | Iterable[Reading]]) -> None:
         """Set the function that returns a value, or one per set of attributes."""
-        self._read = read
+        self._callback = callback
 
     def collect(self, options: CallbackOptions) -> Iterable[Observation]:
         """Return the current observations; none before `set_callback`."""
-        if self._read is None:
+        if self._callback is None:
             return []
-        found = self._read()
+        found = self._callback()
         if isinstance(found, int | float):
             return [Observation(found)]
         return [Observation(value, attributes) for value, attributes in found]
--- a/reedspar/telemetry/log_queue.py
+++ b/reedspar/telemetry/log_queue.py
@@ -6,12 +6,12 @@
 
 __all__ = ["DroppingQueueHandler", "start_log_queue"]
 
-MAX_QUEUED_LINES = 2000
+QUEUED_LINES_MAX = 2000
 """Maximum number of queued log lines, about a megabyte; further ones are dropped."""
 
 
 class DroppingQueueHandler(QueueHandler):
-    """Queue log records for the writing thread; drop and count those beyond its bound.
+    """Queue log records for the writing thread; count and drop those that do not fit.
 
     If the reader of standard output stops reading, the pipe fills up.  A process that
     wrote to it directly would then block, with all of its requests.
@@ -49,7 +49,7 @@
 
 
 def start_log_queue(
-    handler: logging.Handler, max_queued_lines: int = MAX_QUEUED_LINES
+    handler: logging.Handler, max_queued_lines: int = QUEUED_LINES_MAX
 ) -> tuple[DroppingQueueHandler, QueueListener]:
     """Return a handler that never blocks, and the listener that feeds `handler`."""
     records: queue.Queue[logging.LogRecord] = queue.Queue(max_queued_lines)
--- a/reedspar/telemetry/logs.py
+++ b/reedspar/telemetry/logs.py
@@ -33,7 +33,7 @@
 )
 WITHHELD = "[withheld]"
 VERBOSE_LOGGERS = ("httpx", "httpcore", "hpack", "h2")
-MAX_TEXT_LENGTH = 2000
+TEXT_LENGTH_MAX = 2000
 
 
 class JsonFormatter(logging.Formatter):
@@ -87,7 +87,7 @@
             for f in fields(value)
         }
     text = str(value)
-    return text if len(text) <= MAX_TEXT_LENGTH else text[:MAX_TEXT_LENGTH] + "..."
+    return text if len(text) <= TEXT_LENGTH_MAX else text[:TEXT_LENGTH_MAX] + "..."
 
 
 def configure_logging(
@@ -101,7 +101,8 @@
 
     The fields of `common`, such as the process's name and zone, are added to each line.
     Libraries that log each HTTP call with its address are limited to warnings.  If
-    `is_queued`, a thread writes the lines; it is returned, and is to be stopped last.
+    `is_queued`, a thread writes the lines; its listener is returned and must be stopped
+    last.
     """
     handler: logging.Handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter(common))
--- a/reedspar/tool/explain_command.py
+++ b/reedspar/tool/explain_command.py
@@ -24,6 +24,7 @@
 __all__ = ["Explain"]
 
 CLOCK_TIME_SLICE = slice(11, 23)
+"""The time of day in an ISO 8601 timestamp, to the millisecond."""
 
 
 @cappa.command(name="explain")
@@ -47,10 +48,10 @@
         """Read the logs and write the explanation."""
         lines = read_log_lines(self.logs)
         if isinstance(lines, Failure):
-            return session.fail(lines)
+            return session.report_failure(lines)
         explanation = explain_request(lines, self.request)
         if explanation is None:
-            return session.fail(self._explain_missing_lines(lines))
+            return session.report_failure(self._explain_missing_lines(lines))
         if session.is_json:
             session.show_json(asdict(explanation))
             return ExitCode.OK
--- a/reedspar/tool/zone_commands.py
+++ b/reedspar/tool/zone_commands.py
@@ -1,8 +1,8 @@
 """``reedspar zone out`` and ``zone in``.
 
-Zones are taken out in a hurry, so the tool checks for two serious mistakes: a zone name
-that no process has, which would change nothing, and a zone without which a pool has no
-targets left.
+Zones are taken out under time pressure, so the tool checks for two serious mistakes: a
+zone name that no process has, which would change nothing, and a zone without which a
+pool has no targets left.
 """
 
 from collections import Counter
@@ -18,8 +18,8 @@
 from reedspar.links.messages import Role
 
 from .confirmation import wait_until_confirmed
-from .current_patch import PatchResult, patch_current
 from .exit_codes import ExitCode
+from .patch_retry import PatchResult, patch_current_document
 from .session import Session
 
 __all__ = ["Zone", "check_zone_change", "count_remaining_targets"]
@@ -30,7 +30,7 @@
 def count_remaining_targets(
     members: Iterable[MemberStatus], document: ConfigurationDocument, zone_out: str
 ) -> dict[str, tuple[int, int]]:
-    """Return, by pool, the targets left without that zone, and all known targets."""
+    """Return the numbers of targets left without `zone_out` and of all, by pool."""
     left: Counter[str] = Counter()
     known: Counter[str] = Counter()
     for member in members:
@@ -72,7 +72,7 @@
     """Patch the zone's state, and wait until all processes confirm it."""
     members = await session.client.list_members()
     if isinstance(members, Failure):
-        return session.fail(members)
+        return session.report_failure(members)
     zone = change.zone
 
     def make_patch(document: ConfigurationDocument) -> dict[str, Any] | Failure | None:
@@ -84,7 +84,7 @@
         return {"zones": {zone: state.value}}
 
     summary = f"zone {state.value} {zone}"
-    result = await patch_current(session, make_patch, summary, change.base)
+    result = await patch_current_document(session, make_patch, summary, change.base)
     if isinstance(result, ExitCode):
         return result
     _show_change(session, result, zone, state)
