--- a/reedspar/fleet/document_poll.py
+++ b/reedspar/fleet/document_poll.py
@@ -12,9 +12,9 @@
 from reedspar.messages import Sender
 from reedspar.timers import TimerService
 
-from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import DocumentNews, DocumentRequest
+from .prefix_cache import PrefixCache
 from .reader_selection import READERS_KEY, ReaderSelection
 from .records import DaemonRecord
 from .start_delay import StartDelay, create_agent_delay, create_entry_delay
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -12,15 +12,15 @@
 from reedspar.messages import Sender
 from reedspar.timers import TimerService
 
-from .ages import VersionAges
 from .document_poll import DocumentPoll
-from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import DocumentNews, DocumentRequest, FleetEntries, FleetRequest
 from .packing import EntryPacker, unpack_entry
+from .prefix_cache import PrefixCache
 from .prefix_poll import PrefixPoll
 from .relay import RegionRelay
 from .store import Listing
+from .version_ages import VersionAges
 from .view import FleetView
 
 __all__ = ["FleetExchange", "create_fleet_exchange"]
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -12,10 +12,10 @@
 from reedspar.timers import TimerService
 
 from .changes import FleetChange
-from .entries import PrefixCache
-from .gate import WatchGate
+from .prefix_cache import PrefixCache
 from .store import Listing, WatchableStore, WatchedChanges, WatchedEntry
 from .view import FleetView
+from .watch_gate import WatchGate
 
 __all__ = ["FleetCodec", "FleetFeed", "FleetPrefix", "create_fleet_feed"]
 
--- a/reedspar/fleet/prefix_poll.py
+++ b/reedspar/fleet/prefix_poll.py
@@ -7,8 +7,8 @@
 from reedspar.links import Network, Role
 from reedspar.messages import Sender
 
-from .entries import PrefixCache
 from .messages import DocumentNews, DocumentRequest, FleetEntries
+from .prefix_cache import PrefixCache
 from .reader_selection import READERS_KEY, ReaderSelection
 from .view import FleetView
 
--- a/reedspar/fleet/registration.py
+++ b/reedspar/fleet/registration.py
@@ -9,7 +9,7 @@
 from reedspar.timers import TimerService
 
 from .store import LeasingStore
-from .store_speed import StoreLatencyMonitor
+from .store_latency import StoreLatencyMonitor
 
 __all__ = ["LEASE_TTL_S", "Registration", "create_registration"]
 
--- a/reedspar/fleet/relay.py
+++ b/reedspar/fleet/relay.py
@@ -8,10 +8,10 @@
 from reedspar.timers import TimerService
 
 from .changes import DaemonChange, FleetChange
-from .entries import PrefixCache
 from .feed import FleetFeed
 from .messages import FleetEntries, FleetNews, FleetRequest, PrefixState
 from .packing import EntryPacker
+from .prefix_cache import PrefixCache
 from .reader_selection import READERS_KEY, REPORT_INTERVAL_S, ReaderSelection
 from .store import WatchedEntry
 from .view import FleetView
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -13,8 +13,8 @@
     create_fleet_exchange,
     create_fleet_feed,
 )
-from reedspar.fleet.entries import LEASE_EXPIRY_MIN_OUTAGE_S
 from reedspar.fleet.messages import FleetEntries, FleetRequest
+from reedspar.fleet.prefix_cache import LEASE_EXPIRY_MIN_OUTAGE_S
 from reedspar.fleet.tests.fakes import FakeCodec, FakeStore
 from reedspar.requests.tests.fakes import FakeNetwork
 from reedspar.timers import TimerService, VirtualClock
--- a/reedspar/fleet/tests/test_entries.py
+++ b/reedspar/fleet/tests/test_prefix_cache.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from reedspar.fleet import Listing, WatchedEntry
-from reedspar.fleet.entries import LEASE_EXPIRY_GRACE_S, PrefixCache
+from reedspar.fleet.prefix_cache import LEASE_EXPIRY_GRACE_S, PrefixCache
 
 PUT = WatchedEntry("t/1", b"a", 5)
 GONE = WatchedEntry("t/1", None, 9)
--- a/reedspar/fleet/tests/test_store_speed.py
+++ b/reedspar/fleet/tests/test_store_latency.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from reedspar.fleet.store_speed import StoreLatencyMonitor
+from reedspar.fleet.store_latency import StoreLatencyMonitor
 from reedspar.timers import TimerService, VirtualClock
 
 
--- a/reedspar/fleet/tests/test_ages.py
+++ b/reedspar/fleet/tests/test_version_ages.py
@@ -4,8 +4,8 @@
 import unittest
 
 from reedspar.fleet import DaemonChange, DaemonRecord, FleetView, WeightsChange
-from reedspar.fleet.ages import QUERY_WINDOW_S, VersionAges
 from reedspar.fleet.messages import VersionAge, VersionAgeRequest
+from reedspar.fleet.version_ages import QUERY_WINDOW_S, VersionAges
 from reedspar.requests.tests.fakes import FakeNetwork
 from reedspar.timers import TimerService, VirtualClock
 
--- a/reedspar/fleet/tests/test_gate.py
+++ b/reedspar/fleet/tests/test_watch_gate.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from reedspar.fleet.gate import WatchGate
+from reedspar.fleet.watch_gate import WatchGate
 from reedspar.requests.tests.virtual import run_virtual
 
 
