--- a/reedspar/fleet/document_poll.py
+++ b/reedspar/fleet/document_poll.py
@@ -26,7 +26,7 @@
 ANSWER_TIMEOUT_S = 0.6
 INITIAL_ANSWER_TIMEOUT_S = 0.3
 """Interval between two requests of a starting daemon."""
-MAX_PEERS_ASKED = 2
+PEERS_ASKED_MAX = 2
 
 
 class DocumentPoll:
@@ -56,15 +56,15 @@
         self._selection = ReaderSelection(READERS_KEY, timers.now_s())
         self._start_delay: StartDelay | None = None
         feed.on_entries_changed(self._handle_changes)
-        network.subscribe(DocumentNews, self._handle_news)
+        network.subscribe(DocumentNews, self._handle_reply)
 
     async def poll(self) -> bool:
         """Request changes; return True if a peer answered and was not behind."""
         if self._cache.newest_revision == 0:
             return await self._poll_initially()
-        local_entries = self._local_entries()
+        local_entry_names = self._local_entry_names()
         for peer in self._rng.sample(
-            local_entries, min(MAX_PEERS_ASKED, len(local_entries))
+            local_entry_names, min(PEERS_ASKED_MAX, len(local_entry_names))
         ):
             if await self._ask([peer], ANSWER_TIMEOUT_S):
                 return True
@@ -72,13 +72,15 @@
 
     async def _poll_initially(self) -> bool:
         """Ask peers for the document; return False if the store has to be read."""
-        local_entries = self._local_entries()
-        self._update_selection(local_entries)
-        is_known = bool(local_entries) or self._view.daemon(self._name) is not None
-        if self._is_relayed and is_known and self._selection.is_small_region:
+        local_entry_names = self._local_entry_names()
+        self._update_selection(local_entry_names)
+        is_view_populated = (
+            bool(local_entry_names) or self._view.daemon(self._name) is not None
+        )
+        if self._is_relayed and is_view_populated and self._selection.is_small_region:
             return False
         if self._start_delay is None:
-            self._start_delay = self._create_start_delay(not local_entries)
+            self._start_delay = self._create_start_delay(not local_entry_names)
         while not await self._ask(
             self._choose_initial_peers(), INITIAL_ANSWER_TIMEOUT_S
         ):
@@ -86,29 +88,35 @@
                 return False
         return True
 
-    def _create_start_delay(self, is_alone: bool) -> StartDelay:
+    def _create_start_delay(self, is_without_peers: bool) -> StartDelay:
         now_s = self._timers.now_s()
         if not self._is_relayed:
-            return create_agent_delay(is_alone, now_s, self._rng)
-        return create_entry_delay(self._selection.group, is_alone, now_s, self._rng)
+            return create_agent_delay(is_without_peers, now_s, self._rng)
+        return create_entry_delay(
+            self._selection.group, is_without_peers, now_s, self._rng
+        )
 
     def _choose_initial_peers(self) -> list[str]:
-        local_entries = self._local_entries()
-        self._update_selection(local_entries)
-        if not local_entries:
+        local_entry_names = self._local_entry_names()
+        self._update_selection(local_entry_names)
+        if not local_entry_names:
             # A peer sends the document compressed: a tenth of its size in the store.
-            remote_entries = [entry.name for entry in self._other_entries()]
-            return self._rng.sample(remote_entries, min(1, len(remote_entries)))
-        other = self._rng.choice(local_entries)
+            remote_entry_names = [daemon.name for daemon in self._other_entry_daemons()]
+            return self._rng.sample(remote_entry_names, min(1, len(remote_entry_names)))
+        random_entry_name = self._rng.choice(local_entry_names)
         if not self._is_relayed:
-            return [self._rng.choice([*self._selection.default_readers, other])]
-        return sorted({*self._selection.default_readers, other} - {self._name})
-
-    def _update_selection(self, local_entries: list[str]) -> None:
+            return [
+                self._rng.choice([*self._selection.default_readers, random_entry_name])
+            ]
+        return sorted(
+            {*self._selection.default_readers, random_entry_name} - {self._name}
+        )
+
+    def _update_selection(self, local_entry_names: list[str]) -> None:
         if self._is_relayed:
-            self._selection.update_members(self._name, [self._name, *local_entries])
-        elif local_entries:
-            self._selection.update_members(local_entries[0], local_entries)
+            self._selection.update_members(self._name, [self._name, *local_entry_names])
+        elif local_entry_names:
+            self._selection.update_members(local_entry_names[0], local_entry_names)
 
     async def _ask(self, peers: list[str], timeout_s: float) -> bool:
         self._answered = anyio.Event()
@@ -119,20 +127,20 @@
             await self._answered.wait()
         return self._answered.is_set()
 
-    def _local_entries(self) -> list[str]:
+    def _local_entry_names(self) -> list[str]:
         return self._view.peer_names(Role.ENTRY.value, self._region, self._name)
 
-    def _other_entries(self) -> list[DaemonRecord]:
-        entries = self._view.daemons(Role.ENTRY.value)
-        return [entry for entry in entries if entry.name != self._name]
+    def _other_entry_daemons(self) -> list[DaemonRecord]:
+        entry_daemons = self._view.daemons(Role.ENTRY.value)
+        return [daemon for daemon in entry_daemons if daemon.name != self._name]
 
-    def _handle_news(self, sender: Sender, news: DocumentNews) -> None:
-        if news.prefix != self._cache.prefix:
+    def _handle_reply(self, sender: Sender, reply: DocumentNews) -> None:
+        if reply.prefix != self._cache.prefix:
             return
-        if 0 < news.newest_revision <= self._cache.newest_revision:
+        if 0 < reply.newest_revision <= self._cache.newest_revision:
             self._answered.set()
         elif (
-            news.newest_revision == 0
+            reply.newest_revision == 0
             and self._start_delay is not None
             and self._is_in_earlier_group(sender.name)
         ):
@@ -142,8 +150,8 @@
         """Return whether a daemon of this region reads the store before this one."""
         if not self._is_relayed:
             return True
-        is_known = name in self._local_entries()
-        return is_known and self._selection.group_of(name) < self._selection.group
+        is_local_entry = name in self._local_entry_names()
+        return is_local_entry and self._selection.group_of(name) < self._selection.group
 
     def _handle_changes(self, prefix: str, changed: Sequence[WatchedEntry]) -> None:
         if prefix == self._cache.prefix:
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -40,7 +40,7 @@
 For up to 25 s, a watch without changes looks the same as one that the store has
 dropped.  Without these requests, a machine with a dropped watch refused requests for
 a new route 2.1 s after it was written to the store."""
-MAX_ENTRIES_PER_MESSAGE = 400
+ENTRIES_PER_MESSAGE_MAX = 400
 """Maximum number of entries in one answer; the rest is sent with the next one."""
 
 _logger = logging.getLogger(__name__)
@@ -76,18 +76,20 @@
         for cache in [*feed.relayed_caches, *feed.polled_caches]:
             if cache.prefix in pushed:
                 prefix_poll = PrefixPoll(name, region, cache, view, network, rng)
-                feed.set_poller(cache.prefix, prefix_poll.poll)
+                feed.set_peer_poll(cache.prefix, prefix_poll.poll)
                 continue
             is_relayed = self._relay.is_relayed(cache.prefix)
             poll = DocumentPoll(
                 name, region, cache, feed, view, network, timers, rng, is_relayed
             )
-            feed.set_poller(cache.prefix, poll.poll)
+            feed.set_peer_poll(cache.prefix, poll.poll)
 
     def poll_peers(self) -> None:
         """Request entries newer than those of this daemon from peers."""
         peers = self._choose_peers()
-        caches = [cache for cache in self._feed.shared_caches if self._is_polled(cache)]
+        caches = [
+            cache for cache in self._feed.shared_caches if self._needs_peer_poll(cache)
+        ]
         for peer in peers:
             for cache in caches:
                 self._network.send(
@@ -95,13 +97,13 @@
                 )
         self._ages.request_ages(peers)
 
-    def _is_polled(self, cache: PrefixCache) -> bool:
+    def _needs_peer_poll(self, cache: PrefixCache) -> bool:
         return not self._relay.is_relayed(cache.prefix) or self._relay.is_polling_peers
 
     def _choose_peers(self) -> list[str]:
         # Agents are not asked, as they follow fewer prefixes than entries.
-        entries = self._view.daemons(Role.ENTRY.value)
-        names = [e.name for e in entries if e.name != self._name]
+        entry_daemons = self._view.daemons(Role.ENTRY.value)
+        names = [e.name for e in entry_daemons if e.name != self._name]
         if self._feed.is_store_unavailable:
             return self._rng.sample(names, min(PEERS_POLLED_DURING_OUTAGE, len(names)))
         local_names = [name for name in names if self._is_same_region(name)] or names
@@ -126,8 +128,8 @@
             )
         else:
             newest, covered = cache.newest_revision, cache.revision
-            news = DocumentNews(cache.prefix, newest, covered, True)
-            self._network.send(sender.name, news)
+            reply = DocumentNews(cache.prefix, newest, covered, True)
+            self._network.send(sender.name, reply)
 
     def _handle_request(self, sender: Sender, request: FleetRequest) -> None:
         """Send newer entries; the peer's prefix may be narrower than the cached one."""
@@ -149,9 +151,9 @@
         if not newer:
             return
         entries = tuple(
-            self._packer.pack(entry) for entry in newer[:MAX_ENTRIES_PER_MESSAGE]
+            self._packer.pack(entry) for entry in newer[:ENTRIES_PER_MESSAGE_MAX]
         )
-        is_complete = len(newer) <= MAX_ENTRIES_PER_MESSAGE
+        is_complete = len(newer) <= ENTRIES_PER_MESSAGE_MAX
         revision = cache.revision if is_complete else entries[-1].revision
         is_whole = is_complete and request.after_revision == 0 and cache.revision > 0
         message = FleetEntries(request.prefix, revision, entries, is_whole)
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -100,7 +100,7 @@
         self._gates = {
             item.prefix: WatchGate(is_open=not item.is_pushed) for item in prefixes
         }
-        self._pollers: dict[str, Callable[[], Awaitable[bool]]] = {}
+        self._peer_polls: dict[str, Callable[[], Awaitable[bool]]] = {}
         self._entries_listeners: list[EntriesListener] = []
         self._min_batch_interval_s = 0.0
         self._listed: set[str] = set()
@@ -152,9 +152,9 @@
             if self._prefixes[prefix].poll_interval_s is not None
         ]
 
-    def set_poller(self, prefix: str, poll: Callable[[], Awaitable[bool]]) -> None:
+    def set_peer_poll(self, prefix: str, poll: Callable[[], Awaitable[bool]]) -> None:
         """Call `poll` before each read of the store; True skips the read."""
-        self._pollers[prefix] = poll
+        self._peer_polls[prefix] = poll
 
     def on_entries_changed(self, listener: EntriesListener) -> None:
         """Call `listener` with a prefix and its changed entries."""
@@ -216,7 +216,7 @@
         The prefixes up to the last document are read first, since their entries decide
         how the other prefixes are read.
         """
-        documents = [n for n, p in enumerate(self._caches) if self._is_document(p)]
+        documents = [n for n, p in enumerate(self._caches) if self._is_peer_document(p)]
         caches = list(self._caches.values())
         first_count = max(documents, default=0) + 1
         is_from_peers = False
@@ -227,9 +227,9 @@
             for cache in caches[first_count:]:
                 tasks.start_soon(self._read_and_follow, cache, is_from_peers)
 
-    def _is_document(self, prefix: str) -> bool:
+    def _is_peer_document(self, prefix: str) -> bool:
         """Return whether a prefix has one entry that peers are asked for first."""
-        return prefix in self._pollers and not self._prefixes[prefix].is_pushed
+        return prefix in self._peer_polls and not self._prefixes[prefix].is_pushed
 
     def apply_from_peer(self, prefix: str, entries: Iterable[WatchedEntry]) -> int:
         """Apply entries from a peer; return the number of changes."""
@@ -265,7 +265,7 @@
 
         Return whether a peer has answered.
         """
-        poll = self._pollers.get(cache.prefix)
+        poll = self._peer_polls.get(cache.prefix)
         while True:
             if poll is not None and await poll():
                 self._hand_over_to_peers(cache)
@@ -322,11 +322,11 @@
 
     async def _watch(self, cache: PrefixCache) -> WatchedChanges | Failure:
         wait_s = RECOVERY_WATCH_TIMEOUT_S if cache.is_unavailable else WATCH_TIMEOUT_S
-        is_single = self._is_single_document(cache.prefix)
-        after = cache.max_known_revision if is_single else cache.revision
+        is_relayed_document = self._is_relayed_document(cache.prefix)
+        after = cache.max_known_revision if is_relayed_document else cache.revision
         return await self._store.watch_entries(cache.prefix, after, wait_s)
 
-    def _is_single_document(self, prefix: str) -> bool:
+    def _is_relayed_document(self, prefix: str) -> bool:
         """Return whether a prefix has one entry; peers' revisions then leave no gap."""
         options = self._prefixes[prefix]
         return options.is_relayed and not options.is_pushed
--- a/reedspar/fleet/packing.py
+++ b/reedspar/fleet/packing.py
@@ -7,8 +7,8 @@
 
 __all__ = ["EntryPacker", "unpack_entry"]
 
-PACKED_MIN_BYTES = 1024
-UNPACKED_MAX_BYTES = 4 * 1024 * 1024
+COMPRESSED_VALUE_MIN_BYTES = 1024
+DECOMPRESSED_VALUE_MAX_BYTES = 4 * 1024 * 1024
 """Size limit of a decompressed value, so that a small message can't exhaust memory."""
 COMPRESSION_LEVEL = 1
 
@@ -28,7 +28,7 @@
         if last and (last.key, last.revision) == (entry.key, entry.revision):
             return last
         value = entry.value or b""
-        if len(value) < PACKED_MIN_BYTES:
+        if len(value) < COMPRESSED_VALUE_MIN_BYTES:
             return FleetEntry(entry.key, value, entry.revision, entry.value is None)
         packed = zlib.compress(value, COMPRESSION_LEVEL)
         self._last = FleetEntry(entry.key, packed, entry.revision, False, True)
@@ -43,7 +43,7 @@
         return WatchedEntry(entry.key, entry.value, entry.revision)
     inflater = zlib.decompressobj()
     try:
-        value = inflater.decompress(entry.value, UNPACKED_MAX_BYTES)
+        value = inflater.decompress(entry.value, DECOMPRESSED_VALUE_MAX_BYTES)
     except zlib.error:
         return None
     if not inflater.eof:
--- a/reedspar/fleet/prefix_cache.py
+++ b/reedspar/fleet/prefix_cache.py
@@ -18,7 +18,7 @@
 According to the platform, entries whose leases expired during an outage are
 written again about two seconds after its end.  A target that has left must get no
 more requests three seconds after it; up to 0.6 s pass before the end is noticed."""
-LEASE_EXPIRY_MIN_OUTAGE_S = 2.0
+LEASE_EXPIRY_OUTAGE_MIN_S = 2.0
 """Shortest time without any answer of the store after which a lease may expire.
 
 Leases last three seconds or more and are renewed once a second.  An interrupted watch
@@ -105,7 +105,7 @@
             self._last_success_s == float("-inf") and not self._is_unavailable
         )
         if (
-            now_s - self._last_success_s >= LEASE_EXPIRY_MIN_OUTAGE_S
+            now_s - self._last_success_s >= LEASE_EXPIRY_OUTAGE_MIN_S
             and not is_first_call
         ):
             self._outage_end_s = now_s
@@ -194,7 +194,7 @@
             self._is_unavailable
             or now_s - self._available_since_s < LEASE_EXPIRY_GRACE_S
         )
-        is_unanswered = now_s - self._last_success_s >= LEASE_EXPIRY_MIN_OUTAGE_S
+        is_unanswered = now_s - self._last_success_s >= LEASE_EXPIRY_OUTAGE_MIN_S
         was_unanswered = now_s - self._outage_end_s < LEASE_EXPIRY_GRACE_S
         return has_failed and (is_unanswered or was_unanswered)
 
--- a/reedspar/fleet/prefix_poll.py
+++ b/reedspar/fleet/prefix_poll.py
@@ -15,7 +15,7 @@
 __all__ = ["PrefixPoll"]
 
 ANSWER_TIMEOUT_S = 0.3
-MAX_ATTEMPTS = 2
+ATTEMPTS_MAX = 2
 
 
 class PrefixPoll:
@@ -39,15 +39,15 @@
         self._selection = ReaderSelection(READERS_KEY, 0.0)
         self._answered = anyio.Event()
         network.subscribe(FleetEntries, self._handle_entries)
-        network.subscribe(DocumentNews, self._handle_news)
+        network.subscribe(DocumentNews, self._handle_reply)
 
     async def poll(self) -> bool:
         """Request the entries; return whether a peer has answered."""
-        for _ in range(MAX_ATTEMPTS):
-            local_entries = self._local_entries()
-            if not local_entries:
+        for _ in range(ATTEMPTS_MAX):
+            local_entry_names = self._local_entry_names()
+            if not local_entry_names:
                 return False
-            self._selection.update_members(local_entries[0], local_entries)
+            self._selection.update_members(local_entry_names[0], local_entry_names)
             self._answered = anyio.Event()
             request = DocumentRequest(self._cache.prefix, 0)
             self._network.send(
@@ -59,15 +59,15 @@
                 return True
         return False
 
-    def _local_entries(self) -> list[str]:
+    def _local_entry_names(self) -> list[str]:
         return self._view.peer_names(Role.ENTRY.value, self._region, self._name)
 
     def _handle_entries(self, sender: Sender, message: FleetEntries) -> None:
         if message.prefix == self._cache.prefix and message.is_whole:
             self._answered.set()
 
-    def _handle_news(self, sender: Sender, news: DocumentNews) -> None:
+    def _handle_reply(self, sender: Sender, reply: DocumentNews) -> None:
         """Handle the answer of a peer that has no entry below the prefix."""
-        if news.prefix == self._cache.prefix and news.covered_revision:
-            self._cache.advance_revision(news.newest_revision, news.covered_revision)
+        if reply.prefix == self._cache.prefix and reply.covered_revision:
+            self._cache.advance_revision(reply.newest_revision, reply.covered_revision)
             self._answered.set()
--- a/reedspar/fleet/reader_selection.py
+++ b/reedspar/fleet/reader_selection.py
@@ -10,7 +10,7 @@
 """Key of the rendezvous hashing by which all daemons rank those of a region."""
 READERS_PER_REGION = 2
 """Number of daemons that read the store for a region; also the size of a group."""
-SMALL_REGION_MAX_ENTRIES = 2
+SMALL_REGION_ENTRIES_MAX = 2
 """In a region with no more entries than this, each daemon reads the store itself."""
 REPORT_INTERVAL_S = 0.4
 """Interval between two state reports of a reader."""
@@ -18,7 +18,7 @@
 """Time without a report of a reader after which the next group reads."""
 GROUP_TIMEOUT_STEP_S = 0.25
 """Additional timeout of each later group, so that they don't all read at once."""
-MAX_TIMEOUT_STEPS = 8
+TIMEOUT_STEPS_MAX = 8
 """Maximum number of steps in a timeout, which bounds it in large regions."""
 
 
@@ -32,7 +32,7 @@
 
     def __init__(self, key: str, now_s: float) -> None:
         self._key = key
-        self._names: tuple[tuple[str, ...], ...] = ()
+        self._members: tuple[tuple[str, ...], ...] = ()
         self._ranked: list[str] = []
         self._is_small_region = True
         self._rank = 0
@@ -60,7 +60,7 @@
         return self._is_small_region
 
     @property
-    def listeners(self) -> list[str]:
+    def standbys(self) -> list[str]:
         """Return the daemons of this region that readers send their state to."""
         return self._ranked[READERS_PER_REGION:]
 
@@ -78,10 +78,10 @@
         self, own_name: str, names: Iterable[str], agents: Iterable[str] = ()
     ) -> None:
         """Set the entries and agents of this region, including this daemon."""
-        self._names, before = (tuple(names), tuple(agents)), self._names
-        if self._names != before:
-            entry_names, agent_names = self._names
-            self._is_small_region = len(entry_names) <= SMALL_REGION_MAX_ENTRIES
+        self._members, previous_members = (tuple(names), tuple(agents)), self._members
+        if self._members != previous_members:
+            entry_names, agent_names = self._members
+            self._is_small_region = len(entry_names) <= SMALL_REGION_ENTRIES_MAX
             ranked = rank_by_rendezvous(self._key, entry_names)
             self._ranked = [*ranked, *rank_by_rendezvous(self._key, agent_names)]
         self._rank = self._ranked.index(own_name)
@@ -120,7 +120,7 @@
     def _timeout_s(self) -> float:
         return (
             READER_TIMEOUT_S
-            + min(self.group - 1, MAX_TIMEOUT_STEPS) * GROUP_TIMEOUT_STEP_S
+            + min(self.group - 1, TIMEOUT_STEPS_MAX) * GROUP_TIMEOUT_STEP_S
         )
 
     def group_of(self, name: str) -> int:
--- a/reedspar/fleet/relay.py
+++ b/reedspar/fleet/relay.py
@@ -30,11 +30,11 @@
 """Interval between two requests for all entries of a prefix.
 
 The digest of a reader that defers removals differs for two seconds."""
-STANDBY_BATCH_INTERVAL_S = 0.8
+SECONDARY_BATCH_INTERVAL_S = 0.8
 """Minimum pause between two watches of a reader that is not its group's primary.
 
 It is shorter than the time allowed for a change to spread, as the primary may fail."""
-MAX_PUSHED_ENTRIES_PER_MESSAGE = 100
+PUSHED_ENTRIES_PER_MESSAGE_MAX = 100
 """Maximum number of entries in one message of pushed changes."""
 
 
@@ -95,13 +95,13 @@
         self._selection = ReaderSelection(READERS_KEY, timers.now_s())
         self._is_selection_current = False
         self._is_reading = False
-        network.subscribe(FleetNews, self._handle_news)
+        network.subscribe(FleetNews, self._handle_report)
         feed.on_entries_changed(self._handle_changes)
         view.on_change(self._handle_fleet_change)
         timers.on_pause(lambda gap_s: self._selection.reset_timeouts(timers.now_s()))
         timers.call_every(CHECK_INTERVAL_S, self._update_reading)
         timers.call_every(REPORT_INTERVAL_S, self._send_states)
-        timers.call_every(REMOTE_POLL_INTERVAL_S, self._poll_remote_entry)
+        timers.call_every(REMOTE_POLL_INTERVAL_S, self._poll_remote_entry_daemon)
 
     @property
     def is_polling_peers(self) -> bool:
@@ -130,9 +130,9 @@
         is_reading = self._selection.is_reading(now_s)
         has_started_reading = is_reading and not self._is_reading
         self._is_reading = is_reading
-        is_standby = not self._selection.is_primary
+        is_secondary = not self._selection.is_primary
         self._feed.set_min_batch_interval(
-            STANDBY_BATCH_INTERVAL_S if is_standby else 0.0
+            SECONDARY_BATCH_INTERVAL_S if is_secondary else 0.0
         )
         for prefix in self._caches:
             self._feed.set_watched(prefix, is_reading)
@@ -142,19 +142,19 @@
 
     def _update_selection(self) -> None:
         self._is_selection_current = True
-        entries = self._view.daemons(Role.ENTRY.value)
-        local_entries = self._view.peer_names(
+        entry_daemons = self._view.daemons(Role.ENTRY.value)
+        local_entry_names = self._view.peer_names(
             Role.ENTRY.value, self._region, self._name
         )
-        agents = self._view.peer_names(Role.AGENT.value, self._region, self._name)
-        same_role_names = local_entries if self._role is Role.ENTRY else agents
+        agent_names = self._view.peer_names(Role.AGENT.value, self._region, self._name)
+        same_role_names = local_entry_names if self._role is Role.ENTRY else agent_names
         same_role_names.append(self._name)
-        if all(entry.region == self._region for entry in entries):
+        if all(daemon.region == self._region for daemon in entry_daemons):
             # There is no other region to poll, so each daemon reads the store itself.
             self._selection.update_members(self._name, [self._name])
         else:
             self._selection.update_members(
-                self._name, sorted(local_entries), sorted(agents)
+                self._name, sorted(local_entry_names), sorted(agent_names)
             )
 
     def _handle_changes(self, prefix: str, changed: Sequence[WatchedEntry]) -> None:
@@ -169,9 +169,9 @@
             return
         entries = [self._packer.pack(entry) for entry in changed]
         revision = self._caches[prefix].revision
-        for start in range(0, len(entries), MAX_PUSHED_ENTRIES_PER_MESSAGE):
-            part = tuple(entries[start : start + MAX_PUSHED_ENTRIES_PER_MESSAGE])
-            self._send_to_listeners(FleetEntries(prefix, revision, part))
+        for start in range(0, len(entries), PUSHED_ENTRIES_PER_MESSAGE_MAX):
+            part = tuple(entries[start : start + PUSHED_ENTRIES_PER_MESSAGE_MAX])
+            self._send_to_standbys(FleetEntries(prefix, revision, part))
 
     def _send_states(self) -> None:
         """Report this daemon's state to the daemons that don't read the store."""
@@ -180,28 +180,30 @@
             return
         is_served = is_reading and not self._feed.is_store_unavailable
         states = tuple(_create_state(cache) for cache in self._caches.values())
-        self._send_to_listeners(FleetNews(states, is_served))
+        self._send_to_standbys(FleetNews(states, is_served))
 
-    def _send_to_listeners(self, message: FleetNews | FleetEntries) -> None:
-        for name in self._selection.listeners:
+    def _send_to_standbys(self, message: FleetNews | FleetEntries) -> None:
+        for name in self._selection.standbys:
             if name != self._name:
                 self._network.send(name, message)
 
-    def _handle_news(self, sender: Sender, news: FleetNews) -> None:
-        self._selection.record_report(self._timers.now_s(), sender.name, news.is_served)
-        for state in news.states:
+    def _handle_report(self, sender: Sender, report: FleetNews) -> None:
+        self._selection.record_report(
+            self._timers.now_s(), sender.name, report.is_served
+        )
+        for state in report.states:
             if state.prefix in self._pushed:
-                self._compare_entries(sender.name, state)
+                self._sync_entries(sender.name, state)
             elif state.prefix in self._caches:
-                self._compare_document(sender.name, state)
+                self._sync_document(sender.name, state)
 
-    def _compare_document(self, peer: str, state: PrefixState) -> None:
+    def _sync_document(self, peer: str, state: PrefixState) -> None:
         cache = self._caches[state.prefix]
         cache.advance_revision(state.newest_revision, state.covered_revision)
         if state.newest_revision > cache.newest_revision:
             self._request_newer(peer, state)
 
-    def _compare_entries(self, peer: str, state: PrefixState) -> None:
+    def _sync_entries(self, peer: str, state: PrefixState) -> None:
         """Request entries that this daemon lacks after a lost message from a reader."""
         cache = self._caches[state.prefix]
         if state.covered_revision < cache.newest_revision:
@@ -219,18 +221,18 @@
             after = self._caches[state.prefix].newest_revision
             self._network.send(peer, FleetRequest(state.prefix, after))
 
-    def _poll_remote_entry(self) -> None:
+    def _poll_remote_entry_daemon(self) -> None:
         """Ask an entry of another region for changes that local readers may miss."""
         if not self.is_polling_peers and not self._selection.is_first_standby:
             return
-        remote_entries = [
-            entry
-            for entry in self._view.daemons(Role.ENTRY.value)
-            if entry.region != self._region
+        remote_entry_daemons = [
+            daemon
+            for daemon in self._view.daemons(Role.ENTRY.value)
+            if daemon.region != self._region
         ]
-        if not remote_entries:
+        if not remote_entry_daemons:
             return
-        peer = self._rng.choice(remote_entries).name
+        peer = self._rng.choice(remote_entry_daemons).name
         for prefix, cache in self._caches.items():
             if prefix not in self._pushed or self.is_polling_peers:
                 self._network.send(peer, FleetRequest(prefix, cache.max_known_revision))
--- a/reedspar/fleet/start_delay.py
+++ b/reedspar/fleet/start_delay.py
@@ -7,13 +7,13 @@
 
 ENTRY_QUIET_TIMEOUT_S = 0.6
 """Time without a message after which earlier groups are assumed to be absent."""
-ENTRY_MAX_DELAY_S = 3.0
+ENTRY_DELAY_MAX_S = 3.0
 """Maximum wait while daemons of earlier groups report that they are starting."""
 GROUP_DELAY_STEP_S = 0.5
 """Additional maximum wait of each later group."""
 AGENT_QUIET_TIMEOUT_S = 1.5
 """Like ENTRY_QUIET_TIMEOUT_S, for an agent, which asks one entry at a time."""
-AGENT_MAX_DELAY_S = 6.0
+AGENT_DELAY_MAX_S = 6.0
 EARLY_START_PROBABILITY = 0.25
 EARLY_DELAY_MAX_S = 0.5
 LATE_DELAY_MIN_S = 2.5
@@ -49,10 +49,10 @@
 
 
 def create_entry_delay(
-    group: int, is_alone: bool, now_s: float, rng: random.Random
+    group: int, is_without_peers: bool, now_s: float, rng: random.Random
 ) -> StartDelay:
     """Create the delay of an entry by its group; the first group does not wait."""
-    if is_alone:
+    if is_without_peers:
         is_early = rng.random() < EARLY_START_PROBABILITY
         early_s = rng.uniform(0.0, EARLY_DELAY_MAX_S)
         wait_s = (
@@ -64,13 +64,15 @@
     return StartDelay(
         now_s,
         ENTRY_QUIET_TIMEOUT_S,
-        ENTRY_MAX_DELAY_S + GROUP_DELAY_STEP_S * (group - 1),
+        ENTRY_DELAY_MAX_S + GROUP_DELAY_STEP_S * (group - 1),
     )
 
 
-def create_agent_delay(is_alone: bool, now_s: float, rng: random.Random) -> StartDelay:
+def create_agent_delay(
+    is_without_peers: bool, now_s: float, rng: random.Random
+) -> StartDelay:
     """Create the delay of an agent, which reads after all entries."""
-    if is_alone:
+    if is_without_peers:
         wait_s = LATE_DELAY_MAX_S + rng.uniform(0.0, EARLY_DELAY_MAX_S)
         return StartDelay(now_s, wait_s, wait_s)
-    return StartDelay(now_s, AGENT_QUIET_TIMEOUT_S, AGENT_MAX_DELAY_S)
+    return StartDelay(now_s, AGENT_QUIET_TIMEOUT_S, AGENT_DELAY_MAX_S)
--- a/reedspar/fleet/tests/test_document_poll.py
+++ b/reedspar/fleet/tests/test_document_poll.py
@@ -63,14 +63,14 @@
             is_relayed=True,
         )
 
-    def receive_news(self, revision: int) -> None:
+    def receive_revision(self, revision: int) -> None:
         self.network.deliver(RANKED[0], DocumentNews(PREFIX, revision, revision, True))
 
     async def run_poll(self, revision: int) -> bool:
         """Poll while a peer reports a revision and sends the entry shortly after."""
 
         async def answer() -> None:
-            self.receive_news(revision)
+            self.receive_revision(revision)
             await anyio.sleep(ANSWER_DELAY_S)
             entry = WatchedEntry("versions/m", b"2", 8)
             self.feed.apply_from_peer(PREFIX, [entry])
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -14,7 +14,7 @@
     create_fleet_feed,
 )
 from reedspar.fleet.messages import FleetEntries, FleetRequest
-from reedspar.fleet.prefix_cache import LEASE_EXPIRY_MIN_OUTAGE_S
+from reedspar.fleet.prefix_cache import LEASE_EXPIRY_OUTAGE_MIN_S
 from reedspar.fleet.tests.fakes import FakeCodec, FakeStore
 from reedspar.requests.tests.fakes import FakeNetwork
 from reedspar.timers import TimerService, VirtualClock
@@ -147,7 +147,7 @@
         # machine must not defer the removal until 2 s after the end of its outage, as
         # the store has served the peer that reports the removal throughout.
         self.unserved.feed.caches["targets/"].mark_unavailable()
-        self.unserved.clock.advance(LEASE_EXPIRY_MIN_OUTAGE_S)
+        self.unserved.clock.advance(LEASE_EXPIRY_OUTAGE_MIN_S)
         gone = WatchedEntry("targets/t1", None, 9)
         self.served.feed.caches["targets/"].apply([gone], 9, 0.0)
         self.unserved.tick()
@@ -160,7 +160,7 @@
         # written again shortly.
         for daemon in (self.unserved, self.served):
             daemon.feed.caches["targets/"].mark_unavailable()
-            daemon.clock.advance(LEASE_EXPIRY_MIN_OUTAGE_S)
+            daemon.clock.advance(LEASE_EXPIRY_OUTAGE_MIN_S)
         gone = WatchedEntry("targets/t1", None, 9)
         now_s = self.served.clock.now_s()
         self.served.feed.caches["targets/"].apply([gone], 9, now_s)
--- a/reedspar/fleet/tests/test_feed.py
+++ b/reedspar/fleet/tests/test_feed.py
@@ -172,7 +172,7 @@
             async def poll() -> bool:
                 return answers.pop(0)
 
-            feed.set_poller("zones/", poll)
+            feed.set_peer_poll("zones/", poll)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(feed.run)
                 with anyio.fail_after(2 * RETRY_DELAY_MAX_S):
--- a/reedspar/fleet/tests/test_packing.py
+++ b/reedspar/fleet/tests/test_packing.py
@@ -5,7 +5,11 @@
 from dataclasses import replace
 
 from reedspar.fleet import WatchedEntry
-from reedspar.fleet.packing import UNPACKED_MAX_BYTES, EntryPacker, unpack_entry
+from reedspar.fleet.packing import (
+    DECOMPRESSED_VALUE_MAX_BYTES,
+    EntryPacker,
+    unpack_entry,
+)
 
 LARGE = WatchedEntry("doc", b'{"route": "/a/b/c"}, ' * 1000, 7)
 
@@ -37,7 +41,7 @@
     def test_value_above_size_limit_is_rejected(self) -> None:
         # A few bytes that decompress to gigabytes would exhaust the daemon's memory.
         packed = EntryPacker().pack(LARGE)
-        bomb = zlib.compress(bytes(UNPACKED_MAX_BYTES + 1))
+        bomb = zlib.compress(bytes(DECOMPRESSED_VALUE_MAX_BYTES + 1))
         self.assertIsNone(unpack_entry(replace(packed, value=bomb)))
 
     def test_truncated_or_corrupt_value_is_rejected(self) -> None:
--- a/reedspar/fleet/tests/test_reader_selection.py
+++ b/reedspar/fleet/tests/test_reader_selection.py
@@ -7,7 +7,7 @@
     READER_TIMEOUT_S,
     READERS_PER_REGION,
     REPORT_INTERVAL_S,
-    SMALL_REGION_MAX_ENTRIES,
+    SMALL_REGION_ENTRIES_MAX,
     ReaderSelection,
 )
 
@@ -37,14 +37,14 @@
         self.assertEqual(
             self.reading(REPORT_INTERVAL_S), self.order[:READERS_PER_REGION]
         )
-        self.assertEqual(self.ranked[0].listeners, self.order[READERS_PER_REGION:])
+        self.assertEqual(self.ranked[0].standbys, self.order[READERS_PER_REGION:])
 
     def test_every_entry_reads_in_small_region(self) -> None:
-        selections = make_selections(ENTRY_NAMES[:SMALL_REGION_MAX_ENTRIES])
+        selections = make_selections(ENTRY_NAMES[:SMALL_REGION_ENTRIES_MAX])
         self.assertTrue(
             all(selection.is_reading(0.0) for selection in selections.values())
         )
-        self.assertEqual(selections["e0"].listeners, [])
+        self.assertEqual(selections["e0"].standbys, [])
 
     def test_first_standbys_are_next_in_rank(self) -> None:
         is_first_standby = [
--- a/reedspar/fleet/tests/test_relay.py
+++ b/reedspar/fleet/tests/test_relay.py
@@ -44,8 +44,8 @@
     def setUp(self) -> None:
         selection = ReaderSelection(READERS_KEY, 0.0)
         selection.update_members(LOCAL_ENTRIES[0], LOCAL_ENTRIES)
-        self.listeners = selection.listeners
-        self.readers = [name for name in LOCAL_ENTRIES if name not in self.listeners]
+        self.standbys = selection.standbys
+        self.readers = [name for name in LOCAL_ENTRIES if name not in self.standbys]
 
     def create(self, name: str) -> None:
         self.clock = VirtualClock()
@@ -85,45 +85,45 @@
         self.timers.run_due()
 
     def receive_report(self, revision: int, sender: str = "") -> None:
-        news = FleetNews((PrefixState(PREFIX, revision, revision, 0),), True)
-        self.network.deliver(sender or self.readers[0], news)
+        report = FleetNews((PrefixState(PREFIX, revision, revision, 0),), True)
+        self.network.deliver(sender or self.readers[0], report)
 
     def requested_peers(self) -> list[str]:
         return [p for p, m in self.network.sent if isinstance(m, FleetRequest)]
 
 
 class RelayTest(RelayTestCase):
-    def test_reader_reports_change_to_all_listeners_immediately(self) -> None:
+    def test_reader_reports_change_to_all_standbys_immediately(self) -> None:
         self.create(self.readers[0])
         self.feed.apply_from_peer(PREFIX, [WatchedEntry("versions/m", b"2", 8)])
         recipients = [p for p, m in self.network.sent if isinstance(m, FleetNews)]
-        self.assertEqual(recipients, self.listeners)
+        self.assertEqual(recipients, self.standbys)
         self.assertEqual(len(self.readers), READERS_PER_REGION)
 
-    def test_listener_requests_change_from_first_reporting_reader(self) -> None:
-        self.create(self.listeners[0])
+    def test_standby_requests_change_from_first_reporting_reader(self) -> None:
+        self.create(self.standbys[0])
         self.receive_report(8)
         self.receive_report(8, self.readers[1])
         self.assertEqual(self.requested_peers(), [self.readers[0]])
 
-    def test_listener_asks_another_reader_without_answer(self) -> None:
+    def test_standby_asks_another_reader_without_answer(self) -> None:
         # A reader hangs after it has reported a change.
-        self.create(self.listeners[0])
+        self.create(self.standbys[0])
         self.receive_report(8)
         for _ in range(round(ANSWER_TIMEOUT_S / TICK_S) + 1):
             self.tick()
         self.receive_report(8, self.readers[1])
         self.assertEqual(self.requested_peers(), self.readers[:2])
 
-    def test_listener_requests_next_change_immediately(self) -> None:
+    def test_standby_requests_next_change_immediately(self) -> None:
         # Two changes follow each other, and the answer for the first is still pending.
-        self.create(self.listeners[0])
+        self.create(self.standbys[0])
         self.receive_report(8)
         self.receive_report(9)
         self.assertEqual(len(self.requested_peers()), 2)
 
-    def test_listener_does_not_poll_while_readers_report(self) -> None:
-        self.create(self.listeners[-1])
+    def test_standby_does_not_poll_while_readers_report(self) -> None:
+        self.create(self.standbys[-1])
         for _ in range(50):
             self.tick()
             self.receive_report(5)
@@ -132,7 +132,7 @@
 
     def test_first_standby_polls_only_other_regions(self) -> None:
         # Readers with slow links continue to report that the store serves them.
-        self.create(self.listeners[0])
+        self.create(self.standbys[0])
         for _ in range(50):
             self.tick()
             self.receive_report(5)
@@ -149,7 +149,7 @@
     def test_answer_advances_own_watch(self) -> None:
         # If the watch continued from the older revision, the store would send the
         # document again.
-        self.create(self.listeners[0])
+        self.create(self.standbys[0])
         entry = FleetEntry("versions/m", b"2", 8, False)
         self.network.deliver(self.readers[0], FleetEntries(PREFIX, 12, (entry,)))
         self.assertEqual(self.feed.caches[PREFIX].revision, 12)
@@ -167,12 +167,12 @@
         return [p for p, m in self.network.sent if isinstance(m, FleetEntries)]
 
     def test_only_reader_pushes_change(self) -> None:
-        self.assertEqual(self.recipients(self.readers[0]), self.listeners)
-        self.assertEqual(self.recipients(self.listeners[-1]), [])
+        self.assertEqual(self.recipients(self.readers[0]), self.standbys)
+        self.assertEqual(self.recipients(self.standbys[-1]), [])
 
-    def test_listener_with_different_digest_requests_all_entries(self) -> None:
+    def test_standby_with_different_digest_requests_all_entries(self) -> None:
         # Guards against a lost change going unnoticed once a newer one has arrived.
-        self.create(self.listeners[-1])
+        self.create(self.standbys[-1])
         digest = self.feed.caches[PREFIX].digest
         for reader_digest, expected_requests in (
             (digest, []),
@@ -184,7 +184,7 @@
             self.assertEqual(requests, expected_requests)
 
     def test_lagging_reader_is_not_asked(self) -> None:
-        self.create(self.listeners[-1])
+        self.create(self.standbys[-1])
         state = PrefixState(PREFIX, 3, 4, 1)
         self.network.deliver(self.readers[0], FleetNews((state,), True))
         self.assertEqual(self.requested_peers(), [])
--- a/reedspar/fleet/tests/test_relay_pause.py
+++ b/reedspar/fleet/tests/test_relay_pause.py
@@ -56,8 +56,8 @@
     def tick(self, count: int) -> None:
         for _ in range(count):
             self.clock.advance(CHECK_INTERVAL_S)
-            news = FleetNews((PrefixState(KEY, 0, 0, 0),), True)
-            self.network.deliver(self.reader, news)
+            report = FleetNews((PrefixState(KEY, 0, 0, 0),), True)
+            self.network.deliver(self.reader, report)
             self.timers.run_due()
 
     def test_resumed_daemon_waits_for_reports_before_reading(self) -> None:
--- a/reedspar/fleet/tests/test_start_delay.py
+++ b/reedspar/fleet/tests/test_start_delay.py
@@ -4,8 +4,8 @@
 import unittest
 
 from reedspar.fleet.start_delay import (
-    AGENT_MAX_DELAY_S,
-    ENTRY_MAX_DELAY_S,
+    AGENT_DELAY_MAX_S,
+    ENTRY_DELAY_MAX_S,
     ENTRY_QUIET_TIMEOUT_S,
     LATE_DELAY_MAX_S,
     StartDelay,
@@ -26,15 +26,17 @@
                 delay.record_peer_starting(now_s)
         return now_s
 
-    def create(self, group: int, is_alone: bool = False, seed: int = 1) -> StartDelay:
-        return create_entry_delay(group, is_alone, 0.0, random.Random(seed))
+    def create(
+        self, group: int, is_without_peers: bool = False, seed: int = 1
+    ) -> StartDelay:
+        return create_entry_delay(group, is_without_peers, 0.0, random.Random(seed))
 
     def test_first_group_does_not_wait(self) -> None:
         self.assertEqual(self.wait(self.create(0), True), 0.0)
 
     def test_later_groups_wait_limited_time_while_first_starts(self) -> None:
         ends = [self.wait(self.create(group), True) for group in range(1, 4)]
-        self.assertGreaterEqual(ends[0], ENTRY_MAX_DELAY_S)
+        self.assertGreaterEqual(ends[0], ENTRY_DELAY_MAX_S)
         self.assertEqual(ends, sorted(set(ends)))
 
     def test_later_groups_read_soon_if_first_is_absent(self) -> None:
@@ -60,7 +62,7 @@
         self.assertGreaterEqual(self.wait(without_peers, False), LATE_DELAY_MAX_S)
         with_peers = create_agent_delay(False, 0.0, rng)
         self.assertGreaterEqual(
-            self.wait(with_peers, True), AGENT_MAX_DELAY_S - CHECK_INTERVAL_S
+            self.wait(with_peers, True), AGENT_DELAY_MAX_S - CHECK_INTERVAL_S
         )
 
 
--- a/reedspar/fleet/tests/test_view.py
+++ b/reedspar/fleet/tests/test_view.py
@@ -75,13 +75,13 @@
         self.assertEqual(named, [2, 3])
 
     def test_listeners_are_notified_of_effective_changes_only(self) -> None:
-        heard = []
-        self.view.on_change(heard.append)
+        notified = []
+        self.view.on_change(notified.append)
         record = DaemonRecord("e1", "entry", "a", "r", "10.0.0.1", 1, 2)
         for change in (ZoneChange("a", True), DaemonChange("e1", record)):
             self.view.apply(change)
             self.view.apply(change)
-        self.assertEqual(len(heard), 2)
+        self.assertEqual(len(notified), 2)
         self.assertEqual(self.view.daemons("entry"), (record,))
 
 
--- a/reedspar/fleet/tests/test_watch_gate.py
+++ b/reedspar/fleet/tests/test_watch_gate.py
@@ -18,7 +18,7 @@
 
         async def call() -> str:
             await anyio.sleep(1.0)
-            return "news"
+            return "result"
 
         async def follow() -> None:
             while len(results) < 2:
@@ -35,7 +35,7 @@
             await anyio.sleep(5.0)
             self.assertEqual(results, [None])
             gate.set_open(True)
-        self.assertEqual(results, [None, "news"])
+        self.assertEqual(results, [None, "result"])
 
 
 if __name__ == "__main__":
--- a/reedspar/fleet/view.py
+++ b/reedspar/fleet/view.py
@@ -19,9 +19,9 @@
 
 __all__ = ["FleetView", "KnownTarget"]
 
-MAX_VERSIONS_PER_MODEL = 4
+VERSIONS_PER_MODEL_MAX = 4
 """Maximum number of named versions kept for a model; the origin keeps two."""
-MIN_LOGGED_CORRECTION_S = 0.1
+LOGGED_CORRECTION_MIN_S = 0.1
 """Smallest correction of a naming time that is logged."""
 
 _logger = logging.getLogger(__name__)
@@ -134,7 +134,7 @@
             if known.version != version or named_at_s >= known.named_at_s:
                 continue
             named[i] = replace(known, named_at_s=named_at_s)
-            if known.named_at_s - named_at_s >= MIN_LOGGED_CORRECTION_S:
+            if known.named_at_s - named_at_s >= LOGGED_CORRECTION_MIN_S:
                 _logger.info(
                     "naming time of weights corrected",
                     extra={
@@ -241,7 +241,7 @@
             return False
         now_s = self._timers.now_s()
         named.append(NamedVersion(change.model, change.version, now_s, now_s))
-        del named[:-MAX_VERSIONS_PER_MODEL]
+        del named[:-VERSIONS_PER_MODEL_MAX]
         _logger.info(
             "weights named", extra={"model": change.model, "version": change.version}
         )
@@ -253,4 +253,4 @@
     if all(known.version != skipped.version for known in named):
         named.append(skipped)
         named.sort(key=lambda known: known.version)
-        del named[:-MAX_VERSIONS_PER_MODEL]
+        del named[:-VERSIONS_PER_MODEL_MAX]
