--- a/reedspar/fleet/document_poll.py
+++ b/reedspar/fleet/document_poll.py
@@ -1,6 +1,6 @@
-"""Reads a document from entries of the same region instead of the store.
+"""Reads a document from entry daemons of the same region instead of the store.
 
-A document is a prefix with a single entry, such as the configuration.
+A document is a prefix with a single key, such as the configuration.
 """
 
 import random
@@ -30,7 +30,7 @@
 
 
 class DocumentPoll:
-    """Requests a document from entries of the region."""
+    """Requests a document from entry daemons of the region."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         self._selection = ReaderSelection(READERS_KEY, timers.now_s())
         self._start_delay: StartDelay | None = None
         feed.on_entries_changed(self._handle_changes)
-        network.subscribe(DocumentNews, self._handle_reply)
+        network.subscribe(DocumentNews, self._handle_answer)
 
     async def poll(self) -> bool:
-        """Request changes; return True if a peer answered and was not behind."""
+        """Request changes; return whether a peer that has the document answered."""
         if self._cache.newest_revision == 0:
             return await self._poll_initially()
         local_entry_names = self._local_entry_names()
@@ -100,7 +100,8 @@
         local_entry_names = self._local_entry_names()
         self._update_selection(local_entry_names)
         if not local_entry_names:
-            # A peer sends the document compressed: a tenth of its size in the store.
+            # Other regions are asked before the store, as peers compress the document
+            # to a tenth of the size that the store sends.
             remote_entry_names = [daemon.name for daemon in self._other_entry_daemons()]
             return self._rng.sample(remote_entry_names, min(1, len(remote_entry_names)))
         random_entry_name = self._rng.choice(local_entry_names)
@@ -134,13 +135,13 @@
         entry_daemons = self._view.daemons(Role.ENTRY.value)
         return [daemon for daemon in entry_daemons if daemon.name != self._name]
 
-    def _handle_reply(self, sender: Sender, reply: DocumentNews) -> None:
-        if reply.prefix != self._cache.prefix:
+    def _handle_answer(self, sender: Sender, answer: DocumentNews) -> None:
+        if answer.prefix != self._cache.prefix:
             return
-        if 0 < reply.newest_revision <= self._cache.newest_revision:
+        if 0 < answer.newest_revision <= self._cache.newest_revision:
             self._answered.set()
         elif (
-            reply.newest_revision == 0
+            answer.newest_revision == 0
             and self._start_delay is not None
             and self._is_in_earlier_group(sender.name)
         ):
--- a/reedspar/fleet/exchange.py
+++ b/reedspar/fleet/exchange.py
@@ -85,7 +85,7 @@
             feed.set_peer_poll(cache.prefix, poll.poll)
 
     def poll_peers(self) -> None:
-        """Request entries newer than those of this daemon from peers."""
+        """Ask peers for entries that are newer than this daemon's."""
         peers = self._choose_peers()
         caches = [
             cache for cache in self._feed.shared_caches if self._needs_peer_poll(cache)
@@ -101,7 +101,7 @@
         return not self._relay.is_relayed(cache.prefix) or self._relay.is_polling_peers
 
     def _choose_peers(self) -> list[str]:
-        # Agents are not asked, as they follow fewer prefixes than entries.
+        # Agents are not asked, as they follow fewer prefixes than entry daemons.
         entry_daemons = self._view.daemons(Role.ENTRY.value)
         names = [e.name for e in entry_daemons if e.name != self._name]
         if self._feed.is_store_unavailable:
@@ -128,8 +128,8 @@
             )
         else:
             newest, covered = cache.newest_revision, cache.revision
-            reply = DocumentNews(cache.prefix, newest, covered, True)
-            self._network.send(sender.name, reply)
+            answer = DocumentNews(cache.prefix, newest, covered, True)
+            self._network.send(sender.name, answer)
 
     def _handle_request(self, sender: Sender, request: FleetRequest) -> None:
         """Send newer entries; the peer's prefix may be narrower than the cached one."""
--- a/reedspar/fleet/feed.py
+++ b/reedspar/fleet/feed.py
@@ -25,7 +25,7 @@
 It is below the 20 s of history that the store keeps.  A longer watch may fail with
 EXPIRED, after which the prefix has to be listed again."""
 RECOVERY_WATCH_TIMEOUT_S = 0.05
-"""Watch timeout after a failure; its answer shows that the store is available again."""
+"""Watch timeout after a failure, short so that recovery is detected early."""
 RETRY_DELAY_MIN_S = 0.3
 RETRY_DELAY_MAX_S = 0.6
 """Bounds of the random delay between calls while the store is unavailable.
@@ -126,7 +126,7 @@
 
     @property
     def shared_caches(self) -> list[PrefixCache]:
-        """Return the caches of the prefixes that peers exchange."""
+        """Return the caches of the watched prefixes, whose entries peers exchange."""
         return [
             cache
             for prefix, cache in self._caches.items()
@@ -145,7 +145,7 @@
 
     @property
     def polled_caches(self) -> list[PrefixCache]:
-        """Return the caches of the prefixes that are polled."""
+        """Return the caches of the prefixes that are read at intervals, not watched."""
         return [
             cache
             for prefix, cache in self._caches.items()
@@ -153,7 +153,7 @@
         ]
 
     def set_peer_poll(self, prefix: str, poll: Callable[[], Awaitable[bool]]) -> None:
-        """Call `poll` before each read of the store; True skips the read."""
+        """Call `poll` to ask peers before each read of the store; True skips it."""
         self._peer_polls[prefix] = poll
 
     def on_entries_changed(self, listener: EntriesListener) -> None:
@@ -228,7 +228,7 @@
                 tasks.start_soon(self._read_and_follow, cache, is_from_peers)
 
     def _is_peer_document(self, prefix: str) -> bool:
-        """Return whether a prefix has one entry that peers are asked for first."""
+        """Return whether a prefix is a document (one key) that peers are asked for."""
         return prefix in self._peer_polls and not self._prefixes[prefix].is_pushed
 
     def apply_from_peer(self, prefix: str, entries: Iterable[WatchedEntry]) -> int:
@@ -327,7 +327,7 @@
         return await self._store.watch_entries(cache.prefix, after, wait_s)
 
     def _is_relayed_document(self, prefix: str) -> bool:
-        """Return whether a prefix has one entry; peers' revisions then leave no gap."""
+        """Return whether a prefix is a relayed document; one key leaves no gap."""
         options = self._prefixes[prefix]
         return options.is_relayed and not options.is_pushed
 
--- a/reedspar/fleet/messages.py
+++ b/reedspar/fleet/messages.py
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLoadNews:
-    """Reports the load of an agent's target to entries."""
+    """Reports the load of an agent's target to entry daemons."""
 
     host: str
     port: int
--- a/reedspar/fleet/packing.py
+++ b/reedspar/fleet/packing.py
@@ -8,6 +8,7 @@
 __all__ = ["EntryPacker", "unpack_entry"]
 
 COMPRESSED_VALUE_MIN_BYTES = 1024
+"""Size from which a value is compressed."""
 DECOMPRESSED_VALUE_MAX_BYTES = 4 * 1024 * 1024
 """Size limit of a decompressed value, so that a small message can't exhaust memory."""
 COMPRESSION_LEVEL = 1
--- a/reedspar/fleet/prefix_cache.py
+++ b/reedspar/fleet/prefix_cache.py
@@ -15,11 +15,11 @@
 LEASE_EXPIRY_GRACE_S = 2.0
 """How long an expired entry is kept after the store has become available again.
 
-According to the platform, entries whose leases expired during an outage are
-written again about two seconds after its end.  A target that has left must get no
-more requests three seconds after it; up to 0.6 s pass before the end is noticed."""
+According to the platform, entries whose leases expired during an outage are written
+again about two seconds after its end.  From three seconds after its end on, a target
+that has left must get no more requests.  Up to 0.6 s pass before the end is noticed."""
 LEASE_EXPIRY_OUTAGE_MIN_S = 2.0
-"""Shortest time without any answer of the store after which a lease may expire.
+"""Shortest time without any answer of the store after which a lease may have expired.
 
 Leases last three seconds or more and are renewed once a second.  An interrupted watch
 or a single refused call is not such an outage."""
--- a/reedspar/fleet/prefix_poll.py
+++ b/reedspar/fleet/prefix_poll.py
@@ -39,7 +39,7 @@
         self._selection = ReaderSelection(READERS_KEY, 0.0)
         self._answered = anyio.Event()
         network.subscribe(FleetEntries, self._handle_entries)
-        network.subscribe(DocumentNews, self._handle_reply)
+        network.subscribe(DocumentNews, self._handle_answer)
 
     async def poll(self) -> bool:
         """Request the entries; return whether a peer has answered."""
@@ -66,8 +66,10 @@
         if message.prefix == self._cache.prefix and message.is_whole:
             self._answered.set()
 
-    def _handle_reply(self, sender: Sender, reply: DocumentNews) -> None:
+    def _handle_answer(self, sender: Sender, answer: DocumentNews) -> None:
         """Handle the answer of a peer that has no entry below the prefix."""
-        if reply.prefix == self._cache.prefix and reply.covered_revision:
-            self._cache.advance_revision(reply.newest_revision, reply.covered_revision)
+        if answer.prefix == self._cache.prefix and answer.covered_revision:
+            self._cache.advance_revision(
+                answer.newest_revision, answer.covered_revision
+            )
             self._answered.set()
--- a/reedspar/fleet/reader_selection.py
+++ b/reedspar/fleet/reader_selection.py
@@ -11,7 +11,7 @@
 READERS_PER_REGION = 2
 """Number of daemons that read the store for a region; also the size of a group."""
 SMALL_REGION_ENTRIES_MAX = 2
-"""In a region with no more entries than this, each daemon reads the store itself."""
+"""Maximum number of entry daemons in a region where each reads the store itself."""
 REPORT_INTERVAL_S = 0.4
 """Interval between two state reports of a reader."""
 READER_TIMEOUT_S = 1.1
@@ -25,9 +25,9 @@
 class ReaderSelection:
     """Tracks which daemons of this region read the store.
 
-    Entries rank before agents.  The first daemons in rank are the default readers.  The
-    others take over, group by group, while no reader of an earlier group reports that
-    the store answers it.
+    Entry daemons rank before agents.  The first daemons in rank are the default
+    readers.  The others, the standbys, take over group by group while no reader of an
+    earlier group reports that the store answers it.
     """
 
     def __init__(self, key: str, now_s: float) -> None:
@@ -56,12 +56,12 @@
 
     @property
     def is_small_region(self) -> bool:
-        """Return whether each daemon of this region reads the store itself."""
+        """Return whether each entry daemon of this region reads the store itself."""
         return self._is_small_region
 
     @property
     def standbys(self) -> list[str]:
-        """Return the daemons of this region that readers send their state to."""
+        """Return the region's other daemons, to which readers send their state."""
         return self._ranked[READERS_PER_REGION:]
 
     @property
@@ -77,7 +77,7 @@
     def update_members(
         self, own_name: str, names: Iterable[str], agents: Iterable[str] = ()
     ) -> None:
-        """Set the entries and agents of this region, including this daemon."""
+        """Set this region's entry daemons and agents by name, including this daemon."""
         self._members, previous_members = (tuple(names), tuple(agents)), self._members
         if self._members != previous_members:
             entry_names, agent_names = self._members
--- a/reedspar/fleet/records.py
+++ b/reedspar/fleet/records.py
@@ -31,7 +31,7 @@
     started_ms: int = 0
     """Start of the target's process, Unix time in ms; distinguishes its restarts."""
     weights: Mapping[str, int] = field(default_factory=dict)
-    """Version by model, for the models that the target has completely."""
+    """Version of each model that the target holds completely."""
 
     @property
     def boot_id(self) -> str:
--- a/reedspar/fleet/registration.py
+++ b/reedspar/fleet/registration.py
@@ -14,10 +14,10 @@
 __all__ = ["LEASE_TTL_S", "Registration", "create_registration"]
 
 LEASE_TTL_S = 3.0
-"""Time to live of the lease; the registration outlives this process by it.
+"""Time to live of the lease: how long the registration may outlive this process.
 
 Callers are given the addresses of registered entry daemons.  The platform allows a dead
-one to be named for 6 s, and a renewal costs a tenth of a read."""
+one to be listed for 6 s, and a renewal costs a tenth of a read."""
 RENEWAL_INTERVAL_S = 1.0
 """A third of the lease, so that a single lost renewal has no effect."""
 RETRY_DELAY_S = 0.5
--- a/reedspar/fleet/relay.py
+++ b/reedspar/fleet/relay.py
@@ -27,9 +27,10 @@
 ANSWER_TIMEOUT_S = 0.6
 """Time without an answer after which a reader's report may cause another request."""
 FULL_REQUEST_INTERVAL_S = 1.5
-"""Interval between two requests for all entries of a prefix.
+"""Minimum interval between two requests for all entries of a prefix.
 
-The digest of a reader that defers removals differs for two seconds."""
+The digest of a reader that defers removals differs for two seconds, though no
+message was lost."""
 SECONDARY_BATCH_INTERVAL_S = 0.8
 """Minimum pause between two watches of a reader that is not its group's primary.
 
@@ -117,6 +118,7 @@
             self._is_selection_current = False
 
     def _update_reading(self) -> None:
+        """Start or stop watching the relayed prefixes, as selected."""
         is_listed = any(cache.revision for cache in self._caches.values())
         if not is_listed and not self._view.daemon_names():
             # Without known peers this daemon would select itself as a reader and start
@@ -198,6 +200,7 @@
                 self._sync_document(sender.name, state)
 
     def _sync_document(self, peer: str, state: PrefixState) -> None:
+        """Request a document of which a reader has a newer revision."""
         cache = self._caches[state.prefix]
         cache.advance_revision(state.newest_revision, state.covered_revision)
         if state.newest_revision > cache.newest_revision:
@@ -222,7 +225,7 @@
             self._network.send(peer, FleetRequest(state.prefix, after))
 
     def _poll_remote_entry_daemon(self) -> None:
-        """Ask an entry of another region for changes that local readers may miss."""
+        """Ask another region's entry daemon for changes that local readers may miss."""
         if not self.is_polling_peers and not self._selection.is_first_standby:
             return
         remote_entry_daemons = [
--- a/reedspar/fleet/start_delay.py
+++ b/reedspar/fleet/start_delay.py
@@ -20,16 +20,17 @@
 LATE_DELAY_MAX_S = 5.0
 """Bounds of the random delays of daemons that know no other daemon.
 
-A share of them reads early.  The others wait until those can be discovered, even if
-their messages are queued behind the documents that they read."""
+A share of them reads early.  The others wait long enough to discover the early ones,
+whose messages may be queued behind the documents that these read."""
 
 
 @dataclass(slots=True)
 class StartDelay:
     """Delay after which this daemon reads the document from the store itself.
 
-    After a power failure all daemons start at once.  Those of the first group read the
-    store; the others wait while these report that they are starting.
+    After a power failure all daemons start at once.  Those of the first group (see
+    `ReaderSelection`) read the store; the others wait while daemons of earlier groups
+    report that they are starting.
     """
 
     started_s: float
--- a/reedspar/fleet/store.py
+++ b/reedspar/fleet/store.py
@@ -42,7 +42,7 @@
 
 
 class WatchableStore(Protocol):
-    """The listing and watching calls of the platform's store; each call is paid for."""
+    """The listing and watching calls of the platform's store; each call is billed."""
 
     async def list_entries(self, prefix: str) -> Listing | Failure:
         """Return every entry below a prefix."""
--- a/reedspar/fleet/store_latency.py
+++ b/reedspar/fleet/store_latency.py
@@ -1,4 +1,4 @@
-"""Monitors the store's latency by this daemon's short calls."""
+"""Monitors the store's latency by calls that it normally answers at once."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,7 +8,7 @@
 __all__ = ["StoreLatencyMonitor"]
 
 SLOW_CALL_S = 0.5
-"""Duration of a short call above which the store is slow; it is usually 5 ms."""
+"""Duration of such a call above which the store counts as slow; 5 ms is usual."""
 SLOW_STATE_DURATION_S = 2.0
 """How long the store counts as slow after a slow call.
 
@@ -37,7 +37,7 @@
 
     @contextmanager
     def measure(self) -> Iterator[None]:
-        """Measure the duration of a short call."""
+        """Measure the duration of a call that the store normally answers at once."""
         self._started_s = self._timers.now_s()
         try:
             yield
--- a/reedspar/fleet/tests/test_document_poll.py
+++ b/reedspar/fleet/tests/test_document_poll.py
@@ -1,4 +1,4 @@
-"""Tests of reading a document from entries instead of the store."""
+"""Tests of reading a document from entry daemons instead of the store."""
 
 import random
 import unittest
--- a/reedspar/fleet/tests/test_exchange.py
+++ b/reedspar/fleet/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of getting changes from peers that the store does not send."""
+"""Tests of getting changes from peers if the store does not send them."""
 
 import random
 import unittest
--- a/reedspar/fleet/tests/test_feed.py
+++ b/reedspar/fleet/tests/test_feed.py
@@ -88,7 +88,7 @@
 
     def test_successive_changes_are_fetched_by_one_call(self) -> None:
         # All daemons start at once.  If each of 24 daemons makes a call for each start
-        # of another one, they make hundreds of calls, all of which are paid for.
+        # of another one, they make hundreds of calls, all of which are billed.
         async def script(store: FakeStore, feed: FleetFeed) -> None:
             before = store.calls.count("watch")
             for i in range(10):
@@ -154,8 +154,8 @@
 
     def test_initial_read_asks_peers_again_after_store_failure(self) -> None:
         # After a power failure the link is saturated, and reads of a document time out.
-        # They were retried for ten seconds, though peers had the document since the
-        # third second.
+        # A daemon that only retries them gets the document after ten seconds, though
+        # its peers have it after three.
         async def run() -> None:
             store = FakeStore()
             store.is_unavailable = True
--- a/reedspar/fleet/tests/test_relay_pause.py
+++ b/reedspar/fleet/tests/test_relay_pause.py
@@ -29,7 +29,7 @@
         self.clock = VirtualClock(100.0)
         self.timers = TimerService(self.clock)
         self.view = FleetView(self.timers)
-        for name, region in [*((name, "ra") for name in LOCAL_ENTRIES), ("far", "rb")]:
+        for name, region in [*((name, "ra") for name in LOCAL_ENTRIES), ("f0", "rb")]:
             record = DaemonRecord(name, "entry", "a", region, "10.0.0.1", 1, 2)
             self.view.apply(DaemonChange(name, record))
         ranked = rank_by_rendezvous(READERS_KEY, LOCAL_ENTRIES)
--- a/reedspar/fleet/tests/test_watch_gate.py
+++ b/reedspar/fleet/tests/test_watch_gate.py
@@ -1,4 +1,4 @@
-"""Tests of a gate that cancels and resumes calls."""
+"""Tests of a gate that suspends and cancels calls."""
 
 import unittest
 
--- a/reedspar/fleet/version_ages.py
+++ b/reedspar/fleet/version_ages.py
@@ -1,6 +1,7 @@
-"""Corrects the naming times of model versions by asking peers for their age.
+"""Corrects the naming times of model versions by the ages that peers report.
 
-This daemon may learn of a new version later than its peers do.
+Operators name a version by writing it to the store.  This daemon may learn of it later
+than its peers do.
 """
 
 import random
@@ -52,7 +53,7 @@
     def request_ages(self, peers: Sequence[str]) -> None:
         """Ask peers, and sometimes a random one, about recently learned versions."""
         horizon_s = self._timers.now_s() - QUERY_WINDOW_S
-        recent = [i for i in self._view.all_versions() if i.learned_at_s > horizon_s]
+        recent = [v for v in self._view.all_versions() if v.learned_at_s > horizon_s]
         if not recent:
             return
         for peer in [*peers, *self._choose_random_peer()]:
--- a/reedspar/fleet/view.py
+++ b/reedspar/fleet/view.py
@@ -64,7 +64,7 @@
         self._listeners.append(listener)
 
     def mark_initialized(self) -> None:
-        """Mark the initial listing as complete; later targets have just started."""
+        """Mark the initial listing as complete; later targets count as just started."""
         self._is_initialized = True
 
     def target(self, target_id: str) -> KnownTarget | None:
--- a/reedspar/fleet/watch_gate.py
+++ b/reedspar/fleet/watch_gate.py
@@ -34,7 +34,7 @@
             self._scope.cancel()
 
     async def run(self, call: Callable[[], Awaitable[ResultT]]) -> ResultT | None:
-        """Wait for the gate to open, then call; return None if it closes meanwhile."""
+        """Call once the gate is open; return None if it closes during the call."""
         while not self._opened.is_set():
             await self._opened.wait()
         with anyio.CancelScope() as self._scope:
