--- a/reedspar/membership/controller.py
+++ b/reedspar/membership/controller.py
@@ -18,7 +18,7 @@
 from reedspar.timers import TimerService
 
 from .messages import MemberNews, MemberNotice, NoticeKind, make_notice
-from .polling import InstanceListTracker, is_poller, poll_interval_s
+from .polling import InstanceListTracker, is_frequent_poller, poll_interval_s
 from .subsets import choose_agents, choose_entries, choose_neighbours
 from .view import Member, MembershipView
 
@@ -28,9 +28,9 @@
 GOSSIP_FANOUT = 3
 GOSSIP_ROUNDS_PER_NOTICE = 3
 """Intervals in which a notice is sent, each time to newly chosen random peers."""
-MAX_NOTICES_PER_MESSAGE = 8
+NOTICES_PER_MESSAGE_MAX = 8
 """Bounds the bytes per second while all daemons of a zone start or stop."""
-MAX_QUEUED_NOTICES = 4096
+QUEUED_NOTICES_MAX = 4096
 INITIAL_RETRY_DELAY_S = 1.0
 POLL_JITTER_RATIO = 0.25
 
@@ -76,8 +76,8 @@
         self._rng = rng
         self._wall_clock_s = wall_clock_s
         self._view = MembershipView(self._own)
-        self._list_changes = InstanceListTracker()
-        self._queued_notices: deque[_QueuedNotice] = deque(maxlen=MAX_QUEUED_NOTICES)
+        self._list_tracker = InstanceListTracker()
+        self._queued_notices: deque[_QueuedNotice] = deque(maxlen=QUEUED_NOTICES_MAX)
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
         self._desired_links: tuple[InstanceRecord, ...] | None = None
         self._view.on_change(self._invalidate_desired_links)
@@ -182,9 +182,9 @@
         self._desired_links = None
 
     def _make_own_notice(self, kind: NoticeKind) -> MemberNotice:
-        return make_notice(kind, self._own, self._incarnation, self._observed_ms())
+        return make_notice(kind, self._own, self._incarnation, self._wall_clock_ms())
 
-    def _observed_ms(self) -> int:
+    def _wall_clock_ms(self) -> int:
         return int(self._wall_clock_s() * 1000)
 
     def _poll(self) -> None:
@@ -202,8 +202,12 @@
             return
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
         self._apply_list(result)
-        is_polling = is_poller(self._own, self._view.zone_members(self._own.zone))
-        interval_s = poll_interval_s(self._min_poll_interval_s, len(result), is_polling)
+        is_frequent = is_frequent_poller(
+            self._own, self._view.zone_members(self._own.zone)
+        )
+        interval_s = poll_interval_s(
+            self._min_poll_interval_s, len(result), is_frequent
+        )
         self._timers.call_after(self._jitter(interval_s), self._poll)
 
     def _apply_list(self, records: tuple[InstanceRecord, ...]) -> None:
@@ -211,9 +215,9 @@
             # An instance list that has lost its state is empty, though the daemons are
             # alive.  If it were applied, callers would be given no addresses.
             return
-        notices = self._list_changes.update(records, self._observed_ms())
+        notices = self._list_tracker.update(records, self._wall_clock_ms())
         self._view.apply_list(records, self._timers.now_s())
-        if is_poller(self._own, self._view.zone_members(self._own.zone)):
+        if is_frequent_poller(self._own, self._view.zone_members(self._own.zone)):
             for notice in notices:
                 self._queue_notice(notice)
 
@@ -229,7 +233,7 @@
             return
         batch = [
             self._queued_notices.popleft()
-            for _ in range(min(MAX_NOTICES_PER_MESSAGE, len(self._queued_notices)))
+            for _ in range(min(NOTICES_PER_MESSAGE_MAX, len(self._queued_notices)))
         ]
         message = MemberNews(tuple(queued.notice for queued in batch))
         for peer in self._rng.sample(peers, min(GOSSIP_FANOUT, len(peers))):
--- a/reedspar/membership/polling.py
+++ b/reedspar/membership/polling.py
@@ -1,4 +1,4 @@
-"""Poll interval of the instance list, and the changes between two reads."""
+"""Intervals at which daemons poll the instance list, and changes between two reads."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,41 +8,43 @@
 
 from .messages import MemberNotice, NoticeKind, make_notice
 
-__all__ = ["InstanceListTracker", "is_poller", "poll_interval_s"]
+__all__ = ["InstanceListTracker", "is_frequent_poller", "poll_interval_s"]
 
 RECORD_SIZE_BYTES = 200
-POLLERS_PER_ZONE = 2
-POLLER_BYTES_PER_S = 4000
-"""Limit of a poller's traffic for reading the list; pollers gossip its changes."""
-NON_POLLER_BYTES_PER_S = 1000
+FREQUENT_POLLERS_PER_ZONE = 2
+FREQUENT_POLLER_MAX_BYTES_PER_S = 4000
+"""Limit of a frequent poller's traffic for reading the list; it gossips the changes."""
+OTHER_DAEMON_MAX_BYTES_PER_S = 1000
 """The same limit for other daemons, whose reads repair the effect of lost notices."""
 
 
-def is_poller(own: InstanceRecord, zone_members: Iterable[str]) -> bool:
-    """Return whether this daemon is one of its zone's pollers."""
+def is_frequent_poller(own: InstanceRecord, zone_members: Iterable[str]) -> bool:
+    """Return whether this daemon polls often for its zone and gossips the changes."""
     ranked = rank_by_rendezvous(f"membership/poll/{own.zone}", zone_members)
-    return own.name in ranked[:POLLERS_PER_ZONE]
+    return own.name in ranked[:FREQUENT_POLLERS_PER_ZONE]
 
 
 def poll_interval_s(
-    min_interval_s: float, record_count: int, is_polling: bool
+    min_interval_s: float, record_count: int, is_frequent: bool
 ) -> float:
     """Return the interval between two reads that keeps within the traffic limit.
 
     Each read transfers the whole list, so its size grows with the fleet while the limit
     of a daemon does not.
     """
-    budget = POLLER_BYTES_PER_S if is_polling else NON_POLLER_BYTES_PER_S
-    return max(min_interval_s, record_count * RECORD_SIZE_BYTES / budget)
+    max_bytes_per_s = (
+        FREQUENT_POLLER_MAX_BYTES_PER_S if is_frequent else OTHER_DAEMON_MAX_BYTES_PER_S
+    )
+    return max(min_interval_s, record_count * RECORD_SIZE_BYTES / max_bytes_per_s)
 
 
 @dataclass(slots=True)
 class InstanceListTracker:
     """Compares each read of the list with the previous one, not with the view.
 
-    The lists of pollers lag differently.  If they were compared with the view, a poller
-    with an older list would restore daemons that another has seen removed, and the view
-    would flap.
+    The lists of frequent pollers lag differently.  If they were compared with the view,
+    a poller with an older list would restore daemons that another has seen removed, and
+    the view would flap.
     """
 
     _previous: dict[str, InstanceRecord] = field(default_factory=dict)
--- a/reedspar/membership/subsets.py
+++ b/reedspar/membership/subsets.py
@@ -1,7 +1,7 @@
 """Deterministic subsetting: chooses which links a daemon opens.
 
 An agent dials a few entries of its own zone, so that every agent has the same number of
-links, whatever the sizes of the fleets.  An entry dials a few agents of each pool in
+links, whatever the number of daemons.  An entry dials a few agents of each pool in
 each zone, so that it can reach every zone.  Both choose by rendezvous hashing, so that
 a daemon that starts or stops changes only its own links.  Costs and rejected
 alternatives are described in docs/design/membership.md.
@@ -26,11 +26,11 @@
 ) -> list[InstanceRecord]:
     """Return the entries that an agent dials, preferring those of its zone."""
     records = list(entries)
-    near = [record for record in records if record.zone == own.zone]
-    chosen = _rank(own, near)[:ENTRY_LINKS_PER_AGENT]
+    same_zone = [record for record in records if record.zone == own.zone]
+    chosen = _rank(own, same_zone)[:ENTRY_LINKS_PER_AGENT]
     if len(chosen) < ENTRY_LINKS_PER_AGENT:
-        far = [record for record in records if record.zone != own.zone]
-        chosen += _rank(own, far)[: ENTRY_LINKS_PER_AGENT - len(chosen)]
+        other_zones = [record for record in records if record.zone != own.zone]
+        chosen += _rank(own, other_zones)[: ENTRY_LINKS_PER_AGENT - len(chosen)]
     return chosen
 
 
@@ -52,7 +52,7 @@
 def choose_neighbours(
     own: InstanceRecord, entries: Iterable[InstanceRecord]
 ) -> list[InstanceRecord]:
-    """Return the other entries that an entry dials, which connects the gossip."""
+    """Return the other entries that an entry dials, to connect the gossip network."""
     others = [record for record in entries if record.name != own.name]
     return _rank(own, others)[:NEIGHBOUR_COUNT]
 
--- a/reedspar/membership/view.py
+++ b/reedspar/membership/view.py
@@ -17,8 +17,8 @@
 REFUSED_DIAL_TTL_S = 15.0
 """How long a refused dial makes a daemon ineligible, unless it connects or joins."""
 JOIN_PRECEDENCE_S = 120.0
-"""How long a daemon's join takes precedence over an instance list that lacks it."""
-MAX_MEMBERS = 10_000
+"""How long a daemon's join overrides an instance list that lacks the daemon."""
+MEMBERS_MAX = 10_000
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
     record: InstanceRecord
     is_listed: bool = False
-    is_list_leaving: bool = False
+    is_listed_leaving: bool = False
     observed_ms: int = 0
     """Observer's wall clock in the latest notice from the instance list."""
     incarnation: int = 0
@@ -38,14 +38,14 @@
     refused_s: float = float("-inf")
     """When a dial was last refused; reset when the daemon connects or joins."""
     joined_s: float = float("-inf")
-    """When a notice of its start was last applied; reset by a refused dial."""
+    """When a notice that it joined was last applied; reset by a refused dial."""
 
     @property
     def is_leaving(self) -> bool:
         """Return whether this incarnation has announced or is listed as leaving."""
         if self.leaving_incarnation >= 0:
             return self.leaving_incarnation >= self.incarnation
-        return self.is_list_leaving
+        return self.is_listed_leaving
 
 
 @dataclass(slots=True)
@@ -182,18 +182,18 @@
     def _apply_listed(self, record: InstanceRecord) -> bool:
         member = self._members.get(record.name)
         if member is None:
-            if len(self._members) >= MAX_MEMBERS:
+            if len(self._members) >= MEMBERS_MAX:
                 return False
             member = self._members[record.name] = Member(record)
-        is_list_leaving = record.state is InstanceState.LEAVING
-        is_changed = (member.record, member.is_listed, member.is_list_leaving) != (
+        is_listed_leaving = record.state is InstanceState.LEAVING
+        is_changed = (member.record, member.is_listed, member.is_listed_leaving) != (
             record,
             True,
-            is_list_leaving,
+            is_listed_leaving,
         )
         member.record = record
         member.is_listed = True
-        member.is_list_leaving = is_list_leaving
+        member.is_listed_leaving = is_listed_leaving
         return is_changed
 
     def _is_stale(self, member: Member, notice: MemberNotice) -> bool:
@@ -225,13 +225,13 @@
             member.leaving_incarnation = notice.incarnation
         else:
             member.observed_ms = notice.observed_ms
-            member.is_list_leaving = True
+            member.is_listed_leaving = True
         return member.is_leaving and not was_leaving
 
     def _apply_joined(
         self, member: Member | None, notice: MemberNotice, now_s: float
     ) -> bool:
-        """Apply a start; the start of a daemon that is listed as running is not new.
+        """Apply a join; the join of a daemon that is listed as running is not new.
 
         Otherwise a start of the whole fleet would send a notice about every daemon to
         every daemon.
@@ -243,7 +243,7 @@
             or now_s - member.refused_s <= REFUSED_DIAL_TTL_S
         )
         if member is None:
-            if len(self._members) >= MAX_MEMBERS:
+            if len(self._members) >= MEMBERS_MAX:
                 return False
             member = self._members[notice.name] = Member(notice.record)
         if notice.incarnation:
@@ -253,7 +253,7 @@
         else:
             member.observed_ms = notice.observed_ms
             member.is_listed = True
-            member.is_list_leaving = False
+            member.is_listed_leaving = False
         if is_new:
             member.record = notice.record
             member.joined_s = now_s
