--- a/reedspar/fleet/start_delay.py
+++ b/reedspar/fleet/start_delay.py
@@ -18,7 +18,7 @@
 EARLY_DELAY_MAX_S = 0.5
 LATE_DELAY_MIN_S = 2.5
 LATE_DELAY_MAX_S = 5.0
-"""Bounds of the random delays of daemons that know no other daemon.
+"""Bounds of the random delays of daemons that know no other entry of their region.
 
 A share of them reads early.  The others wait long enough to discover the early ones,
 whose messages may be queued behind the documents that these read."""
