--- a/reedspar/fleet/reader_selection.py
+++ b/reedspar/fleet/reader_selection.py
@@ -10,29 +10,29 @@
 """Key of the rendezvous hashing by which all daemons rank those of a region."""
 READERS_PER_REGION = 2
 """Number of daemons that read the store for a region; also the size of a group."""
-SMALL_REGION_MAX_ENTRIES = 2
-"""In a region with no more entries than this, each daemon reads the store itself."""
+SMALL_REGION_ENTRIES_MAX = 2
+"""Maximum number of entry daemons in a region where each reads the store itself."""
 REPORT_INTERVAL_S = 0.4
 """Interval between two state reports of a reader."""
 READER_TIMEOUT_S = 1.1
 """Time without a report of a reader after which the next group reads."""
 GROUP_TIMEOUT_STEP_S = 0.25
 """Additional timeout of each later group, so that they don't all read at once."""
-MAX_TIMEOUT_STEPS = 8
+TIMEOUT_STEPS_MAX = 8
 """Maximum number of steps in a timeout, which bounds it in large regions."""
 
 
 class ReaderSelection:
     """Tracks which daemons of this region read the store.
 
-    Entries rank before agents.  The first daemons in rank are the default readers.  The
-    others take over, group by group, while no reader of an earlier group reports that
-    the store answers it.
+    Entry daemons rank before agents.  The first daemons in rank are the default
+    readers.  The others, the standbys, take over group by group while no reader of an
+    earlier group reports that the store answers it.
     """
 
     def __init__(self, key: str, now_s: float) -> None:
         self._key = key
-        self._names: tuple[tuple[str, ...], ...] = ()
+        self._members: tuple[tuple[str, ...], ...] = ()
         self._ranked: list[str] = []
         self._is_small_region = True
         self._rank = 0
@@ -56,12 +56,12 @@
 
     @property
     def is_small_region(self) -> bool:
-        """Return whether each daemon of this region reads the store itself."""
+        """Return whether each entry daemon of this region reads the store itself."""
         return self._is_small_region
 
     @property
-    def listeners(self) -> list[str]:
-        """Return the daemons of this region that readers send their state to."""
+    def standbys(self) -> list[str]:
+        """Return the region's other daemons, to which readers send their state."""
         return self._ranked[READERS_PER_REGION:]
 
     @property
@@ -77,11 +77,11 @@
     def update_members(
         self, own_name: str, names: Iterable[str], agents: Iterable[str] = ()
     ) -> None:
-        """Set the entries and agents of this region, including this daemon."""
-        self._names, before = (tuple(names), tuple(agents)), self._names
-        if self._names != before:
-            entry_names, agent_names = self._names
-            self._is_small_region = len(entry_names) <= SMALL_REGION_MAX_ENTRIES
+        """Set this region's entry daemons and agents by name, including this daemon."""
+        self._members, previous_members = (tuple(names), tuple(agents)), self._members
+        if self._members != previous_members:
+            entry_names, agent_names = self._members
+            self._is_small_region = len(entry_names) <= SMALL_REGION_ENTRIES_MAX
             ranked = rank_by_rendezvous(self._key, entry_names)
             self._ranked = [*ranked, *rank_by_rendezvous(self._key, agent_names)]
         self._rank = self._ranked.index(own_name)
@@ -120,7 +120,7 @@
     def _timeout_s(self) -> float:
         return (
             READER_TIMEOUT_S
-            + min(self.group - 1, MAX_TIMEOUT_STEPS) * GROUP_TIMEOUT_STEP_S
+            + min(self.group - 1, TIMEOUT_STEPS_MAX) * GROUP_TIMEOUT_STEP_S
         )
 
     def group_of(self, name: str) -> int:
