--- a/reedspar/direct/cold_limits.py
+++ b/reedspar/direct/cold_limits.py
@@ -86,13 +86,13 @@
         if is_new and self._is_starting(now_s):
             # Delays the first request so that entries starting together don't all
             # send at once.
-            bucket.take(COLD_BURST + self._score_fraction(target_id), now_s)
+            bucket.consume(COLD_BURST + self._score_fraction(target_id), now_s)
         return bucket.is_ready(now_s)
 
     def record_sent(self, load: TargetLoad, rate_per_s: float, now_s: float) -> None:
         """Count a request to a cold target."""
         if rate_per_s > 0:
-            self._update_bucket(load, rate_per_s, now_s).take(1, now_s)
+            self._update_bucket(load, rate_per_s, now_s).consume(1, now_s)
 
     def _is_sender(self, target_id: str, now_s: float) -> bool:
         """Return whether this entry is one of the senders for a target."""
--- a/reedspar/direct/replaced_weights_log.py
+++ b/reedspar/direct/replaced_weights_log.py
@@ -55,7 +55,7 @@
         self._counts[when] += 1
         if left_s >= LOGGED_BEFORE_BOUND_S or not self._bucket.is_ready(now_s):
             return
-        self._bucket.take(1, now_s)
+        self._bucket.consume(1, now_s)
         handed_over_s = attempt.handed_over_s
         if handed_over_s is None:
             handed_over_s = attempt.started_s
--- a/reedspar/direct/request_log.py
+++ b/reedspar/direct/request_log.py
@@ -88,7 +88,7 @@
         now_s = self._timers.now_s()
         if not self._bucket.is_ready(now_s):
             return False
-        self._bucket.take(1, now_s)
+        self._bucket.consume(1, now_s)
         return True
 
     def _make_log_fields(self, request: Request) -> dict[str, object]:
--- a/reedspar/requests/tests/virtual_time.py
+++ b/reedspar/requests/tests/virtual_time.py
@@ -50,7 +50,9 @@
 
 
 def create_loop_timers() -> TimerService:
-    return TimerService(LoopClock(), tick_s=TICK_S, pause_threshold_s=2 * TICK_S)
+    return TimerService(
+        LoopClock(), tick_interval_s=TICK_S, pause_threshold_s=2 * TICK_S
+    )
 
 
 def run_virtual(function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
--- a/reedspar/timers/__init__.py
+++ b/reedspar/timers/__init__.py
@@ -1,13 +1,13 @@
 """Clocks, and a timer service that detects pauses of the process."""
 
 from .clock import Clock, MonotonicClock, VirtualClock
-from .service import PauseListener, Subscription, TimerService, create_timer_service
+from .service import PauseListener, Timer, TimerService, create_timer_service
 
 __all__ = [
     "Clock",
     "MonotonicClock",
     "PauseListener",
-    "Subscription",
+    "Timer",
     "TimerService",
     "VirtualClock",
     "create_timer_service",
--- a/reedspar/timers/tests/test_service.py
+++ b/reedspar/timers/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of subscriptions and pause detection."""
+"""Tests of timers and pause detection."""
 
 import unittest
 
@@ -16,11 +16,11 @@
         self.timers.run_due()
 
     def test_interval_repeats_until_cancelled(self) -> None:
-        entry = self.timers.call_every(0.5, lambda: self.calls.append("tick"))
+        timer = self.timers.call_every(0.5, lambda: self.calls.append("tick"))
         for _ in range(4):
             self.advance(0.25)
         self.assertEqual(self.calls, ["tick", "tick"])
-        entry.cancel()
+        timer.cancel()
         self.advance(0.9)
         self.assertEqual(self.calls, ["tick", "tick"])
 
--- a/reedspar/utils/__init__.py
+++ b/reedspar/utils/__init__.py
@@ -3,7 +3,7 @@
 from .hashing import digest_bytes, rank_by_rendezvous, rendezvous_score
 from .headers import HOP_BY_HOP_HEADERS
 from .lazy_imports import create_lazy_getattr
-from .pacing import TokenBucket
+from .token_bucket import TokenBucket
 
 __all__ = [
     "HOP_BY_HOP_HEADERS",
--- a/reedspar/utils/pacing.py
+++ b/reedspar/utils/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """A token bucket that permits `rate_per_s` units a second, and bursts when idle.
+    """A token bucket that permits `rate_per_s` units a second, and bursts after idle.
 
     Units are bytes of messages, or requests.  A message may be sent while the bucket
     is not empty.  If the message exceeds the available tokens, the balance becomes
@@ -33,8 +33,8 @@
         self._refill(now_s)
         return self._tokens > 0
 
-    def take(self, size: float, now_s: float) -> None:
-        """Remove the tokens of a message that is sent now."""
+    def consume(self, size: float, now_s: float) -> None:
+        """Consume the tokens of a message that is sent now."""
         self._refill(now_s)
         self._tokens -= size
 
--- a/reedspar/weights/drawing.py
+++ b/reedspar/weights/drawing.py
@@ -279,7 +279,7 @@
             fetch, peer, now_s, timeout_s, region=region, may_draw=may_draw
         )
         if is_started:
-            bucket.take(size_bytes, now_s)
+            bucket.consume(size_bytes, now_s)
         return is_started
 
     def _choose_source(
--- a/reedspar/weights/inbound.py
+++ b/reedspar/weights/inbound.py
@@ -35,7 +35,7 @@
 
     def record_arrival(self, size_bytes: int, now_s: float) -> None:
         """Count bytes sent without a grant: first pieces, and reads from the origin."""
-        self._bucket.take(size_bytes, now_s)
+        self._bucket.consume(size_bytes, now_s)
 
     def grant(self, now_s: float) -> None:
         """Grant credit to senders, starting with the oldest requests."""
@@ -76,7 +76,7 @@
         request.granted_bytes += step_bytes
         size_bytes = request.assembly.size_bytes or 0
         excess_bytes = max(0, request.granted_bytes - size_bytes)
-        self._bucket.take(step_bytes - excess_bytes, now_s)
+        self._bucket.consume(step_bytes - excess_bytes, now_s)
         self._actions.append(
             SendMessage(
                 request.peer,
--- a/reedspar/weights/uploads.py
+++ b/reedspar/weights/uploads.py
@@ -145,9 +145,9 @@
         piece = data[start:end]
         upload.sent_bytes += len(piece)
         self._sent_bytes += len(piece)
-        self._machine.take(len(piece), now_s)
+        self._machine.consume(len(piece), now_s)
         if upload.region:
-            self._bucket_of(upload.region).take(len(piece), now_s)
+            self._bucket_of(upload.region).consume(len(piece), now_s)
         if upload.sent_bytes >= len(data):
             self._remove(queue, upload)
         message = ChunkPiece(upload.digest, upload.request_id, start, len(data), piece)
