--- a/reedspar/daemon/node.py
+++ b/reedspar/daemon/node.py
@@ -111,7 +111,9 @@
         self.membership.on_change(members.handle_change)
         AttemptObserver(self.network, self.metrics, self.recorder)
         traffic = self.transport.traffic
-        self.metrics.unreadable_frames.set_callback(lambda: traffic.unreadable_count)
+        self.metrics.unreadable_frames.set_callback(
+            lambda: traffic.unreadable_frame_count
+        )
         self.metrics.link_bytes.set_callback(
             lambda: [
                 (traffic.sent_bytes, {"direction": "sent"}),
--- a/reedspar/links/__init__.py
+++ b/reedspar/links/__init__.py
@@ -1,6 +1,5 @@
 """Links between daemons: TCP connections monitored by heartbeats."""
 
-from .forwarding import ForwardingNetwork
 from .messages import Heartbeat, Hello, Role, register_messages
 from .monitor import LinkChange
 from .network import (
@@ -12,9 +11,9 @@
     Priority,
 )
 from .on_demand import OnDemandLimits, OnDemandNetwork
+from .wrapper import NetworkWrapper
 
 __all__ = [
-    "ForwardingNetwork",
     "Handler",
     "Heartbeat",
     "Hello",
@@ -22,6 +21,7 @@
     "LinkEvent",
     "LinkListener",
     "Network",
+    "NetworkWrapper",
     "OnDemandLimits",
     "OnDemandNetwork",
     "PeerAddress",
--- a/reedspar/links/connection.py
+++ b/reedspar/links/connection.py
@@ -14,17 +14,18 @@
 
 __all__ = ["FRAME_SIZE_MAX_BYTES", "FrameBuffer", "FrameConnection"]
 
-LENGTH_SIZE_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 FRAME_SIZE_MAX_BYTES = 4 * 1024 * 1024
 RECEIVE_SIZE_BYTES = 256 * 1024
-MAX_BULK_BYTES_PER_WRITE = 128 * 1024
+BULK_WRITE_MAX_BYTES = 128 * 1024
 LIVE_BACKLOG_MAX_BYTES = 16 * 1024 * 1024
 BULK_BACKLOG_MAX_BYTES = 512 * 1024
 BATCH_MAX_BYTES = 256 * 1024
 BATCH_WRITE_INTERVAL_S = 0.002
-"""Minimum time between a write and a following one that contains only a batch.
+"""Minimum time between a write and the next one, if that contains only a batch.
 
-Tokens that arrive faster share a write and a frame.  An idle link writes without delay.
+Messages queued within this time, such as the tokens of answers, share a write and a
+frame.  An idle link writes without delay.
 """
 
 
@@ -43,15 +44,15 @@
         self._data += data
         frames = []
         start = 0
-        while len(self._data) - start >= LENGTH_SIZE_BYTES:
-            head_end = start + LENGTH_SIZE_BYTES
-            size = int.from_bytes(self._data[start:head_end], "big")
+        while len(self._data) - start >= LENGTH_PREFIX_BYTES:
+            prefix_end = start + LENGTH_PREFIX_BYTES
+            size = int.from_bytes(self._data[start:prefix_end], "big")
             if size > FRAME_SIZE_MAX_BYTES:
                 return Failure(Reason.CORRUPT, Step.LINK, detail=f"frame of {size} B")
-            if len(self._data) - head_end < size:
+            if len(self._data) - prefix_end < size:
                 break
-            frames.append(bytes(self._data[head_end : head_end + size]))
-            start = head_end + size
+            frames.append(bytes(self._data[prefix_end : prefix_end + size]))
+            start = prefix_end + size
         del self._data[:start]
         return frames
 
@@ -65,7 +66,7 @@
 
 
 class FrameConnection:
-    """A connection that combines all frames that are ready into one write."""
+    """A connection that combines queued frames into one write."""
 
     def __init__(
         self, stream: ByteStream, encode_batch: Callable[[Sequence[Any]], bytes]
@@ -90,7 +91,7 @@
         """Queue a frame; fail if the connection is closed or the queue is full."""
         if self._is_closed:
             return Failure(Reason.UNAVAILABLE, Step.LINK, detail="closed")
-        size = len(frame) + LENGTH_SIZE_BYTES
+        size = len(frame) + LENGTH_PREFIX_BYTES
         if priority is Priority.BULK:
             if self._bulk_bytes + size > BULK_BACKLOG_MAX_BYTES:
                 return Failure(Reason.OVERLOADED, Step.LINK, detail="bulk backlog")
@@ -171,7 +172,7 @@
             await anyio.aclose_forcefully(self._stream)
 
     async def _delay_batch(self) -> None:
-        """Delay the write for more tokens, unless another kind of frame is queued."""
+        """Wait for more messages if the next write would contain only a batch."""
         remaining_s = self._last_write_s + BATCH_WRITE_INTERVAL_S - anyio.current_time()
         if remaining_s <= 0 or self._bulk or self._is_closed:
             return
@@ -184,19 +185,20 @@
         self._is_batch_delayed = False
 
     def _dequeue(self) -> bytes:
+        """Return the next write: all live frames, then bulk frames up to a limit."""
         parts: list[bytes] = []
         for item in self._live:
             if isinstance(item, _Batch):
                 frame = self._encode_batch(item.messages)
             else:
                 frame = item
-            parts += (len(frame).to_bytes(LENGTH_SIZE_BYTES, "big"), frame)
+            parts += (len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big"), frame)
         self._live.clear()
         self._live_bytes = 0
-        taken_bytes = 0
-        while self._bulk and taken_bytes < MAX_BULK_BYTES_PER_WRITE:
+        bulk_bytes = 0
+        while self._bulk and bulk_bytes < BULK_WRITE_MAX_BYTES:
             frame = self._bulk.popleft()
-            parts += (len(frame).to_bytes(LENGTH_SIZE_BYTES, "big"), frame)
-            taken_bytes += len(frame) + LENGTH_SIZE_BYTES
-        self._bulk_bytes -= taken_bytes
+            parts += (len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big"), frame)
+            bulk_bytes += len(frame) + LENGTH_PREFIX_BYTES
+        self._bulk_bytes -= bulk_bytes
         return b"".join(parts)
--- a/reedspar/links/links.capnp
+++ b/reedspar/links/links.capnp
@@ -1,5 +1,5 @@
 @0xa4c3915e7d20bf18;
-# Messages that links use themselves: introductions and heartbeats.
+# The messages of the link protocol: hellos and heartbeats.
 
 struct Hello {
   name @0 :Text;
--- a/reedspar/links/messages.py
+++ b/reedspar/links/messages.py
@@ -1,4 +1,4 @@
-"""The messages that links use themselves: introductions and heartbeats."""
+"""The messages of the link protocol: hellos and heartbeats."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Shows that the sender can still reach the receiver; it is not answered.
+    """Shows that the sender can still reach the receiver; not answered.
 
     Both ends send heartbeats, so each end monitors the direction that it receives.
     """
--- a/reedspar/links/monitor.py
+++ b/reedspar/links/monitor.py
@@ -46,7 +46,7 @@
 
 
 class LinkChange(Enum):
-    """A change of a link that subscribers are notified of."""
+    """A change of a link that listeners are notified of."""
 
     UP = "up"
     REPLACED = "replaced"
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify:
-    """Notify subscribers of a change."""
+    """Notify listeners of a change."""
 
     change: LinkChange
     reason: Reason | None = None
@@ -86,7 +86,7 @@
 
 @dataclass
 class LinkMonitor:
-    """The state of the link to one peer incarnation."""
+    """Monitors the link to one incarnation of a peer; returns the actions to take."""
 
     timings: LinkTimings
     rng: random.Random
@@ -224,8 +224,8 @@
 
     def _silence_limit_s(self, now_s: float) -> float:
         # The other end may consider the link idle, and send heartbeats rarely, while
-        # this end considers it busy.  The short limit applies only after a message
-        # that expects an answer, since that makes the link busy at both ends.
+        # this end considers it busy.  The short limit applies only after traffic
+        # other than heartbeats, since that makes the link busy at both ends.
         idle_limit_s = self.timings.idle_heartbeat_s + self.timings.silence_s
         return self.timings.silence_s if self._is_busy(now_s) else idle_limit_s
 
--- a/reedspar/links/network.py
+++ b/reedspar/links/network.py
@@ -1,4 +1,4 @@
-"""The interface of links: send messages to peers by name, subscribe to messages."""
+"""The interface of the network: messages to and from peers, identified by name."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -25,10 +25,10 @@
 
 
 class Priority(IntEnum):
-    """The order in which messages are sent on a link."""
+    """The priority of a message; live messages are sent before bulk ones."""
 
     LIVE = 0
-    """Requests, answers and control."""
+    """Requests, answers and control messages."""
     BULK = 1
     """Chunks of weights."""
 
@@ -74,7 +74,7 @@
         ...
 
     def on_link_event(self, listener: LinkListener) -> None:
-        """Call `listener` when a link comes up, is replaced or goes down."""
+        """Call `listener` with each change of a link."""
         ...
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
@@ -86,7 +86,7 @@
         ...
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) with an open link."""
+        """Return the names of the peers with an open link, or those of one role."""
         ...
 
     def incarnation_of(self, peer: str) -> int:
--- a/reedspar/links/on_demand.py
+++ b/reedspar/links/on_demand.py
@@ -1,8 +1,8 @@
 """Links that are dialled when a message is to be sent, and closed when idle.
 
 Components whose peers change with each message (such as the transfer of chunks) don't
-know beforehand which links they need.  Links from every daemon to every other would
-grow with the product of the fleets' sizes.
+know beforehand which links they need, and the number of links between all daemons
+would grow with the square of the size of the fleet.
 """
 
 from collections import OrderedDict, deque
@@ -13,7 +13,6 @@
 from reedspar.errors import Failure, Reason
 from reedspar.timers import TimerService
 
-from .forwarding import ForwardingNetwork
 from .monitor import LinkChange
 from .network import (
     LinkEvent,
@@ -21,6 +20,7 @@
     PeerAddress,
     Priority,
 )
+from .wrapper import NetworkWrapper
 
 __all__ = ["OnDemandLimits", "OnDemandNetwork"]
 
@@ -39,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class _Peer:
+class _PeerState:
     address: PeerAddress
     last_used_s: float
-    held: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
+    queue: deque[tuple[Any, Priority, float]] = field(default_factory=deque)
     """Messages that wait for the link, each with the time at which it was queued."""
 
 
-class OnDemandNetwork(ForwardingNetwork):
+class OnDemandNetwork(NetworkWrapper):
     """A network that dials peers when a message is to be sent to them."""
 
     def __init__(
@@ -62,7 +62,7 @@
         self._owner = owner
         self._resolve = resolve
         self._limits = limits or OnDemandLimits()
-        self._peers: OrderedDict[str, _Peer] = OrderedDict()
+        self._peers: OrderedDict[str, _PeerState] = OrderedDict()
         network.on_link_event(self._handle_link_event)
         timers.call_every(SWEEP_INTERVAL_S, self._sweep)
 
@@ -74,63 +74,63 @@
         if failure is not None and failure.reason is not Reason.UNAVAILABLE:
             return failure
         if failure is None:
-            self._mark_used(peer)
+            self._record_use(peer)
             return None
-        entry = self._request_link(peer)
-        if entry is None:
+        state = self._request_link(peer)
+        if state is None:
             return failure
-        entry.held.append((message, priority, self._timers.now_s()))
-        while len(entry.held) > self._limits.max_queued_messages:
-            entry.held.popleft()
+        state.queue.append((message, priority, self._timers.now_s()))
+        while len(state.queue) > self._limits.max_queued_messages:
+            state.queue.popleft()
         return None
 
-    def _mark_used(self, peer: str) -> None:
+    def _record_use(self, peer: str) -> None:
         """Record that the link to a peer is in use."""
-        entry = self._peers.get(peer)
-        if entry is not None:
-            entry.last_used_s = self._timers.now_s()
+        state = self._peers.get(peer)
+        if state is not None:
+            state.last_used_s = self._timers.now_s()
             self._peers.move_to_end(peer)
 
-    def _request_link(self, peer: str) -> _Peer | None:
+    def _request_link(self, peer: str) -> _PeerState | None:
         """Request a link to a peer's current address; return None if it is unknown."""
         address = self._resolve(peer)
         if address is None:
             return None
-        entry = self._peers.get(peer)
-        if entry is None:
-            entry = self._peers[peer] = _Peer(address, self._timers.now_s())
+        state = self._peers.get(peer)
+        if state is None:
+            state = self._peers[peer] = _PeerState(address, self._timers.now_s())
             if len(self._peers) > self._limits.max_links:
                 self._peers.popitem(last=False)
-        entry.address = address
-        self._mark_used(peer)
+        state.address = address
+        self._record_use(peer)
         self._update_desired_peers()
-        return entry
+        return state
 
     def _update_desired_peers(self) -> None:
-        addresses = [entry.address for entry in self._peers.values()]
+        addresses = [state.address for state in self._peers.values()]
         self._network.set_desired_peers(self._owner, addresses)
 
     def _handle_link_event(self, event: LinkEvent) -> None:
-        entry = self._peers.get(event.peer)
-        if entry is None or event.change is not LinkChange.UP:
+        state = self._peers.get(event.peer)
+        if state is None or event.change is not LinkChange.UP:
             return
-        held = list(entry.held)
-        entry.held.clear()
-        for message, priority, _ in held:
+        queued = list(state.queue)
+        state.queue.clear()
+        for message, priority, _ in queued:
             self._network.send(event.peer, message, priority)
 
     def _sweep(self) -> None:
         """Drop messages queued for too long, and release idle links."""
         now_s = self._timers.now_s()
-        for entry in self._peers.values():
+        for state in self._peers.values():
             while (
-                entry.held and now_s - entry.held[0][2] > self._limits.queue_timeout_s
+                state.queue and now_s - state.queue[0][2] > self._limits.queue_timeout_s
             ):
-                entry.held.popleft()
+                state.queue.popleft()
         idle = [
             name
-            for name, entry in self._peers.items()
-            if now_s - entry.last_used_s > self._limits.idle_timeout_s
+            for name, state in self._peers.items()
+            if now_s - state.last_used_s > self._limits.idle_timeout_s
         ]
         for name in idle:
             del self._peers[name]
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -38,7 +38,7 @@
 __all__ = ["LinkTraffic", "TcpNetwork", "create_tcp_network"]
 
 MONITOR_INTERVAL_S = 0.1
-LOGGER = logging.getLogger(__name__)
+_logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
 
     sent_bytes: int = 0
     received_bytes: int = 0
-    unreadable_count: int = 0
+    unreadable_frame_count: int = 0
 
 
 @dataclass
@@ -102,7 +102,7 @@
         self._handlers[message_class].append(handler)
 
     def on_link_event(self, listener: LinkListener) -> None:
-        """Call `listener` when a link comes up, is replaced or goes down."""
+        """Call `listener` with each change of a link."""
         self._link_listeners.append(listener)
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
@@ -110,7 +110,7 @@
         self._sender_listeners.append(listener)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) with an open link."""
+        """Return the names of the peers with an open link, or those of one role."""
         return tuple(
             peer.name
             for peer in self._peers.values()
@@ -221,7 +221,7 @@
 
     def _notify(self, peer: _Peer, action: Notify) -> None:
         event = LinkEvent(peer.name, peer.incarnation, action.change, action.reason)
-        LOGGER.info(
+        _logger.info(
             "link %s",
             action.change.value,
             extra={
@@ -234,7 +234,7 @@
             listener(event)
 
     async def _accept(self, stream: ByteStream) -> None:
-        await self._run_connection(stream, expected=None)
+        await self._run_connection(stream, expected_peer=None)
 
     async def _dial(self, peer: _Peer) -> None:
         address = peer.address
@@ -248,15 +248,17 @@
         except OSError:
             reason = Reason.UNAVAILABLE
         else:
-            if await self._run_connection(stream, expected=peer.name):
+            if await self._run_connection(stream, expected_peer=peer.name):
                 return
         actions = peer.monitor.handle_dial_failure(reason, self._timers.now_s())
         self._execute(peer, actions)
 
-    async def _run_connection(self, stream: ByteStream, expected: str | None) -> bool:
+    async def _run_connection(
+        self, stream: ByteStream, expected_peer: str | None
+    ) -> bool:
         """Run a connection until it ends; return whether the peer sent its hello."""
         connection = FrameConnection(stream, self._encode_batch)
-        session = _Session(self, connection, expected)
+        session = _Session(self, connection, expected_peer)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(session.connection.write_frames)
@@ -283,7 +285,7 @@
 
     def _handle_hello(self, session: "_Session", sender: Sender, hello: Hello) -> bool:
         """Handle a peer's hello; return False if the connection must be closed."""
-        if session.expected is not None and hello.name != session.expected:
+        if session.expected_peer is not None and hello.name != session.expected_peer:
             return False
         peer = self._get_or_create_peer(hello.name)
         if sender.incarnation < self.incarnation_of(hello.name):
@@ -297,7 +299,7 @@
         peer.role = hello.role
         session.peer = peer
         peer.connections[session.id] = session.connection
-        if session.expected is not None:
+        if session.expected_peer is not None:
             peer.monitor.is_dialling = False
         now_s = self._timers.now_s()
         self._execute(peer, peer.monitor.handle_opened(session.id, now_s))
@@ -325,7 +327,7 @@
         self.traffic.received_bytes += len(frame)
         envelope = decode_frame(self._registry, frame)
         if isinstance(envelope, Failure):
-            self.traffic.unreadable_count += 1
+            self.traffic.unreadable_frame_count += 1
             return envelope.reason is not Reason.CORRUPT
         first = envelope.messages[0]
         if isinstance(first, Hello):
@@ -354,11 +356,14 @@
     """The state of one connection from accept or dial until it ends."""
 
     def __init__(
-        self, network: TcpNetwork, connection: FrameConnection, expected: str | None
+        self,
+        network: TcpNetwork,
+        connection: FrameConnection,
+        expected_peer: str | None,
     ) -> None:
         self.id = next(network._connection_ids)
         self.connection = connection
-        self.expected = expected
+        self.expected_peer = expected_peer
         self.peer: _Peer | None = None
         self._network = network
 
@@ -384,7 +389,7 @@
     describe_sender: Callable[[], Sender],
     rng: random.Random | None = None,
 ) -> TcpNetwork:
-    """Create the network of a daemon that introduces itself with `hello`."""
+    """Create the network of a daemon, which sends `hello` first on each connection."""
     return TcpNetwork(
         hello, registry, timers, settings, describe_sender, rng or random.Random()
     )
--- a/reedspar/links/tests/test_monitor.py
+++ b/reedspar/links/tests/test_monitor.py
@@ -59,7 +59,7 @@
         self.assertNotIn(Dial(), run(monitor, 9.8, 11.2))
         self.assertIn(Dial(), run(monitor, 11.3, 11.7))
 
-    def test_frozen_peer_is_down_only_after_the_second_dial_failed(self) -> None:
+    def test_frozen_peer_is_down_only_after_the_redial_timeout(self) -> None:
         # The peer is stopped: its kernel accepts the connection, but sends no hello.
         monitor = create_monitor()
         monitor.handle_opened(1, 0.0)
--- a/reedspar/links/tests/test_on_demand.py
+++ b/reedspar/links/tests/test_on_demand.py
@@ -91,7 +91,7 @@
         self.network.send("a", "m2")
         self.assertEqual(self.inner.addresses, {"a": 2})
 
-    def test_unknown_peer_is_a_failure(self) -> None:
+    def test_send_to_unknown_peer_fails(self) -> None:
         failure = self.network.send("gone", "m")
         self.assertIs(failure.reason, Reason.UNAVAILABLE)
 
--- a/reedspar/links/tests/test_tcp_network.py
+++ b/reedspar/links/tests/test_tcp_network.py
@@ -88,7 +88,7 @@
 
         anyio.run(main)
 
-    def test_messages_both_ways_and_large_bulk(self) -> None:
+    def test_messages_arrive_in_both_directions_also_large_ones(self) -> None:
         first, second = Node("agent-1"), Node("agent-2")
 
         async def scenario() -> None:
@@ -158,7 +158,7 @@
 
         self.run_nodes(scenario, first, second)
 
-    def test_peer_that_never_says_hello_is_not_up(self) -> None:
+    def test_peer_that_never_sends_hello_is_not_up(self) -> None:
         # The process is frozen: its kernel accepts connections, but sends no hello.
         node = Node("agent-1")
 
@@ -195,7 +195,7 @@
 
 
 class FrameBufferTest(unittest.TestCase):
-    def test_frames_are_restored_from_pieces_of_any_size(self) -> None:
+    def test_frames_are_split_from_pieces_of_any_size(self) -> None:
         frames = [b"", b"a", b"bc" * 500]
         data = b"".join(len(f).to_bytes(4, "big") + f for f in frames)
         for size in (1, 3, 4, 5, 700, len(data)):
--- a/reedspar/links/forwarding.py
+++ b/reedspar/links/wrapper.py
@@ -1,4 +1,4 @@
-"""A network that forwards to another; base class for wrappers that override parts."""
+"""Base class for networks that wrap another network and override some methods."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -9,11 +9,11 @@
 from .messages import Role
 from .network import Handler, LinkListener, Network, PeerAddress, Priority
 
-__all__ = ["ForwardingNetwork"]
+__all__ = ["NetworkWrapper"]
 
 
-class ForwardingNetwork:
-    """Forwards every call to the wrapped network."""
+class NetworkWrapper:
+    """Passes every call to the wrapped network."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
@@ -29,7 +29,7 @@
         self._network.subscribe(message_class, handler)
 
     def on_link_event(self, listener: LinkListener) -> None:
-        """Call `listener` when a link comes up, is replaced or goes down."""
+        """Call `listener` with each change of a link."""
         self._network.on_link_event(listener)
 
     def on_sender(self, listener: Callable[[Sender], None]) -> None:
@@ -41,7 +41,7 @@
         self._network.set_desired_peers(owner, peers)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers (of a role) with an open link."""
+        """Return the names of the peers with an open link, or those of one role."""
         return self._network.peers(role)
 
     def incarnation_of(self, peer: str) -> int:
--- a/reedspar/observation/network.py
+++ b/reedspar/observation/network.py
@@ -6,11 +6,11 @@
 
 from reedspar.errors import Failure
 from reedspar.links import (
-    ForwardingNetwork,
     Handler,
     LinkChange,
     LinkEvent,
     Network,
+    NetworkWrapper,
     Priority,
 )
 from reedspar.messages import Sender
@@ -27,7 +27,7 @@
 }
 
 
-class ObservedNetwork(ForwardingNetwork):
+class ObservedNetwork(NetworkWrapper):
     """Forward everything to the wrapped network; count messages by type."""
 
     def __init__(
