--- a/reedspar/errors.py
+++ b/reedspar/errors.py
@@ -1,8 +1,8 @@
 """Failures as return values, with a reason, a step and the peer concerned.
 
 Functions that can fail return their result or a `Failure`; exceptions of libraries
-are caught where the library is called.  Callers compare members of `Reason` and
-`Step` by identity.
+are caught where the library is called.  Members of `Reason` and `Step` are compared by
+identity.
 """
 
 from dataclasses import dataclass
@@ -20,10 +20,10 @@
     OUTCOME_UNKNOWN = "outcome_unknown"
     """The operation may or may not have taken effect."""
     CONFLICT = "conflict"
-    """A compare-and-swap or a patch named a stale revision."""
+    """A compare-and-swap or a patch is based on a stale revision."""
     NOT_FOUND = "not_found"
     INVALID = "invalid"
-    """The input violates a rule, which the detail names."""
+    """The input violates a rule, which is stated in the detail."""
     OVERLOADED = "overloaded"
     COLD = "cold"
     """The target is in cold start and can accept no more work now."""
@@ -32,7 +32,7 @@
     STALE = "stale"
     """The sender or receiver lacks a recent confirmation of its configuration."""
     SUPERSEDED = "superseded"
-    """The chosen target may not start work any more, after an update or a delay."""
+    """The chosen target became ineligible, or would start the work too late."""
     FENCED = "fenced"
     """The order carried an outdated fencing number; a newer holder exists."""
     QUARANTINED = "quarantined"
--- a/reedspar/messages/codec.py
+++ b/reedspar/messages/codec.py
@@ -47,10 +47,10 @@
 
 
 def decode_frame(registry: MessageRegistry, data: bytes) -> Envelope | Failure:
-    """Return the decoded frame, or why it can't be read.
+    """Return the decoded frame, or a failure if it can't be read.
 
     An unknown message kind is reported as `NOT_FOUND`, not as `CORRUPT`, so that
-    callers can ignore messages of a newer release without closing the link.
+    messages of a newer release can be ignored without closing the link.
     """
     try:
         with _STRUCT.from_bytes(data) as reader:
--- a/reedspar/messages/registry.py
+++ b/reedspar/messages/registry.py
@@ -18,9 +18,10 @@
 __all__ = ["BatchType", "MessageRegistry", "MessageType", "load_schema"]
 
 Reader = Callable[[Any], Any]
+"""Returns the value of a field, given its encoded form."""
 Writer = Callable[[Any, str, Any], None]
-"""Sets a builder's field, given by name, to the encoded form of a value."""
-SCALARS = (str, int, float, bool, bytes)
+"""Sets the field of a builder, given by name, to the encoded form of a value."""
+SCALAR_TYPES = (str, int, float, bool, bytes)
 
 
 def load_schema(package_file: str, name: str) -> Any:
@@ -38,8 +39,8 @@
 
 
 def _make_accessors(annotation: Any) -> tuple[Writer, Reader]:
-    """Return the functions that encode and decode values of a type."""
-    if annotation in SCALARS:
+    """Return the functions that write and read fields of a type."""
+    if annotation in SCALAR_TYPES:
         return setattr, _identity
     if isinstance(annotation, type) and issubclass(annotation, Enum):
         return _write_enum, annotation
@@ -54,7 +55,7 @@
 
 
 def _make_list_accessors(item: Any) -> tuple[Writer, Reader]:
-    if item in SCALARS:
+    if item in SCALAR_TYPES:
         return _write_scalars, tuple
     _, read = _make_accessors(item)
 
--- a/reedspar/messages/tests/test_codec.py
+++ b/reedspar/messages/tests/test_codec.py
@@ -23,11 +23,11 @@
         self.registry = MessageRegistry()
         register_messages(self.registry)
 
-    def test_round_trip(self) -> None:
+    def test_decoded_frame_equals_the_encoded_one(self) -> None:
         frame = encode_frame(self.registry, SENDER, HELLO)
         self.assertEqual(decode_frame(self.registry, frame), Envelope(SENDER, (HELLO,)))
 
-    def test_unknown_kind_is_not_found(self) -> None:
+    def test_unknown_kind_is_reported_as_not_found(self) -> None:
         frame = encode_frame(self.registry, SENDER, HELLO)
         failure = decode_frame(MessageRegistry(), frame)
         assert isinstance(failure, Failure)
@@ -35,24 +35,24 @@
         self.assertEqual(failure.peer, "entry-1")
 
     def test_damaged_frame_is_refused(self) -> None:
-        # A frame was truncated or overwritten in transit.  It must become a failure
-        # that closes the link, never a message with wrong fields.
+        # A frame was truncated or overwritten in transit.  It must give a failure that
+        # closes the link, never a message with wrong fields.
         frame = encode_frame(self.registry, SENDER, HELLO)
         failure = decode_frame(self.registry, frame[:16])
         assert isinstance(failure, Failure)
         self.assertIs(failure.reason, Reason.CORRUPT)
 
-    def test_batch_whose_columns_differ_is_refused(self) -> None:
+    def test_batch_with_inconsistent_columns_is_refused(self) -> None:
         # The sizes in a batch are damaged.  Splitting the data at wrong offsets would
         # put one caller's tokens into another caller's answer.
         registry = MessageRegistry()
         register_attempts(registry)
         columns = (("r1", "r2"), (0, 0), (5, 9))
-        whole = AttemptDataBatch(*columns, (1, 2), b"abc")
-        envelope = decode_frame(registry, encode_frame(registry, SENDER, whole))
+        batch = AttemptDataBatch(*columns, (1, 2), b"abc")
+        envelope = decode_frame(registry, encode_frame(registry, SENDER, batch))
         assert isinstance(envelope, Envelope)
-        pieces = [AttemptData("r1", 0, 5, b"a"), AttemptData("r2", 0, 9, b"bc")]
-        self.assertEqual(list(envelope.messages), pieces)
+        messages = [AttemptData("r1", 0, 5, b"a"), AttemptData("r2", 0, 9, b"bc")]
+        self.assertEqual(list(envelope.messages), messages)
         for damaged in (
             AttemptDataBatch(*columns, (1, 1), b"abc"),
             AttemptDataBatch(*columns, (3,), b"abc"),
