--- a/reedspar/daemon/agent.py
+++ b/reedspar/daemon/agent.py
@@ -135,7 +135,7 @@
     if settings.target.kind is TargetKind.MODEL_ENGINE:
         client = engine = create_http_model_engine(settings.target.url)
         target = ObservedEngine(engine, node.metrics, node.recorder, transfer_tracker)
-        weights = _create_weights(node, target, origin, gate)
+        weights = _create_observed_weight_controller(node, target, origin, gate)
         offers = ModelEngineOffers(settings.target.pool, weights, node.configuration)
     else:
         client = create_http_plain_service(settings.target.url)
@@ -157,7 +157,7 @@
     )
 
 
-def _create_weights(
+def _create_observed_weight_controller(
     node: Node, engine: ModelEngine, origin: WeightSource, gate: _DeferredSwitchGate
 ) -> WeightController:
     settings = node.settings
--- a/reedspar/daemon/entry.py
+++ b/reedspar/daemon/entry.py
@@ -43,7 +43,7 @@
         )
 
     async def drain(self) -> None:
-        """Withdraw the address, serve until its cached copies expire, and finish."""
+        """Withdraw the address, serve until cached copies expire, finish requests."""
         self._node.membership.announce_leaving()
         await self._service.drain()
 
--- a/reedspar/daemon/serving.py
+++ b/reedspar/daemon/http_server.py
@@ -1,4 +1,4 @@
-"""Serving of ASGI applications with hypercorn."""
+"""An HTTP server for ASGI applications, based on hypercorn."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -15,7 +15,7 @@
 LISTEN_BACKLOG = 2048
 KEEP_ALIVE_S = 75.0
 SHUTDOWN_TIMEOUT_S = 2.0
-"""Time for the last bytes of answers; the drain has already waited for the others."""
+"""Time to send the last bytes of answers, after the drain has waited for requests."""
 
 
 class PortDispatcher:
--- a/reedspar/daemon/main.py
+++ b/reedspar/daemon/main.py
@@ -18,7 +18,7 @@
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
-LOGGER = logging.getLogger("reedspar.daemon")
+_logger = logging.getLogger("reedspar.daemon")
 
 
 @cappa.command(name="reedspard")
@@ -35,7 +35,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run the command; exit with 2 on invalid settings, 1 e.g. if a port is in use."""
+    """Run the command; exit with 2 on invalid settings, with 1 on an `OSError`."""
     command = cappa.parse(Reedspard, argv=argv)
     try:
         settings = load_settings(command.settings)
@@ -50,7 +50,7 @@
         anyio.run(run_daemon, settings)
     except* OSError as group:
         for cause in group.exceptions:
-            LOGGER.critical("daemon failed: %s", cause)
+            _logger.critical("daemon failed: %s", cause)
         sys.exit(EXIT_FAILED)
 
 
--- a/reedspar/daemon/offers.py
+++ b/reedspar/daemon/offers.py
@@ -1,4 +1,4 @@
-"""Offer sources: the confirmed weights of each kind of target."""
+"""Offer sources, which provide the confirmed weights, for each kind of target."""
 
 from reedspar.attempts import LoadedWeights
 from reedspar.configuration import ConfigurationController
--- a/reedspar/daemon/run.py
+++ b/reedspar/daemon/run.py
@@ -20,14 +20,14 @@
 
 from .agent import AgentRole, create_agent_role
 from .entry import EntryRole, create_entry_role
+from .http_server import serve_http
 from .incarnation import choose_incarnation
 from .node import Node, create_node
-from .serving import serve_http
 from .views import MemberReader, StatusReader
 
 __all__ = ["run_daemon"]
 
-LOGGER = logging.getLogger(__name__)
+_logger = logging.getLogger(__name__)
 
 
 def _create_admin_routes(node: Node) -> list[Any]:
@@ -59,7 +59,7 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
         async for number in signals:
-            LOGGER.info("stopping", extra={"signal": number.name})
+            _logger.info("stopping", extra={"signal": number.name})
             stop.set()
 
 
@@ -67,11 +67,11 @@
     """Run until SIGTERM or SIGINT, then drain and stop."""
     stop = anyio.Event()
     stop_serving = anyio.Event()
-    served = anyio.Event()
+    server_stopped = anyio.Event()
 
     async def serve(application: Any) -> None:
         await serve_http(application, settings.host, settings.http_port, stop_serving)
-        served.set()
+        server_stopped.set()
 
     async with anyio.create_task_group() as tasks:
         await tasks.start(_wait_for_signal, stop)
@@ -80,15 +80,15 @@
         await node.start()
         role.start()
         tasks.start_soon(serve, role.application)
-        LOGGER.info("started", extra={"incarnation": node.incarnation})
+        _logger.info("started", extra={"incarnation": node.incarnation})
         await stop.wait()
         node.is_draining = True
         node.recorder.record(EventKind.DAEMON_DRAINING)
         await role.drain()
         stop_serving.set()
-        await served.wait()
+        await server_stopped.wait()
         if isinstance(role, AgentRole):
             await role.close()
         await node.close()
-        LOGGER.info("stopped")
+        _logger.info("stopped")
         tasks.cancel_scope.cancel()
--- a/reedspar/daemon/site_agent.py
+++ b/reedspar/daemon/site_agent.py
@@ -24,9 +24,9 @@
     create_weight_controller,
 )
 
-from .load_news import LoadReporter
-from .serving import PortDispatcher, serve_http
-from .site_parts import SiteBase, StoreAccess, create_site_base
+from .http_server import PortDispatcher, serve_http
+from .load_reporter import LoadReporter
+from .site_components import SiteComponents, StoreAccess, create_site_components
 from .site_weights import (
     SitePeers,
     add_origin_region,
@@ -78,10 +78,10 @@
     """The components of a running agent."""
 
     settings: SiteSettings
-    base: SiteBase
+    components: SiteComponents
     catalog: VersionCatalog
     engine: SiteEngine
-    create_weights: Callable[[SiteSettings], WeightController]
+    create_controller: Callable[[SiteSettings], WeightController]
     timers: TimerService
     tasks: TaskGroup
     _weights: WeightController | None = None
@@ -90,12 +90,12 @@
     async def run(self, stop: anyio.Event, application: ASGIApp) -> None:
         """Run until `stop` is set, then withdraw the registration."""
         self.tasks.start_soon(self.timers.run)
-        await self.tasks.start(self.base.links.transport.run)
-        self.tasks.start_soon(self.base.feed.run)
+        await self.tasks.start(self.components.links.transport.run)
+        self.tasks.start_soon(self.components.feed.run)
         self.tasks.start_soon(self._serve, application)
-        self.tasks.start_soon(self._run_weights)
+        self.tasks.start_soon(self._run_weight_distribution)
         await stop.wait()
-        await self.base.registration.withdraw()
+        await self.components.registration.withdraw()
         self._stop_serving.set()
 
     async def _serve(self, application: ASGIApp) -> None:
@@ -107,30 +107,30 @@
             grace_s=METRICS_SHUTDOWN_TIMEOUT_S,
         )
 
-    async def _run_weights(self) -> None:
+    async def _run_weight_distribution(self) -> None:
         self.tasks.start_soon(self._register)
-        await wait_for_routes(self.base)
-        settings = add_origin_region(self.base.view, self.settings)
-        controller = self.create_weights(settings)
+        await wait_for_routes(self.components)
+        settings = add_origin_region(self.components.view, self.settings)
+        controller = self.create_controller(settings)
         self._weights = controller
         self.catalog.set_callbacks(
             controller.add_object, controller.left_s, controller.prefetch
         )
         controller.start()
-        self.base.view.on_change(lambda change: self._update_named_versions())
+        self.components.view.on_change(lambda change: self._update_named_versions())
         self._update_named_versions()
         self.tasks.start_soon(self.catalog.run)
         await self._poll_engine(controller)
 
     async def _register(self) -> None:
-        await self.base.feed.wait_initialized()
-        await self.base.registration.run()
+        await self.components.feed.wait_initialized()
+        await self.components.registration.run()
 
     def _update_named_versions(self) -> None:
         """Update the versions that this agent's engine is to serve."""
-        for named in list_named_models(self.base.view, self.settings.pool):
+        for named in list_named_models(self.components.view, self.settings.pool):
             self.catalog.set_named_version(named.model, named.version)
-            for known in self.base.view.versions_of(named.model):
+            for known in self.components.view.versions_of(named.model):
                 self.catalog.record_naming_time(
                     known.model, known.version, known.named_at_s
                 )
@@ -141,14 +141,14 @@
         load_reporter = LoadReporter(
             address.host,
             address.port,
-            self.base.view,
-            self.base.links.on_demand("loads"),
+            self.components.view,
+            self.components.links.create_network("loads"),
             self.timers.now_s,
             lambda: not controller.is_switching,
         )
         failures = 0
         while True:
-            # Peers may still report an earlier naming time.
+            # Repeated, as peers may still report an earlier naming time.
             self._update_named_versions()
             state = await self.engine.read_state()
             if isinstance(state, Failure):
@@ -175,9 +175,11 @@
     rng: random.Random,
 ) -> tuple[SiteAgent, ASGIApp]:
     """Create an agent, and the application for its metrics port."""
-    base = create_site_base(settings, incarnation, store_access, timers, rng)
-    view = base.view
-    network = base.links.on_demand("weights")
+    components = create_site_components(
+        settings, incarnation, store_access, timers, rng
+    )
+    view = components.view
+    network = components.links.create_network("weights")
     origin = create_origin_with_exchange(
         adapters.create_origin(view), settings, view, network
     )
@@ -191,7 +193,7 @@
     )
     engine = adapters.create_engine(catalog)
 
-    def create_weights(settings_with_origin: SiteSettings) -> WeightController:
+    def create_controller(settings_with_origin: SiteSettings) -> WeightController:
         return create_weight_controller(
             settings_with_origin,
             network=network,
@@ -209,10 +211,10 @@
 
     agent = SiteAgent(
         settings,
-        base,
+        components,
         catalog,
         engine,
-        create_weights,
+        create_controller,
         timers,
         tasks,
     )
--- a/reedspar/daemon/site_parts.py
+++ b/reedspar/daemon/site_components.py
@@ -23,7 +23,13 @@
 
 from .site_links import SiteLinks, create_site_links
 
-__all__ = ["SiteBase", "SiteCodec", "SiteStore", "StoreAccess", "create_site_base"]
+__all__ = [
+    "SiteCodec",
+    "SiteComponents",
+    "SiteStore",
+    "StoreAccess",
+    "create_site_components",
+]
 
 
 class SiteStore(LeasingStore, WatchableStore, Protocol):
@@ -52,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SiteBase:
+class SiteComponents:
     """The components that a daemon of either role has."""
 
     view: FleetView
@@ -61,19 +67,19 @@
     links: SiteLinks
 
 
-def create_site_base(
+def create_site_components(
     settings: SiteSettings,
     incarnation: int,
     store_access: StoreAccess,
     timers: TimerService,
     rng: random.Random,
-) -> SiteBase:
+) -> SiteComponents:
     """Create the components that connect a daemon to the store and to its peers."""
     view = FleetView(timers)
     feed = create_fleet_feed(
         store_access.store, view, store_access.codec, timers, store_access.prefixes, rng
     )
-    key, value = store_access.encode_daemon(_describe(settings))
+    key, value = store_access.encode_daemon(_to_daemon_record(settings))
     registration = create_registration(
         key,
         value,
@@ -84,7 +90,7 @@
         lambda: feed.revision_of(key),
     )
     links = create_site_links(settings, incarnation, view, timers, rng)
-    network = links.on_demand("fleet")
+    network = links.create_network("fleet")
     create_fleet_exchange(
         settings.name,
         feed,
@@ -95,10 +101,10 @@
         settings.region,
         settings.role,
     )
-    return SiteBase(view, feed, registration, links)
+    return SiteComponents(view, feed, registration, links)
 
 
-def _describe(settings: SiteSettings) -> DaemonRecord:
+def _to_daemon_record(settings: SiteSettings) -> DaemonRecord:
     """Return the registration of this daemon, which the other daemons read."""
     listen = settings.listen
     return DaemonRecord(
--- a/reedspar/daemon/site_entry.py
+++ b/reedspar/daemon/site_entry.py
@@ -27,8 +27,8 @@
 from reedspar.timers import TimerService
 from reedspar.weights import VersionedOrigin, WeightCache, create_weight_cache
 
-from .serving import PortDispatcher, serve_http
-from .site_parts import SiteBase, StoreAccess, create_site_base
+from .http_server import PortDispatcher, serve_http
+from .site_components import SiteComponents, StoreAccess, create_site_components
 from .site_weights import (
     SitePeers,
     add_origin_region,
@@ -40,7 +40,7 @@
 __all__ = ["EntryAdapters", "SiteEntry", "create_site_entry"]
 
 FORCED_STOP_MARGIN_S = 1.0
-"""Time before the forced end for the last bytes of answers and closing sockets."""
+"""Time before the forced stop to send the last bytes and to close sockets."""
 ACCEPTING_FRACTION = 0.4
 """Fraction of the grace period in which new requests are still accepted.
 
@@ -68,27 +68,30 @@
     """The components of a running entry."""
 
     settings: SiteSettings
-    base: SiteBase
+    components: SiteComponents
     service: DirectService
     create_cache: Callable[[SiteSettings], WeightCache]
     timers: TimerService
     tasks: TaskGroup
     is_leaving: bool = False
     _stop_serving: anyio.Event = field(default_factory=anyio.Event)
-    _served: anyio.Event = field(default_factory=anyio.Event)
+    _server_stopped: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def is_ready(self) -> bool:
         """Return whether callers may be directed to this entry."""
-        has_state = self.base.feed.is_initialized and self.base.view.routes is not None
+        has_state = (
+            self.components.feed.is_initialized
+            and self.components.view.routes is not None
+        )
         return has_state and not self.is_leaving
 
     def list_addresses(self, host: str, zone: str, region: str) -> list[DaemonRecord]:
         """Return the entries to which a caller is directed for a host."""
-        entries = self.base.view.daemons(self.settings.role.value)
+        entries = self.components.view.daemons(self.settings.role.value)
         local_name = self.settings.name
         usable = [e for e in entries if e.name != local_name or not self.is_leaving]
-        allowed_regions = list_allowed_regions(self.base.view.routes, host)
+        allowed_regions = list_allowed_regions(self.components.view.routes, host)
         return choose_entries(usable, zone, region, allowed_regions)
 
     def apply_settings(self, settings: SiteSettings) -> None:
@@ -99,8 +102,8 @@
     async def run(self, stop: anyio.Event, application: ASGIApp) -> None:
         """Serve until `stop` is set, then drain and stop."""
         self.tasks.start_soon(self.timers.run)
-        await self.tasks.start(self.base.links.transport.run)
-        self.tasks.start_soon(self.base.feed.run)
+        await self.tasks.start(self.components.links.transport.run)
+        self.tasks.start_soon(self.components.feed.run)
         self.tasks.start_soon(self._serve, application)
         self.tasks.start_soon(self._register)
         self.tasks.start_soon(self._cache_weights)
@@ -108,14 +111,14 @@
         await self._drain()
 
     async def _register(self) -> None:
-        await self.base.feed.wait_initialized()
+        await self.components.feed.wait_initialized()
         self.service.record_store_listing()
-        _logger.info("ready", extra={"targets": self.base.view.target_count()})
-        await self.base.registration.run()
+        _logger.info("ready", extra={"targets": self.components.view.target_count()})
+        await self.components.registration.run()
 
     async def _cache_weights(self) -> None:
-        await wait_for_routes(self.base)
-        view = self.base.view
+        await wait_for_routes(self.components)
+        view = self.components.view
         cache = self.create_cache(add_origin_region(view, self.settings))
         cache.start()
 
@@ -132,28 +135,28 @@
         await serve_http(
             application,  # type: ignore[arg-type]
             self.settings.host,
-            self._ports(),
+            self._distinct_ports(),
             self._stop_serving,
             keep_alive_s=idle_s,
             grace_s=SHUTDOWN_TIMEOUT_S,
         )
-        self._served.set()
+        self._server_stopped.set()
 
-    def _ports(self) -> Sequence[int]:
+    def _distinct_ports(self) -> Sequence[int]:
         return sorted(set(_list_ports(self.settings)))
 
     async def _drain(self) -> None:
         """Withdraw the registration, serve until cached addresses expire, and stop."""
         self.is_leaving = True
         grace_s = self.settings.bounds.grace_ms / 1000 - FORCED_STOP_MARGIN_S
-        self.tasks.start_soon(self.base.registration.withdraw)
+        self.tasks.start_soon(self.components.registration.withdraw)
         application = self.service.application
         application.close_connections()
         options = DrainOptions(ACCEPTING_FRACTION * grace_s, grace_s)
         await run_drain(application, options, self.timers.now_s)
         self._stop_serving.set()
         with anyio.move_on_after(FORCED_STOP_MARGIN_S / 2):
-            await self._served.wait()
+            await self._server_stopped.wait()
 
 
 def _list_ports(settings: SiteSettings) -> list[int]:
@@ -175,20 +178,22 @@
     """Create an entry, and the application that serves all its ports."""
     listen = settings.listen
     assert listen.callers is not None
-    base = create_site_base(settings, incarnation, store_access, timers, rng)
-    view = base.view
-    links = base.links
+    components = create_site_components(
+        settings, incarnation, store_access, timers, rng
+    )
+    view = components.view
+    links = components.links
     service = create_direct_service(
         settings=settings,
         incarnation=incarnation,
         view=view,
         timers=timers,
         tasks=tasks,
-        network=links.on_demand("crashes"),
+        network=links.create_network("crashes"),
         dialer=adapters.create_dialer(view),
         adapter=adapters.caller_adapter,
         fallback=adapters.metrics_app,
-        is_store_slow=lambda: base.registration.store_latency.is_recently_slow,
+        is_store_slow=lambda: components.registration.store_latency.is_recently_slow,
         rng=rng,
         first_filters=(RequestLog(view, timers, adapters.metrics),),
     )
@@ -196,7 +201,7 @@
         service.replaced_weights_log.read_counts
     )
     create_load_listener(view, service.chooser, links.transport)
-    weights_network = links.on_demand("weights")
+    weights_network = links.create_network("weights")
     origin = create_origin_with_exchange(
         adapters.create_origin(view), settings, view, weights_network
     )
@@ -212,7 +217,7 @@
             rng=rng,
         )
 
-    entry = SiteEntry(settings, base, service, create_cache, timers, tasks)
+    entry = SiteEntry(settings, components, service, create_cache, timers, tasks)
     directory = adapters.create_directory(entry)
     by_port: dict[int, ASGIApp] = dict.fromkeys(_list_ports(settings), directory)
     by_port[listen.metrics_port] = adapters.metrics_app
--- a/reedspar/daemon/site_links.py
+++ b/reedspar/daemon/site_links.py
@@ -20,8 +20,8 @@
     """The TCP transport, and on-demand networks that share it."""
 
     transport: TcpNetwork
-    on_demand: Callable[[str], OnDemandNetwork]
-    """Creates the network of one component of the daemon, given its name."""
+    create_network: Callable[[str], OnDemandNetwork]
+    """Creates the network of a component of the daemon, given the component's name."""
 
 
 def create_site_links(
--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -16,7 +16,7 @@
     create_manifest_exchange,
 )
 
-from .site_parts import SiteBase
+from .site_components import SiteComponents
 
 __all__ = [
     "NamedModel",
@@ -29,8 +29,8 @@
 
 CACHE_RANKING_KEY = "weights cache"
 CACHES_PER_REGION = 4
-"""Entries that each cache a part of a version; with more, each part would consist of
-only a few chunks."""
+"""Entries of a region that each cache a part of a version; with more, each part would
+consist of only a few chunks."""
 FIRST_VERSION = 1
 """The version that targets serve until one is named."""
 
@@ -60,7 +60,7 @@
             if record.pool in pools
         ]
         return tuple(
-            _describe(record)
+            _to_weight_peer(record)
             for record in (*agents, *self._list_caches())
             if record.name != self._settings.name
         )
@@ -80,7 +80,7 @@
                 yield entry
 
 
-def _describe(record: DaemonRecord) -> WeightPeer:
+def _to_weight_peer(record: DaemonRecord) -> WeightPeer:
     return WeightPeer(
         record.name,
         record.region,
@@ -101,12 +101,12 @@
             yield NamedModel(model, named.version if named else FIRST_VERSION)
 
 
-async def wait_for_routes(base: SiteBase) -> None:
+async def wait_for_routes(components: SiteComponents) -> None:
     """Wait until the routes are known, which contain the location of the origin."""
-    await base.feed.wait_initialized()
+    await components.feed.wait_initialized()
     known = anyio.Event()
-    base.view.on_change(lambda change: known.set())
-    while base.view.routes is None:
+    components.view.on_change(lambda change: known.set())
+    while components.view.routes is None:
         await known.wait()
         known = anyio.Event()
 
--- a/reedspar/daemon/tests/test_main.py
+++ b/reedspar/daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests that the command rejects invalid settings, and of message registration."""
+"""Tests of the rejection of invalid settings, and of message registration."""
 
 import contextlib
 import io
--- a/reedspar/daemon/views.py
+++ b/reedspar/daemon/views.py
@@ -107,7 +107,7 @@
 
 
 class StatusReader:
-    """The state of this daemon for operators."""
+    """Reads the state of this daemon for operators."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -138,7 +138,7 @@
 
 
 class MemberReader:
-    """The daemons that this daemon knows, for operators."""
+    """Lists the daemons that this daemon knows, for operators."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
