--- a/reedspar/daemon/site_weights.py
+++ b/reedspar/daemon/site_weights.py
@@ -104,11 +104,11 @@
 async def wait_for_routes(components: SiteComponents) -> None:
     """Wait until the routes are known, which contain the location of the origin."""
     await components.feed.wait_initialized()
-    known = anyio.Event()
-    components.view.on_change(lambda change: known.set())
+    changed = anyio.Event()
+    components.view.on_change(lambda change: changed.set())
     while components.view.routes is None:
-        await known.wait()
-        known = anyio.Event()
+        await changed.wait()
+        changed = anyio.Event()
 
 
 def add_origin_region(view: FleetView, settings: SiteSettings) -> SiteSettings:
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -262,7 +262,7 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(session.connection.write_frames)
-                tasks.start_soon(session.close_without_hello)
+                tasks.start_soon(session.enforce_hello_timeout)
                 session.connection.send(self._encode(self._hello), Priority.LIVE)
                 await session.connection.read_frames(session.handle)
                 tasks.cancel_scope.cancel()
@@ -371,10 +371,10 @@
         """Handle a frame; return False to end the connection."""
         return self._network._handle_frame(self, frame)
 
-    async def close_without_hello(self) -> None:
+    async def enforce_hello_timeout(self) -> None:
         """Close the connection if the peer does not send its hello in time.
 
-        The kernel still accepts connections for a frozen process.
+        Connections to a frozen process are still accepted, by its kernel.
         """
         await anyio.sleep(self._network._settings.dial_timeout_s)
         if self.peer is None:
--- a/reedspar/links/tests/test_tcp_network.py
+++ b/reedspar/links/tests/test_tcp_network.py
@@ -109,22 +109,22 @@
         # answers in between.  If one of these overtook the tokens, the entry would see
         # a gap in the answers and request the rest again.
         first, second = Node("agent-1"), Node("agent-2")
-        got: list[AttemptData | AttemptAck] = []
+        received: list[AttemptData | AttemptAck] = []
         sent: list[AttemptData | AttemptAck] = []
         for i in range(400):
             data = AttemptData(f"r{i % 7}", i % 3, i, bytes([i % 256]) * (i % 2000))
             sent.append(AttemptAck("r", 1, i, False) if i % 50 == 49 else data)
 
         async def scenario() -> None:
-            second.network.subscribe(AttemptData, lambda s, m: got.append(m))
-            second.network.subscribe(AttemptAck, lambda s, m: got.append(m))
+            second.network.subscribe(AttemptData, lambda s, m: received.append(m))
+            second.network.subscribe(AttemptAck, lambda s, m: received.append(m))
             first.network.set_desired_peers("test", [second.address])
             await wait_until(lambda: first.network.peers() and second.network.peers())
             before = first.network.traffic.sent_bytes
             for message in sent:
                 self.assertIsNone(first.network.send("agent-2", message))
-            await wait_until(lambda: len(got) >= len(sent))
-            self.assertEqual(got, sent)
+            await wait_until(lambda: len(received) >= len(sent))
+            self.assertEqual(received, sent)
             data_bytes = sum(len(m.data) for m in sent if isinstance(m, AttemptData))
             frames_bytes = first.network.traffic.sent_bytes - before
             self.assertLess(frames_bytes - data_bytes, 400 * 40)
@@ -199,10 +199,10 @@
         frames = [b"", b"a", b"bc" * 500]
         data = b"".join(len(f).to_bytes(4, "big") + f for f in frames)
         for size in (1, 3, 4, 5, 700, len(data)):
-            buffer, got = FrameBuffer(), []
+            buffer, received = FrameBuffer(), []
             for i in range(0, len(data), size):
-                got += buffer.feed(data[i : i + size])
-            self.assertEqual(got, frames)
+                received += buffer.feed(data[i : i + size])
+            self.assertEqual(received, frames)
 
     def test_length_above_the_limit_is_corrupt(self) -> None:
         # The stream is out of sync, for example after a corrupted length.  Reading on
