--- a/reedspar/links/network.py
+++ b/reedspar/links/network.py
@@ -86,7 +86,7 @@
         ...
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers with an open link, or those of one role."""
+        """Return the names of the peers with an open link, optionally of one role."""
         ...
 
     def incarnation_of(self, peer: str) -> int:
--- a/reedspar/links/tcp_network.py
+++ b/reedspar/links/tcp_network.py
@@ -110,7 +110,7 @@
         self._sender_listeners.append(listener)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers with an open link, or those of one role."""
+        """Return the names of the peers with an open link, optionally of one role."""
         return tuple(
             peer.name
             for peer in self._peers.values()
--- a/reedspar/links/wrapper.py
+++ b/reedspar/links/wrapper.py
@@ -41,7 +41,7 @@
         self._network.set_desired_peers(owner, peers)
 
     def peers(self, role: Role | None = None) -> tuple[str, ...]:
-        """Return the names of the peers with an open link, or those of one role."""
+        """Return the names of the peers with an open link, optionally of one role."""
         return self._network.peers(role)
 
     def incarnation_of(self, peer: str) -> int:
