--- a/bench/inbound_queues.py
+++ b/bench/inbound_queues.py
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Times until targets have the version, and waits of prompts at other targets."""
+    """Times until targets have the version, and waits of prompts before they do."""
 
     name: str
     bound_s: float
--- a/reedspar/configuration/watching.py
+++ b/reedspar/configuration/watching.py
@@ -2,9 +2,9 @@
 
 The service's rate limits, on calls as well as pending watches, do not grow with the
 fleet.  So a fixed number of daemons per availability zone, chosen by rendezvous
-hashing, watch the service and attest on behalf of their zone.  If the zone's latest
-attestation is old, these watchers may be stopped, and standbys (the daemons of the
-next ranks) take over.
+hashing, watch the service and attest on behalf of their zone that it knows of no newer
+version.  If the zone's latest attestation is old, these watchers may be stopped, and
+standbys (the daemons of the next ranks) take over.
 """
 
 from collections.abc import Callable
--- a/reedspar/direct/cold_limits.py
+++ b/reedspar/direct/cold_limits.py
@@ -29,8 +29,8 @@
 
 Each may send one request at once after a pause, so nine senders exceed the rate by at
 most nine within a second.  The platform tolerates an excess of half the rate and five,
-which is 23 at 36 requests a second.  With 46 senders, 92 requests arrived within a
-second in a simulation."""
+which is 23 at 36 requests a second.  With 46 senders, 92 requests can arrive within a
+second."""
 SENDERS_MIN = 3
 """Minimum number of senders assumed: an entry that just started may know no others."""
 CACHED_TARGETS_MAX = 4096
--- a/reedspar/direct/versions.py
+++ b/reedspar/direct/versions.py
@@ -6,10 +6,10 @@
 __all__ = ["VersionRule"]
 
 OLDER_VERSION_MARGIN_S = 0.4
-"""Time before the bound from which no request is sent to an older version.
+"""Time before the end of the bound from which an older version gets no new requests.
 
-A new version becomes known here within 0.25 s.  If it takes longer, the peers report
-when they learned of it."""
+The bound is `VersionRule.bound_s`.  A new version becomes known here within 0.25 s.  If
+it takes longer, the peers report when they learned of it."""
 WAIT_FACTOR = 2.0
 """Assumed maximum ratio of a request's actual wait to its expected wait."""
 UNDATED_VERSION_GRACE_S = 1.0
--- a/reedspar/requests/claim_ledger.py
+++ b/reedspar/requests/claim_ledger.py
@@ -1,5 +1,9 @@
 """Group commit of claims: one compare-and-swap writes all claims that have queued.
 
+A claim reserves an idempotency key, so that an order (a request that is not idempotent)
+runs at most once.  A location is a key of the key-value service; its value is a slice,
+which holds the records of one or more claims.
+
 Any entry may write any location, since the expected revision of the
 compare-and-swap acts as a fencing token.  If a paused or second owner writes
 too, it gets a conflict, reads the new value and applies its batch again.
@@ -243,9 +247,9 @@
         return any(reply.verdict not in FINAL_VERDICTS for reply in replies)
 
     def _reply(self, location: str, batch: _Batch, replies: list[ClaimReply]) -> None:
-        # If the process was paused between the check of the key's date and the
-        # write, the slice may already have expired with its lease, and an old
-        # order looks new.  Hence the date is checked again after the write.
+        # If the process is paused between the check of the key's date and the
+        # write, the slice may have expired with its lease in the meantime, and an
+        # old order looks new.  Hence the date is checked again after the write.
         now_s = self._unix_time()
         is_expired = is_location_expired(location, now_s, self._options.ttl_s)
         for (request, on_reply), reply in zip(batch.claims, replies, strict=True):
--- a/reedspar/targets/dispatcher.py
+++ b/reedspar/targets/dispatcher.py
@@ -29,7 +29,7 @@
 EXPIRE_INTERVAL_S = 1.0
 DRAIN_POLL_INTERVAL_S = 0.05
 RESEND_EVERY_POLLS = 10
-"""Polls of a drain between two repetitions of undelivered ends."""
+"""Polls of a drain between two repetitions of unacknowledged `AttemptEnd` messages."""
 ENTRY_RECONNECT_TIMEOUT_S = 3.0
 """Time in which a live entry replaces a broken link to a stopping agent."""
 RETRY_AFTER_MIN_S = 0.25
@@ -121,11 +121,11 @@
     async def wait_delivered(self) -> None:
         """Wait until every answer has been acknowledged by its entry.
 
-        A killed entry acknowledges nothing, and the end of an abandoned attempt may
-        have been lost; waiting for either would use up the whole stop timeout.
-        Ends are therefore sent repeatedly: an entry that no longer needs the answer
-        acknowledges it, and one without a link gets `ENTRY_RECONNECT_TIMEOUT_S` to
-        reconnect.
+        A killed entry acknowledges nothing, and the `AttemptEnd` of an abandoned
+        attempt may have been lost; waiting for either would use up the whole stop
+        timeout.  `AttemptEnd` is therefore sent repeatedly: an entry that no longer
+        needs the answer acknowledges it, and one without a link gets
+        `ENTRY_RECONNECT_TIMEOUT_S` to reconnect.
         """
         polls = 0
         while self._handles or self._has_pending_delivery(
--- a/reedspar/telemetry/logs.py
+++ b/reedspar/telemetry/logs.py
@@ -39,8 +39,8 @@
 class JsonFormatter(logging.Formatter):
     """Format a record as one JSON object.
 
-    Customers' texts must not be logged: bytes are never printed, nor are extras whose
-    names are those of bodies, headers or secrets.
+    Contents of requests and answers must not be logged: bytes are never printed, nor
+    are extras whose names are those of bodies, headers or secrets.
     """
 
     def __init__(self, common: Mapping[str, Any] | None = None) -> None:
--- a/reedspar/weights/succession.py
+++ b/reedspar/weights/succession.py
@@ -1,8 +1,9 @@
-"""Decision whether the current transfer is finished before the next version is begun.
+"""Rule that decides whether to finish a transfer before starting the next version's.
 
 Versions may be named faster than they can be transferred.  If a transfer is dropped for
 the next version, its version is never served, and the targets have nothing to serve
-once the version before it has expired.
+once the version before it has expired.  The time without a version to serve is called
+the gap.
 """
 
 from dataclasses import dataclass
@@ -40,7 +41,11 @@
 
 
 def should_finish_current(succession: Succession) -> bool:
-    """Return whether finishing the current version causes the shorter service gap."""
+    """Return whether to finish the current version before starting the next one.
+
+    True if the gap is then at most `FINISH_TOLERANCE_S` longer than if the current
+    transfer were dropped.
+    """
     arrived_s = succession.next_named_at_s + succession.left_s
     next_s = arrived_s + succession.copy_s + LOAD_DURATION_S
     gap_s = max(0.0, arrived_s + SWITCH_DURATION_S - succession.served_until_s)
--- a/reedspar/weights/swarm.py
+++ b/reedspar/weights/swarm.py
@@ -1,8 +1,8 @@
 """Peer-to-peer distribution by rarest-first selection, as in BitTorrent (Cohen 2003).
 
 Each agent requests the chunks that are rarest among some neighbours in its region.
-`Placement` assigns fetches from the origin and other regions to agents; others do so
-only if no neighbour obtains new chunks.
+`Placement` assigns fetches from the origin and other regions to agents.  Agents without
+such an assignment fetch from there only if no neighbour obtains new chunks.
 """
 
 import random
--- a/reedspar/weights/tests/test_origin_return.py
+++ b/reedspar/weights/tests/test_origin_return.py
@@ -160,18 +160,20 @@
 
     def test_region_of_the_origin_gets_the_earlier_version_first(self) -> None:
         # Guards against seconds without a version to serve.  After an outage, targets
-        # lack a fifth of a version and all of the next one.  Entries read the next one
-        # first, although the earlier one could have been served sooner.
+        # lack a fifth of a version and all of the next one.  Entries that read the next
+        # one first delay the earlier one, which could be served sooner.
         self.check_recovery(REGIONS[0])
 
     def test_other_regions_get_the_earlier_version_first(self) -> None:
-        # As above; in addition, other regions waited for seconds because they requested
-        # the chunks from other entries than those that had read them.
+        # Guards against the same fault, and against a delay of seconds in other
+        # regions, which occurs if they request the chunks from other entries than those
+        # that have read them.
         self.check_recovery(REGIONS[1], REGIONS[2])
 
     def test_targets_do_not_read_from_the_origin_while_entries_answer(self) -> None:
         # Guards against a dozen targets reading the same chunk after an outage.
-        # Entries refuse requests during the outage, and targets considered them dead.
+        # Entries refuse requests during the outage, and the targets read the chunks
+        # themselves if they therefore consider the entries dead.
         read_bytes = [
             simulate(offset_s).read_by_targets for offset_s in OUTAGE_END_OFFSETS_S
         ]
@@ -182,8 +184,8 @@
     def test_requested_chunk_is_read_before_the_next_version(self) -> None:
         # Guards against reading chunks of the next version before requested ones.
         # While the origin stalls, other regions request chunks assigned to an entry.
-        # The entry retried those after a delay, and in each delay read one of the next
-        # version.
+        # An entry that retries those after a delay reads a chunk of the next version in
+        # each delay.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
         entry.set_peers(MODEL, [OTHER_REGION_ENTRY], 0.0)
         first, objects = make_weights(CHUNKS, CHUNK_BYTES)
@@ -207,7 +209,8 @@
     def test_chunk_held_by_another_entry_is_requested_from_it(self) -> None:
         # Guards against reading a chunk again seconds later.  During an outage, another
         # region requests a chunk from an entry, and a second entry reads it afterwards.
-        # The first one had too many failed attempts to request it from the second.
+        # The first one must request it from the second, even after many failed
+        # attempts.
         entry = SwarmDistribution(ENTRY, LIMITS, random.Random(1))
         entry.set_peers(MODEL, [OTHER_REGION_ENTRY, SAME_REGION_ENTRY], 0.0)
         manifest, _ = make_weights(CHUNKS, CHUNK_BYTES)
